--- /dev/null
+++ b/crates/scheduler/tests/mixed_builds.rs
@@ -0,0 +1,101 @@
+//! A node of an older build beside one of this build, as in an upgrade node by node.
+//!
+//! Guards against names of records, messages or settings that change between builds: a node then reads nothing of what the
+//! other one wrote, so that jobs are lost or their tasks started twice when a pool changes its owner.
+//! Needs a program of the older build: `scripts/mixed-builds OLD_REV` builds one and runs this.
+
+mod system;
+
+use std::path::PathBuf;
+use std::process::Command;
+use std::time::Duration;
+
+use googletest::prelude::*;
+use system::{System, job, send, state, submit, until, until_state};
+
+/// Tasks of each job.
+const TASKS: u32 = 6;
+/// How long the tasks of jobs run that are there when the owner is killed, in milliseconds.
+const LONG_MS: u32 = 4_000;
+/// How long an owner is left to begin the tasks of such a job.
+const BEGINS_WITHIN: Duration = Duration::from_millis(800);
+
+/// Submits a job of short tasks and one of long ones to each node, kills the owner amid them, and checks that all end, told
+/// alike by the nodes that are left, and that no task was started twice.
+async fn expect_owner_replaced(system: &mut System, first_id: u64) {
+    let owner = system.owner().expect("the pool has an owner");
+    let ids: Vec<String> = (first_id..).map(|id| format!("{id:016x}")).take(4).collect();
+    for (id, node) in ids.iter().zip([0, 1, 0, 1]) {
+        let task_ms = if *id < ids[2] { 20 } else { LONG_MS };
+        let answer = submit(&system.nodes[node], id, &job(TASKS, task_ms)).await;
+        expect_that!(answer.status, eq(200), "{id} at {}", system.nodes[node].name);
+    }
+    for id in &ids[..2] {
+        until_state(&system.nodes[0], id, "completed").await;
+        until_state(&system.nodes[1], id, "completed").await;
+    }
+    until("the long tasks have begun", async || {
+        ids[2..].iter().all(|id| !system.starts_of(id).is_empty())
+    })
+    .await;
+    tokio::time::sleep(BEGINS_WITHIN).await;
+    system.nodes[owner].kill();
+    let heir = 1 - owner;
+    until("the other node owns the pool", async || system.owner() == Some(heir)).await;
+    for id in &ids {
+        until_state(&system.nodes[heir], id, "completed").await;
+        let starts = system.starts_of(id);
+        expect_that!(starts.len(), eq(TASKS as usize), "{id}");
+        expect_that!(starts.values().all(|&n| n == 1), eq(true), "{id}: {starts:?}");
+    }
+}
+
+#[gtest]
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+#[ignore = "needs a program of an older build: scripts/mixed-builds OLD_REV"]
+async fn nodes_of_two_builds_serve_together() {
+    let old = PathBuf::from(std::env::var("THISTLE_OLD_SCHEDULER").expect("the older program"));
+    let mut system = System::start(108, 6, 0).await;
+    let new = std::mem::replace(&mut system.program, old.clone());
+    // The older build alone writes the settings of its node and the first records of the store.
+    system.add_node(system::ip(108, 10));
+    until("the older node is ready", || system.nodes[0].is_ready()).await;
+    let id = "00000000000000a1";
+    expect_that!(submit(&system.nodes[0], id, &job(TASKS, 20)).await.status, eq(200));
+    until_state(&system.nodes[0], id, "completed").await;
+
+    system.program = new.clone();
+    system.add_node(system::ip(108, 11));
+    until("the newer node is ready", || system.nodes[1].is_ready()).await;
+    expect_that!(state(&system.nodes[1], id).await, eq("completed"), "a job of before");
+    expect_that!(system.owner(), eq(Some(0)), "the older node owns the pool");
+
+    expect_owner_replaced(&mut system, 0xb1).await;
+    system.nodes[0].start();
+    until("the older node is ready again", || system.nodes[0].is_ready()).await;
+    expect_owner_replaced(&mut system, 0xc1).await;
+
+    // The newer build runs on the settings of the older node, reads what is stored, and replaces it.
+    system.nodes[0].kill();
+    system.nodes[1].start();
+    until("the newer node is ready again", || system.nodes[1].is_ready()).await;
+    system.nodes[0].program = new;
+    expect_that!(system.nodes[0].show(&["--job", id]), contains_substring("completed"));
+    system.nodes[0].start();
+    until("its node runs the newer build", || system.nodes[0].is_ready()).await;
+    for id in ["00000000000000a1", "00000000000000b3", "00000000000000c4"] {
+        for node in &system.nodes {
+            expect_that!(state(node, id).await, eq("completed"), "{id} at {}", node.name);
+        }
+    }
+    // A cancel that one build takes is known to the other.
+    let id = "00000000000000d1";
+    expect_that!(submit(&system.nodes[1], id, &job(TASKS, 20_000)).await.status, eq(200));
+    let cancelled = send(&system.nodes[0], hyper::Method::DELETE, &format!("/quotes/{id}")).await;
+    expect_that!(cancelled.status, eq(200));
+    until_state(&system.nodes[1], id, "cancelled").await;
+    // The program of the older build reads what both have written.
+    let shown = Command::new(&old).arg("show").arg(system.nodes[0].settings_path()).output();
+    let shown = String::from_utf8_lossy(&shown.expect("the program runs").stdout).into_owned();
+    expect_that!(shown, contains_substring("configuration 1"));
+}
--- a/crates/scheduler/tests/system/mod.rs
+++ b/crates/scheduler/tests/system/mod.rs
@@ -32,6 +32,8 @@
 /// A node's process; it is killed when dropped.
 pub struct Node {
     pub name: String,
+    /// The program that the process runs, from its next start on.
+    pub program: PathBuf,
     ip: Ipv4Addr,
     settings: PathBuf,
     child: Option<Child>,
@@ -42,7 +44,7 @@
     pub fn start(&mut self) {
         let log = self.settings.with_extension("log");
         let log = File::options().create(true).append(true).open(log).expect("the log opens");
-        let child = Command::new(env!("CARGO_BIN_EXE_thistle-scheduler"))
+        let child = Command::new(&self.program)
             .arg("run")
             .arg(&self.settings)
             .stdout(log)
@@ -51,9 +53,14 @@
         self.child = Some(child);
     }
 
+    /// Returns where its settings are.
+    pub fn settings_path(&self) -> &std::path::Path {
+        &self.settings
+    }
+
     /// Runs the subcommand that shows what the store holds.
     pub fn show(&self, args: &[&str]) -> String {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_thistle-scheduler"));
+        let mut command = Command::new(&self.program);
         let output = command.arg("show").arg(&self.settings).args(args).output();
         let output = output.expect("the program runs");
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
@@ -145,6 +152,8 @@
     pub cap: Option<u32>,
     /// Lines that stand in the settings of nodes that are added from now on, beside the usual ones.
     pub further_settings: String,
+    /// The program of nodes that are added from now on.
+    pub program: PathBuf,
     dir: PathBuf,
 }
 
@@ -171,7 +180,9 @@
         let dir = std::env::temp_dir().join(format!("thistle-{}-{net}", std::process::id()));
         std::fs::create_dir_all(&dir).expect("the folder is made");
         let further_settings = String::new();
-        let mut system = Self { platform, nodes: Vec::new(), cap: None, further_settings, dir };
+        let program = PathBuf::from(env!("CARGO_BIN_EXE_thistle-scheduler"));
+        let mut system =
+            Self { platform, nodes: Vec::new(), cap: None, further_settings, program, dir };
         system.put_config(1, &["/quotes/"]);
         for i in 0..nodes {
             system.add_node(ip(10 + i));
@@ -212,7 +223,8 @@
             self.further_settings,
         );
         std::fs::write(&settings, text).expect("the settings are written");
-        let mut node = Node { name, ip, settings, child: None };
+        let program = self.program.clone();
+        let mut node = Node { name, program, ip, settings, child: None };
         node.start();
         self.nodes.push(node);
     }
