--- a/crates/scheduler/src/caps/lender.rs
+++ b/crates/scheduler/src/caps/lender.rs
@@ -1,4 +1,4 @@
-//! Owning the lending of caps: hears what pools use and want, and writes how each cap is split.
+//! The owner of the caps: reads what pools use and want, and writes how each cap is split between pools.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,16 +14,16 @@
 use crate::journal::{Fenced, Journal};
 use crate::node::Node;
 
-/// How often the configuration is looked at when nothing is said.
+/// The longest time between two checks of the configuration when no report arrives.
 const TICK: Duration = Duration::from_millis(100);
 
-/// Lends caps until another node does, or the task is aborted.
+/// Lends caps until another node takes over or the task is aborted.
 pub async fn run(node: Arc<Node>, token: u64) {
     let Ok(journal) = Journal::open(&node, TOPIC, &[LENT], token).await else {
         log::warn!("caps step=fenced token={token}");
         return;
     };
-    // The predecessor can write no more: what is there now is all there is.
+    // The previous owner is fenced and can write no further records.
     while let Err(e) = read_lent(&node).await {
         log::debug!("caps step=read-failed error=\"{e}\"");
         tokio::time::sleep(TICK).await;
@@ -36,23 +36,23 @@
         table.as_of
     );
     let (tx, mut rx) = unbounded_channel();
-    let mut lending =
+    let mut owner =
         Lending { node: node.clone(), lender: Lender::new(table.as_of, records), journal };
     let work = async {
         loop {
-            if let Ok(Some(said)) = tokio::time::timeout(TICK, rx.recv()).await {
-                lending.take(said);
+            if let Ok(Some(cap_use)) = tokio::time::timeout(TICK, rx.recv()).await {
+                owner.take(cap_use);
             }
-            while let Ok(said) = rx.try_recv() {
-                lending.take(said);
+            while let Ok(cap_use) = rx.try_recv() {
+                owner.take(cap_use);
             }
-            if lending.node.may_act(CAPS, token) && lending.step().await == Err(Fenced) {
+            if owner.node.may_act(CAPS, token) && owner.step().await == Err(Fenced) {
                 log::warn!("caps step=fenced token={token}");
                 return;
             }
         }
     };
-    // Both end with this task.
+    // Both futures are dropped with this task.
     tokio::select! {
         () = follow_uses(&node, tx) => (),
         () = work => (),
@@ -60,13 +60,13 @@
 }
 
 async fn follow_uses(node: &Node, tx: UnboundedSender<CapUse>) {
-    follow(node, Tail::new(TOPIC, USES), Pace::AtOnce, move |news, _| {
-        let records: Vec<Stored> = match news {
+    follow(node, Tail::new(TOPIC, USES), Pace::AtOnce, move |update, _| {
+        let records: Vec<Stored> = match update {
             News::Reloaded(records) | News::Records(records) => records,
         };
-        for said in records.iter().filter_map(decode::<CapUse>) {
-            // The other end is dropped with this task.
-            let _ = tx.send(said);
+        for cap_use in records.iter().filter_map(decode::<CapUse>) {
+            // The receiver is dropped only when the task ends.
+            let _ = tx.send(cap_use);
         }
     })
     .await;
@@ -79,16 +79,16 @@
 }
 
 impl Lending {
-    fn take(&mut self, said: CapUse) {
+    fn take(&mut self, cap_use: CapUse) {
         log::debug!(
-            "caps step=said pool={} workspace={} number={} used={:?} wanted={:?}",
-            said.pool,
-            said.workspace,
-            said.number,
-            said.used,
-            said.wanted
+            "caps step=use pool={} workspace={} number={} used={:?} wanted={:?}",
+            cap_use.pool,
+            cap_use.workspace,
+            cap_use.number,
+            cap_use.used,
+            cap_use.wanted
         );
-        self.lender.take(said);
+        self.lender.take(cap_use);
     }
 
     async fn step(&mut self) -> Result<(), Fenced> {
--- a/crates/scheduler/src/caps/mod.rs
+++ b/crates/scheduler/src/caps/mod.rs
@@ -1,4 +1,4 @@
-//! Caps of workspaces over all pools: the records by which one node lends parts of them to the pools' owners.
+//! Caps of workspaces over all pools: the records with which one node lends shares of the caps to the owners of pools.
 
 mod lender;
 
@@ -16,41 +16,41 @@
 
 pub use lender::run;
 
-/// The name under which the lending of caps is owned, beside the pools' names.
+/// The name under which nodes claim the lending of caps; no pool has this name.
 pub const CAPS: &str = "#caps";
-/// The partition of how caps are lent.
+/// The partition of the lent shares of caps.
 pub const LENT: u32 = 5;
-/// The partition of what pools' owners say of what they use.
+/// The partition of the reports of cap use by the owners of pools.
 pub const USES: u32 = 6;
-/// What the keys of records start with; a hash of the names follows, as names may be of any length.
+/// The prefix of the keys of lent shares; a hash of the workspace's name follows, as names may have any length.
 pub const LENT_PREFIX: &str = "cap/";
-/// The same for what is said.
+/// The prefix of the keys of reports of cap use; a hash of the names of the pool and the workspace follows.
 pub const USE_PREFIX: &str = "use/";
 
-/// The key of the version for which the splits hold. It comes before all others, so that pages of newest records never tell of a
-/// newer version than the splits that follow.
+/// The key of the configuration version for which the splits are valid. It sorts before all other keys, so that pages of
+/// newest records never contain a newer version than the splits that follow.
 const AS_OF_KEY: &str = "as-of";
 
-/// How caps are lent.
+/// The lent shares of all caps.
 #[derive(Clone, Debug, Default)]
 pub struct LentTable {
-    /// The version of the configuration for which the splits hold.
+    /// The version of the configuration for which the splits are valid.
     pub as_of: u64,
     /// The split of each cap, by workspace.
     pub lent: BTreeMap<String, LentCap>,
 }
 
-/// Encodes the version for which the splits hold.
+/// Encodes the configuration version for which the splits are valid.
 pub fn as_of_record(version: u64) -> KeyedRecord {
     KeyedRecord::new(AS_OF_KEY, thistle_schedule::job_log::encode(&version))
 }
 
-/// Returns whether a configuration limits what any workspace may have running. Where none does, nothing here is written.
+/// Returns whether a configuration caps the running tasks of any workspace. If none is capped, no record is written here.
 pub fn has_caps(catalog: &Catalog) -> bool {
     catalog.workspaces.all().iter().any(|workspace| limits(workspace.cap))
 }
 
-/// Returns whether the configuration in force has caps.
+/// Returns whether the current configuration has caps.
 pub fn in_force(node: &Node) -> bool {
     node.catalog.borrow().as_ref().is_some_and(|catalog| has_caps(catalog))
 }
@@ -59,19 +59,19 @@
     format!("{prefix}{:016x}{:016x}", weight(name.as_bytes(), 0), weight(name.as_bytes(), 1))
 }
 
-/// Encodes how a cap is lent.
+/// Encodes the lent shares of a cap.
 pub fn lent_record(lent: &LentCap) -> KeyedRecord {
     let value = thistle_schedule::job_log::encode(lent);
     KeyedRecord::new(hashed(LENT_PREFIX, &lent.workspace), value)
 }
 
-/// Encodes what a pool's owner says.
-pub fn use_record(said: &CapUse) -> KeyedRecord {
-    let value = thistle_schedule::job_log::encode(said);
-    KeyedRecord::new(hashed(USE_PREFIX, &format!("{}\n{}", said.pool, said.workspace)), value)
+/// Encodes a report of cap use.
+pub fn use_record(cap_use: &CapUse) -> KeyedRecord {
+    let value = thistle_schedule::job_log::encode(cap_use);
+    KeyedRecord::new(hashed(USE_PREFIX, &format!("{}\n{}", cap_use.pool, cap_use.workspace)), value)
 }
 
-/// Reads a record; one that cannot be read is told and left out.
+/// Decodes a record; logs and skips one that cannot be read.
 fn decode<T: serde::de::DeserializeOwned>(stored: &Stored) -> Option<T> {
     let value = stored.record.value()?;
     postcard::from_bytes(value)
@@ -79,7 +79,7 @@
         .ok()
 }
 
-/// Takes records into a table; of two about one workspace the newer holds.
+/// Merges records into a table, keeping the newest for each workspace; returns whether the table has changed.
 fn merge(table: &mut LentTable, records: &[Stored]) -> bool {
     let mut changed = false;
     for stored in records {
@@ -99,26 +99,26 @@
     changed
 }
 
-/// Reads how caps are lent now, so that this node knows no less than any other does.
+/// Reads the current lent shares, so that this node has the newest ones.
 pub async fn read_lent(node: &Node) -> Result<(), StoreError> {
     let newest = node.store.newest(TOPIC, LENT).await?;
     node.lent.send_if_modified(|table| merge(Arc::make_mut(table), &newest.records));
     Ok(())
 }
 
-/// Follows how caps are lent for as long as this node owns something, once there are caps.
+/// Follows the lent shares once there are caps, while this node owns something.
 pub async fn follow_lent(node: Arc<Node>) {
     let mut catalog = node.catalog.subscribe();
     let has = |catalog: &Option<Arc<Catalog>>| catalog.as_ref().is_some_and(|c| has_caps(c));
     if catalog.wait_for(has).await.is_err() {
         return;
     }
-    let apply = |news| {
-        let records = match news {
+    let apply = |update| {
+        let records = match update {
             News::Reloaded(records) | News::Records(records) => records,
         };
         node.lent.send_if_modified(|table| merge(Arc::make_mut(table), &records));
     };
-    // What was read stays true: an owner to come reads what is newer before it starts anything.
+    // The table is kept afterwards: the next owner here reads newer records before it starts any task.
     follow_while_owning(&node, (TOPIC, LENT), Pace::AtOnce, apply, || ()).await;
 }
--- a/crates/scheduler/src/control/claims_end.rs
+++ b/crates/scheduler/src/control/claims_end.rs
@@ -1,15 +1,15 @@
-//! How far the partition of claims was read.
+//! The position up to which the partition of claims was read.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The end of the partition of claims, as far as this node knows; it only rises. What lies before it was taken in.
+/// The end of the partition of claims known to this node, which only increases. All records before it were applied.
 #[derive(Debug, Default)]
 pub struct ClaimsEnd(AtomicU64);
 
 impl ClaimsEnd {
-    /// Takes in that all before `end` was read.
+    /// Records that all records before `end` were applied.
     pub fn reached(&self, end: u64) {
-        // 0 stands for not known.
+        // 0 stands for an unknown end.
         self.0.fetch_max(end + 1, Ordering::Relaxed);
     }
 
--- a/crates/scheduler/src/control/beat.rs
+++ b/crates/scheduler/src/control/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Sending heartbeats and hearing those of other nodes.
+//! Sends heartbeats and receives those of other nodes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,57 +15,57 @@
 
 /// The partition of heartbeats.
 const HEARTBEATS: u32 = 1;
-/// The partition of heartbeats that the first one does not take.
+/// The fallback partition, for heartbeats that the first one does not accept.
 const SPARE_HEARTBEATS: u32 = 4;
-/// What the keys of heartbeats start with.
+/// The prefix of the keys of heartbeats.
 const MEMBER_PREFIX: &str = "member/";
-/// How often a node sends a heartbeat: four of them fit in an owner's lease.
+/// The time between two heartbeats of a node: four of them fit in an owner's lease.
 const HEARTBEAT_EVERY: Duration = Duration::from_millis(450);
-/// After how many heartbeats the first partition is tried first again.
+/// The number of heartbeats after which the first partition is tried first again.
 const FIRST_AGAIN_EVERY: u64 = 8;
-/// How often it is looked whether all claims were taken in, and the pause before each further look.
+/// How often to check whether all claims were applied, and the pause before each further check.
 const CLAIMS_TRIES: u32 = 10;
 const CLAIMS_PAUSE: Duration = Duration::from_millis(20);
-/// How often a node that owns nothing sends one, in milliseconds.
+/// The time between two heartbeats of a node that owns nothing, in milliseconds.
 const IDLE_HEARTBEAT_MS: Ms = 2_500;
 
-/// Sends heartbeats and reads those of others, neither waiting for the other: a heartbeat that a slow store leaves
-/// unanswered takes seconds, and a node that hears nothing meanwhile claims no pool (a pool that was given up beside a
-/// store 46 times as slow stood without an owner for 1.5 s after all knew of it).
+/// Sends heartbeats and reads those of other nodes, concurrently: a heartbeat that a slow store leaves unanswered takes
+/// seconds, and a node that receives no heartbeats meanwhile claims no pool. With a store slowed down 46 times, a
+/// released pool had no owner for 1.5 s after all nodes knew of its release.
 pub async fn run(node: Arc<Node>) {
     tokio::join!(send(&node), hear(&node), hear_aside(&node));
 }
 
-/// Reads the heartbeats of others.
+/// Follows the heartbeats of other nodes.
 async fn hear(node: &Node) {
     let mut tail = Tail::new(TOPIC, HEARTBEATS);
     loop {
-        if let Ok(news) = tail.read(&node.store, Duration::ZERO).await {
-            // Of all calls this is the most regular one: its silence tells of the store's.
+        if let Ok(update) = tail.read(&node.store, Duration::ZERO).await {
+            // This is the most regular of all calls, so its lack of answers shows an unresponsive store.
             node.standing.note(true);
-            take_beats(node, news);
+            take_beats(node, update);
         }
         tokio::time::sleep(HEARTBEAT_EVERY).await;
     }
 }
 
-/// Reads the heartbeats that the first partition may not have taken, while an owner has not been heard for a while.
+/// Reads the fallback partition of heartbeats while no heartbeat of some owner has arrived for a while.
 async fn hear_aside(node: &Node) {
-    let mut aside = Tail::new(TOPIC, SPARE_HEARTBEATS);
+    let mut fallback = Tail::new(TOPIC, SPARE_HEARTBEATS);
     loop {
         if lock(&node.ownership).has_quiet_owner(steady_ms()) {
-            listen_aside(node, &mut aside).await;
+            listen_aside(node, &mut fallback).await;
         }
         tokio::time::sleep(HEARTBEAT_EVERY).await;
     }
 }
 
-async fn listen_aside(node: &Node, aside: &mut Tail) {
-    match aside.read(&node.store, Duration::ZERO).await {
-        Ok(news) => {
+async fn listen_aside(node: &Node, fallback: &mut Tail) {
+    match fallback.read(&node.store, Duration::ZERO).await {
+        Ok(update) => {
             let now = steady_ms();
             let mut ownership = lock(&node.ownership);
-            for_each_beat(news, |name, beat| ownership.heard_aside(name, beat, now));
+            for_each_beat(update, |name, heartbeat| ownership.heard_aside(name, heartbeat, now));
         }
         Err(e) => {
             log::info!("heartbeat step=not-read part={SPARE_HEARTBEATS} error=\"{e}\"");
@@ -75,18 +75,18 @@
 }
 
 async fn send(node: &Node) {
-    let mut lanes = [HEARTBEATS, SPARE_HEARTBEATS];
+    let mut parts = [HEARTBEATS, SPARE_HEARTBEATS];
     let mut sequence = 0;
     loop {
         let sent_at = steady_ms();
         sequence += 1;
         if sequence % FIRST_AGAIN_EVERY == 0 {
-            lanes = [HEARTBEATS, SPARE_HEARTBEATS];
+            parts = [HEARTBEATS, SPARE_HEARTBEATS];
         }
-        for i in 0..lanes.len() {
-            if send_beat(node, lanes[i], sequence).await {
-                // The one that took it is tried first next time.
-                lanes.swap(0, i);
+        for i in 0..parts.len() {
+            if send_beat(node, parts[i], sequence).await {
+                // The partition that accepted the heartbeat is tried first next time.
+                parts.swap(0, i);
                 break;
             }
         }
@@ -94,19 +94,19 @@
     }
 }
 
-/// Sends one heartbeat and returns whether the store took it.
+/// Sends one heartbeat and returns whether the store accepted it.
 async fn send_beat(node: &Node, part: u32, sequence: u64) -> bool {
     let sent_at = steady_ms();
     let leaving = *node.stopping.borrow();
     let relay = node.settings.relay_listen;
     let speed = node.speed;
-    let beat = Heartbeat { life: node.me.life, sequence, leaving, relay, speed };
+    let heartbeat = Heartbeat { life: node.me.life, sequence, leaving, relay, speed };
     let key = format!("{MEMBER_PREFIX}{}", node.me.name);
-    let record = KeyedRecord::new(key, to_json(&beat));
+    let record = KeyedRecord::new(key, to_json(&heartbeat));
     match node.store.append(TOPIC, part, Guard::Always, &[record]).await {
         Ok(Appended::Done { .. }) => {
             node.standing.note(true);
-            // One that owns nothing, by what it knows, needs no right yet.
+            // A node that owns nothing, as far as it knows, may renew its lease without knowing all claims.
             let owns_nothing = !lock(&node.ownership).owns_any();
             if !leaving && (node.lease_valid() || owns_nothing || claims_are_known(node).await) {
                 node.renew_lease(sent_at);
@@ -122,14 +122,14 @@
     false
 }
 
-/// Returns whether this node knows all claims that there are now. After a time without the right to act, another node may have taken
-/// what it owned: a heartbeat alone does not give that right back.
+/// Returns whether this node has applied all current claims. While its lease had ended, another node may have claimed
+/// what this one owned, so a heartbeat alone does not renew the lease.
 async fn claims_are_known(node: &Node) -> bool {
     for _ in 0..CLAIMS_TRIES {
         let Some(end) = node.claims_end.get() else { return false };
         match node.store.read(TOPIC, CLAIMS, end, Duration::ZERO).await {
             Ok(batch) if batch.records.is_empty() => return true,
-            // They are taken in by whoever follows the claims.
+            // The task that follows the claims applies them.
             Ok(_) => tokio::time::sleep(CLAIMS_PAUSE).await,
             Err(e) => {
                 log::info!("owner step=claims-not-known error=\"{e:?}\"");
@@ -141,8 +141,8 @@
     false
 }
 
-/// Waits until the next heartbeat is due. A node that owns nothing sends few: heartbeats share one
-/// partition, which takes one after the other.
+/// Waits until the next heartbeat is due. A node that owns nothing sends few: all heartbeats share one
+/// partition, which appends one at a time.
 async fn until_next_beat(node: &Node, sent_at: Ms) {
     loop {
         tokio::time::sleep(HEARTBEAT_EVERY).await;
@@ -153,28 +153,28 @@
     }
 }
 
-fn take_beats(node: &Node, news: News) {
+fn take_beats(node: &Node, update: News) {
     let now = steady_ms();
     let mut ownership = lock(&node.ownership);
     if ownership.listen(now) {
         log::info!("heartbeat step=listening-again");
     }
-    let any = !news.is_empty();
-    for_each_beat(news, |name, beat| ownership.heard(name, beat, now));
+    let any = !update.is_empty();
+    for_each_beat(update, |name, heartbeat| ownership.heard(name, heartbeat, now));
     if any {
         node.store.set_peers(ownership.relays(now));
     }
 }
 
-fn for_each_beat(news: News, mut apply: impl FnMut(&str, &Heartbeat)) {
-    let records = match news {
+fn for_each_beat(update: News, mut apply: impl FnMut(&str, &Heartbeat)) {
+    let records = match update {
         News::Reloaded(records) | News::Records(records) => records,
     };
     for Stored { record, offset } in records {
         let Some(name) = record.key.strip_prefix(MEMBER_PREFIX) else { continue };
         let Some(value) = record.value() else { continue };
         match serde_json::from_slice::<Heartbeat>(value) {
-            Ok(beat) => apply(name, &beat),
+            Ok(heartbeat) => apply(name, &heartbeat),
             Err(e) => log::error!("heartbeat step=unreadable offset={offset} error=\"{e}\""),
         }
     }
--- a/crates/scheduler/src/control/mod.rs
+++ b/crates/scheduler/src/control/mod.rs
@@ -1,8 +1,8 @@
-//! Being a member, owning pools: heartbeats, claims, and starting and stopping owners.
+//! Membership and ownership: heartbeats, claims, and starting and stopping the owners on this node.
 
-mod beat;
 mod claims_end;
-mod lanes;
+mod heartbeat;
+mod overflow;
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -22,36 +22,36 @@
 use crate::{caps, fleet_owner, owner};
 
 pub use claims_end::ClaimsEnd;
-use lanes::LANES_PREFIX;
-pub use lanes::announce;
+use overflow::LANES_PREFIX;
+pub use overflow::announce;
 
 /// The topic of claims and heartbeats.
 pub const TOPIC: &str = "control";
-/// Its partition of claims.
+/// The partition of claims.
 pub const CLAIMS: u32 = 0;
-/// What the keys of claims start with.
+/// The prefix of the keys of claims.
 pub const OWNER_PREFIX: &str = "owner/";
-/// How often a node looks for pools without an owner.
+/// How often a node checks for pools without an owner.
 const CLAIM_EVERY: Duration = Duration::from_millis(100);
 
-/// Owners that run on this node, by pool, with their tokens.
+/// The owners that run on this node, by pool, with their tokens.
 type Running = HashMap<Arc<str>, (u64, AbortHandle)>;
 
-/// Takes part in ownership until the task is dropped.
+/// Sends heartbeats, and follows and makes claims, until the task is dropped.
 pub async fn run(node: Arc<Node>) {
     let follow_claims = follow_claims(node.clone());
     let follow_fleet = fleet_owner::follow_record(node.clone());
     let claim = claim(node.clone());
     let follow_lent = caps::follow_lent(node.clone());
-    tokio::join!(follow_claims, follow_fleet, follow_lent, beat::run(node.clone()), claim);
+    tokio::join!(follow_claims, follow_fleet, follow_lent, heartbeat::run(node.clone()), claim);
 }
 
 async fn follow_claims(node: Arc<Node>) {
     let cx = node.clone();
-    follow(&node, Tail::new(TOPIC, CLAIMS), Pace::AtOnce, move |news, tail| {
-        let records = match news {
+    follow(&node, Tail::new(TOPIC, CLAIMS), Pace::AtOnce, move |update, tail| {
+        let records = match update {
             News::Reloaded(records) => {
-                // At once: whoever claims a pool in between must not miss what is told of it.
+                // Replace all at once, so that a claim made in between misses no announcement.
                 lock(&cx.ownership).replace_further_lanes(lanes_of(&records));
                 records
             }
@@ -74,10 +74,10 @@
     .await;
 }
 
-/// Returns the pools of which records tell that their progress may stand in further partitions.
+/// Returns the pools whose records announce that their progress may be in overflow partitions.
 fn lanes_of(records: &[Stored]) -> HashSet<Arc<str>> {
-    let told = records.iter().filter(|stored| stored.record.value().is_some());
-    told.filter_map(|stored| stored.record.key.strip_prefix(LANES_PREFIX)).map(Arc::from).collect()
+    let open = records.iter().filter(|stored| stored.record.value().is_some());
+    open.filter_map(|stored| stored.record.key.strip_prefix(LANES_PREFIX)).map(Arc::from).collect()
 }
 
 fn take_claim(node: &Node, stored: &Stored) {
@@ -103,7 +103,7 @@
     serde_json::to_vec(value).unwrap_or_default()
 }
 
-/// Claims pools without an owner, and keeps the owners on this node in step with the claims.
+/// Claims pools without an owner, and starts and stops the owners on this node as the claims require.
 async fn claim(node: Arc<Node>) {
     let mut running = Running::new();
     let mut stopping = node.stopping.subscribe();
@@ -146,7 +146,7 @@
             node.renew_lease(sent_at);
             lock(&node.ownership).claimed(pool, claim, offset, steady_ms());
         }
-        // Another node was first, or the tail will tell.
+        // Another node claimed the pool first, or the claim will be read when the partition is followed.
         Ok(other) => log::debug!("owner pool={pool} step=not-claimed answer={other:?}"),
         Err(e) => log::debug!("owner pool={pool} step=claim-failed error=\"{e}\""),
     }
@@ -162,7 +162,7 @@
     node.owning.set(owning);
 }
 
-/// Starts or ends the owner of a pool, or of what is no pool if there is no log.
+/// Starts or stops the owner of a pool, or of the fleet or the caps, which have no log.
 fn keep_in_step(
     node: &Arc<Node>,
     running: &mut Running,
@@ -170,7 +170,8 @@
     log: Option<&Arc<PoolLog>>,
 ) {
     if let Some((token, _)) = running.get(shard).filter(|(_, task)| task.is_finished()) {
-        // Begun again under its token, it would number its records anew, and orders of before would not be barred.
+        // Restarted under the same token, the owner would number its records from the start again, and earlier orders
+        // would not be fenced.
         lock(&node.ownership).owner_ended(shard, *token, steady_ms());
     }
     let token = lock(&node.ownership).my_token(shard);
@@ -193,7 +194,7 @@
     running.insert(shard.clone(), (token, task.abort_handle()));
 }
 
-/// Ends all owners and gives their pools up, so that others take them at once.
+/// Stops all owners and releases their pools, so that other nodes can claim them immediately.
 async fn release_all(node: &Arc<Node>, running: Running) {
     node.end_lease();
     let mut records = Vec::new();
@@ -208,15 +209,15 @@
     }
     let fleet = format!("{OWNER_PREFIX}{FLEET}");
     let (fleet, pools): (Vec<_>, Vec<_>) = records.into_iter().partition(|r| r.key == fleet);
-    // Orders to the machine service that are under way are answered by then.
-    let give_up_fleet = async {
+    // Orders to the machine service that are in flight are answered by then.
+    let release_fleet = async {
         tokio::time::sleep(LAST_ORDERS).await;
         release(node, &fleet).await;
     };
-    tokio::join!(release(node, &pools), give_up_fleet);
+    tokio::join!(release(node, &pools), release_fleet);
 }
 
-/// Tells that this node owns some things no more.
+/// Writes records that release what this node owns.
 async fn release(node: &Node, records: &[KeyedRecord]) {
     if records.is_empty() {
         return;
@@ -230,8 +231,8 @@
     }
 }
 
-/// How long orders that are under way when an owner ends are waited for: the machine service
-/// answers within some 20 ms.
+/// How long to wait for orders that are in flight when the owner of the fleet stops: the machine
+/// service answers within about 20 ms.
 const LAST_ORDERS: Duration = Duration::from_millis(150);
-/// How often giving pools up is tried; others take them after the lease anyway.
+/// How often the release of pools is tried; other nodes claim them after the lease ends anyway.
 const RELEASE_TRIES: u32 = 10;
--- a/crates/scheduler/src/fleet_owner/mod.rs
+++ b/crates/scheduler/src/fleet_owner/mod.rs
@@ -1,4 +1,4 @@
-//! Owning the fleet: waves of maintenance and moves between pools.
+//! The owner of the fleet: runs maintenance waves and moves VMs between pools.
 
 mod records;
 mod rows;
@@ -26,19 +26,19 @@
 pub use records::follow_record;
 pub use rows::take as take_row;
 
-/// The name under which the fleet is owned, beside the pools' names.
+/// The name under which nodes claim the fleet; no pool has this name.
 pub const FLEET: &str = "#fleet";
 /// The partition of the fleet's record.
 pub const RECORD: u32 = 2;
 /// The partition of the pools' reports.
 pub const REPORTS: u32 = 3;
-/// What the keys of reports start with.
+/// The prefix of the keys of reports.
 pub const POOL_PREFIX: &str = "pool/";
-/// How often the schedule is looked at.
+/// The longest time between two steps of the schedule.
 const TICK: Duration = Duration::from_millis(100);
-/// How often the VMs are read while some are worked on, in milliseconds.
+/// How often the VMs are listed while work on some is in progress, in milliseconds.
 const LIST_BUSY_MS: Ms = 400;
-/// How often the VMs are read otherwise, in milliseconds.
+/// How often the VMs are listed otherwise, in milliseconds.
 const LIST_IDLE_MS: Ms = 3_000;
 /// Returns the key of a pool's report.
 pub fn pool_key(pool: &str) -> String {
@@ -64,7 +64,7 @@
     listing: bool,
 }
 
-/// Owns the fleet until another node does, or the task is aborted.
+/// Owns the fleet until another node takes it over or the task is aborted.
 pub async fn run(node: Arc<Node>, token: u64) {
     let Some(addr) = node.settings.machine_service else { return };
     let Ok(journal) = Journal::open(&node, TOPIC, &[RECORD], token).await else {
@@ -84,7 +84,7 @@
     );
     let mut owner = FleetOwner {
         fleet: Fleet::with_policy(written.clone(), hold_off, node.settings.policy),
-        // What stands as one record is written in rows with the first change.
+        // A record in the old format is rewritten as rows with the first change.
         drops_whole: read.is_whole,
         client: Arc::new(MachineClient::new(addr)),
         node: node.clone(),
@@ -110,7 +110,7 @@
             }
         }
     };
-    // Both end with this task.
+    // Both futures are dropped with this task.
     tokio::select! {
         () = follow_reports(node.clone(), tx) => (),
         () = work => (),
@@ -145,16 +145,16 @@
                     order.purpose,
                 );
                 self.fleet.order_result(&order.vm, outcome, now);
-                // What has come of it shows in the list.
+                // List the VMs again soon, as the list shows the result of the order.
                 self.listed_at = 0;
             }
-            Event::Vms(asked_at, result) => {
+            Event::Vms(requested_at, result) => {
                 self.listing = false;
                 match result {
                     Ok(machines) => {
                         let table = self.node.vms.borrow().clone();
                         let vms = machines.into_iter().map(|m| fleet_vm(m, &table)).collect();
-                        self.fleet.set_vms(vms, asked_at);
+                        self.fleet.set_vms(vms, requested_at);
                     }
                     Err(e) => log::debug!("fleet step=list-failed error=\"{e}\""),
                 }
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Asks for the VMs if it is time to.
+    /// Requests the list of VMs if it is due.
     fn list_vms(&mut self) {
         let every = if self.fleet.is_busy() { LIST_BUSY_MS } else { LIST_IDLE_MS };
         if self.listing || steady_ms().saturating_sub(self.listed_at) < every {
@@ -170,9 +170,9 @@
         }
         self.listing = true;
         self.listed_at = steady_ms();
-        let (client, tx, asked_at) = (self.client.clone(), self.tx.clone(), steady_ms());
+        let (client, tx, requested_at) = (self.client.clone(), self.tx.clone(), steady_ms());
         tokio::spawn(async move {
-            let _ = tx.send(Event::Vms(asked_at, client.list().await));
+            let _ = tx.send(Event::Vms(requested_at, client.list().await));
         });
     }
 
@@ -196,18 +196,18 @@
         Ok(())
     }
 
-    /// Writes the rows in which the record differs from what stands in the store, in as many appends as they need. Orders
-    /// go out after the last of them.
+    /// Writes the rows that differ from the record in the store, in as many appends as needed. Orders are sent after the
+    /// last append.
     async fn write_changes(&mut self, now: &FleetRecord) -> Result<(), Fenced> {
         let mut records: Vec<KeyedRecord> =
             now.changes_since(&self.written).iter().map(rows::to_record).collect();
         if std::mem::take(&mut self.drops_whole) {
             records.push(rows::drop_whole());
         }
-        let most = self.node.settings.max_append_bytes;
+        let max_bytes = self.node.settings.max_append_bytes;
         let mut rest = records.as_slice();
         while !rest.is_empty() {
-            let (batch, later) = rest.split_at(fitting(rest, most));
+            let (batch, later) = rest.split_at(fitting(rest, max_bytes));
             self.journal.append(&self.node, batch).await?;
             rest = later;
         }
@@ -225,24 +225,24 @@
         }
     }
 
-    /// Tells the operator how far a wave is.
+    /// Writes the state of a wave for the operator.
     async fn tell(&mut self, wave: u64, state: WaveState) {
         let (key, value) = encode_wave_status(wave, state);
         let record = KeyedRecord::new(key, value);
         match self.node.store.append(STATUS_TOPIC, 0, Guard::Always, &[record]).await {
             Ok(_) => {
-                log::info!("wave wave={wave} step=told state={state:?}");
+                log::info!("wave wave={wave} step=reported state={state:?}");
                 if state == WaveState::Completed {
                     self.fleet.completed(wave);
                 }
             }
-            Err(e) => log::warn!("wave wave={wave} step=not-told state={state:?} error=\"{e}\""),
+            Err(e) => log::warn!("wave wave={wave} step=unreported state={state:?} error=\"{e}\""),
         }
     }
 
     fn log_changes(&self, now: &FleetRecord) {
-        let is_news = |work: &&VmWork| self.written.work_on(&work.vm) != Some(*work);
-        for work in now.work.iter().filter(is_news) {
+        let has_changed = |work: &&VmWork| self.written.work_on(&work.vm) != Some(*work);
+        for work in now.work.iter().filter(has_changed) {
             log::info!(
                 "fleet step=work vm={} purpose={:?} stage={:?}",
                 work.vm,
@@ -280,12 +280,12 @@
     }
 }
 
-/// Returns how many records from the first on fit into an append, one at least.
-fn fitting(records: &[KeyedRecord], most: usize) -> usize {
+/// Returns how many of the first records fit into one append, at least one.
+fn fitting(records: &[KeyedRecord], max_bytes: usize) -> usize {
     let mut size = 0;
     let fits = |record: &&KeyedRecord| {
         size += record.framed_len();
-        size <= most
+        size <= max_bytes
     };
     records.iter().take_while(fits).count().max(1)
 }
@@ -302,8 +302,8 @@
 }
 
 fn fleet_vm(machine: Machine, table: &VmTable) -> FleetVm {
-    // The machine service tells IDs only; of one that is not listed yet the life is not known.
-    let life = |id: Arc<str>| table.get(&id).map_or(id, |facts| facts.id.to_string().into());
+    // The machine service reports only IDs; the incarnation of a VM that is not listed yet is unknown.
+    let incarnation = |id: Arc<str>| table.get(&id).map_or(id, |facts| facts.id.to_string().into());
     let state = match machine.state {
         MachineState::Up => VmState::Up,
         MachineState::Moving | MachineState::Upkeep => VmState::Away,
@@ -315,6 +315,6 @@
         state,
         hall: machine.hall,
         rack: machine.rack,
-        incarnation: machine.incarnation.map(life),
+        incarnation: machine.incarnation.map(incarnation),
     }
 }
--- a/crates/scheduler/src/fleet_owner/records.rs
+++ b/crates/scheduler/src/fleet_owner/records.rs
@@ -1,4 +1,4 @@
-//! Reading the fleet's record and the pools' reports.
+//! Reads the fleet's record and the pools' reports.
 
 use std::sync::Arc;
 
@@ -14,58 +14,58 @@
 use crate::locks::lock;
 use crate::node::Node;
 
-/// For how long a predecessor that did not give the fleet up can have given no order, at the least, in
-/// milliseconds: it is replaced that much after its right to act is over, or after its restart.
+/// The shortest time for which a predecessor that did not release the fleet has sent no order, in
+/// milliseconds: another node replaces it at least this long after its lease ended or it restarted.
 const SILENT_SINCE_MS: Ms = 400;
-/// Added to the least time between orders of different nodes, in milliseconds.
+/// Margin added to the shortest time between orders of different nodes, in milliseconds.
 const GAP_MARGIN_MS: Ms = 300;
 
-/// Follows the fleet's record, so that pools on this node know which VMs to empty.
+/// Follows the fleet's record, which names the VMs that the owners of pools on this node have to empty.
 pub async fn follow_record(node: Arc<Node>) {
-    let apply = |news| {
-        let (mut fleet, records) = match news {
+    let apply = |update| {
+        let (mut fleet, records) = match update {
             News::Reloaded(records) => (FleetRecord::default(), records),
             News::Records(records) if records.is_empty() => return,
             News::Records(records) => (FleetRecord::clone(&node.fleet.borrow()), records),
         };
-        // What cannot be read is told; the rest holds.
+        // Unreadable rows are logged, and the others apply.
         let _ = take_all(&mut fleet, &records);
         node.fleet.send_replace(Arc::new(fleet));
     };
-    let forget = || {
+    let clear = || {
         node.fleet.send_replace(Arc::default());
     };
-    follow_while_owning(&node, (TOPIC, RECORD), Pace::AtOnce, apply, forget).await;
+    follow_while_owning(&node, (TOPIC, RECORD), Pace::AtOnce, apply, clear).await;
 }
 
-/// Returns until when the predecessor's orders are to be kept a distance from.
+/// Returns until when this node has to wait because orders of its predecessor may be in flight.
 pub(super) fn hold_off(node: &Node, record: Option<&FleetRecord>) -> HoldOff {
     let gap = u64::try_from(node.settings.machine_order_gap.0.as_millis()).unwrap_or(Ms::MAX);
     let gap = gap + GAP_MARGIN_MS;
-    // Without a record nobody has given an order yet; this node's own orders need no distance unless an owner here ended by
-    // itself, whose orders may be under way, and a predecessor that gave the fleet up had its last order answered before.
+    // Without a record no order was sent yet. This node's own orders need no wait, unless an owner here ended by itself and
+    // its orders may be in flight. A predecessor that released the fleet had its last order answered before.
     let ended = lock(&node.ownership).has_ended(FLEET);
-    let other = record.is_some_and(|record| record.owner != node.me.name || ended);
-    if !other || lock(&node.ownership).was_given_up(FLEET) {
+    let other_writer = record.is_some_and(|record| record.owner != node.me.name || ended);
+    if !other_writer || lock(&node.ownership).was_given_up(FLEET) {
         return HoldOff { until: 0, gap };
     }
     HoldOff { until: steady_ms() + gap.saturating_sub(SILENT_SINCE_MS), gap }
 }
 
-/// The record as a new owner finds it.
+/// The record that a new owner finds in the store.
 #[derive(Default)]
 pub(super) struct FoundRecord {
     pub record: FleetRecord,
-    /// An older program wrote it as one.
+    /// Whether an older version wrote it as a single record.
     pub is_whole: bool,
 }
 
-/// Takes rows in, what older programs wrote as one before all others; returns whether all could be read.
+/// Applies rows, after any single record of an older version; returns whether all could be read.
 fn take_all(fleet: &mut FleetRecord, records: &[Stored]) -> bool {
-    let (whole, by_row): (Vec<&Stored>, Vec<&Stored>) =
+    let (legacy, current): (Vec<&Stored>, Vec<&Stored>) =
         records.iter().partition(|stored| rows::is_whole(stored));
     let mut readable = true;
-    for stored in whole.into_iter().chain(by_row) {
+    for stored in legacy.into_iter().chain(current) {
         if let Err(e) = rows::take(fleet, stored) {
             log::error!("fleet step=unreadable offset={} error=\"{e}\"", stored.offset);
             readable = false;
@@ -74,7 +74,8 @@
     readable
 }
 
-/// Returns the record as it is now that nobody else can write it, if there is one; `None` for the outer if the task is to end.
+/// Reads the record after all other writers are fenced. Returns `Some(None)` if there is no record, and `None` if a row
+/// is unreadable and the task has to end.
 pub(super) async fn read_record(node: &Node) -> Option<Option<FoundRecord>> {
     loop {
         match node.store.newest(TOPIC, RECORD).await {
@@ -82,7 +83,7 @@
             Ok(newest) => {
                 let is_whole = newest.records.iter().any(rows::is_whole);
                 let mut found = FoundRecord { is_whole, ..FoundRecord::default() };
-                // Of a VM whose row cannot be read it is not known whether it was ordered of late.
+                // An unreadable row may hide a recent order for its VM.
                 return take_all(&mut found.record, &newest.records).then_some(Some(found));
             }
             Err(e) => {
@@ -95,8 +96,8 @@
 }
 
 pub(super) async fn follow_reports(node: Arc<Node>, tx: UnboundedSender<Event>) {
-    follow(&node, Tail::new(TOPIC, REPORTS), Pace::AtOnce, move |news, _| {
-        let records = match news {
+    follow(&node, Tail::new(TOPIC, REPORTS), Pace::AtOnce, move |update, _| {
+        let records = match update {
             News::Reloaded(records) | News::Records(records) => records,
         };
         for Stored { record, offset } in records {
--- a/crates/scheduler/src/fleet_owner/rows.rs
+++ b/crates/scheduler/src/fleet_owner/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the fleet's record as the store keeps them: a key and JSON, which operators read.
+//! Encodes the rows of the fleet's record for the store: a key and JSON that operators can read.
 
 use serde::{Deserialize, Serialize};
 use thistle_platform::{KeyedRecord, Stored};
@@ -7,13 +7,13 @@
 
 use crate::control::to_json;
 
-/// The key of what is told once.
+/// The key of the row with the fields that exist once in the record.
 const HEAD_KEY: &str = "head";
-/// What the keys of waves start with; those of a wave's VMs go on with `/VM`.
+/// The prefix of the keys of waves; the keys of a wave's VMs continue with `/VM`.
 const WAVE_PREFIX: &str = "wave/";
-/// What the keys of VMs start with.
+/// The prefix of the keys of VMs.
 const VM_PREFIX: &str = "vm/";
-/// The key under which older programs kept the whole record.
+/// The key under which older versions stored the whole record.
 const WHOLE_KEY: &str = "fleet";
 
 #[derive(Serialize, Deserialize)]
@@ -40,7 +40,7 @@
     ordered_lately: bool,
 }
 
-/// The whole record as older programs wrote it.
+/// The whole record in the format of older versions.
 #[derive(Deserialize)]
 struct WholeBody {
     owner: String,
@@ -107,17 +107,17 @@
     }
 }
 
-/// Makes the record that drops what older programs kept as one.
+/// Returns the record that drops the single record of older versions.
 pub fn drop_whole() -> KeyedRecord {
     KeyedRecord::dropping(WHOLE_KEY)
 }
 
-/// Returns whether a record is one that older programs kept as one.
+/// Returns whether a record is the single record of older versions.
 pub fn is_whole(stored: &Stored) -> bool {
     stored.record.key == WHOLE_KEY && stored.record.value().is_some()
 }
 
-/// Takes a row that was read into the record. Keys of other kinds are left to whoever wrote them.
+/// Applies a row to the record. Rows with unknown keys are ignored.
 pub fn take(fleet: &mut FleetRecord, stored: &Stored) -> Result<(), serde_json::Error> {
     let key = stored.record.key.as_str();
     let value = stored.record.value();
--- a/crates/scheduler/src/owner/advisor.rs
+++ b/crates/scheduler/src/owner/advisor.rs
@@ -1,4 +1,4 @@
-//! Asking the service that knows the policies of queues.
+//! Requests to the advice service, which knows the policies of queues.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,31 +11,31 @@
 use super::{Event, Tickets};
 use crate::node::Node;
 
-/// Asks one question after the other: the service handles one at a time of each node anyway.
+/// Sends advice requests one at a time, as the service handles only one request of a node at a time.
 pub(super) struct Advisor {
     tx: Option<UnboundedSender<Question>>,
 }
 
 impl Advisor {
-    /// Starts the task that asks, if there is such a service.
+    /// Starts the task that sends requests, if an advice service is configured.
     pub fn start(node: &Arc<Node>, events: UnboundedSender<Event>) -> Self {
         let Some(addr) = node.settings.advice else { return Self { tx: None } };
         let (tx, rx) = unbounded_channel();
-        // It ends when this side is dropped.
+        // The task ends when the sender is dropped.
         tokio::spawn(ask_all(AdviceClient::new(addr), rx, events));
         Self { tx: Some(tx) }
     }
 
-    /// Asks a question; the answer comes as an event.
-    pub fn ask(&self, question: Question) {
+    /// Queues a request; its answer arrives as an event.
+    pub fn ask(&self, request: Question) {
         match &self.tx {
             Some(tx) => {
-                // The task lives as long as this side.
-                let _ = tx.send(question);
+                // The task runs for as long as the sender exists.
+                let _ = tx.send(request);
             }
             None => log::error!(
                 "advice job={} step=no-service: set 'advice' in the settings",
-                question.step.job
+                request.step.job
             ),
         }
     }
@@ -46,20 +46,20 @@
     mut rx: UnboundedReceiver<Question>,
     events: UnboundedSender<Event>,
 ) {
-    while let Some(question) = rx.recv().await {
-        let step = question.step;
-        let answer = ask(&client, &question).await;
-        if events.send(Event::Advised(step, answer)).is_err() {
+    while let Some(request) = rx.recv().await {
+        let step = request.step;
+        let tickets = ask(&client, &request).await;
+        if events.send(Event::Advised(step, tickets)).is_err() {
             return;
         }
     }
 }
 
-async fn ask(client: &AdviceClient, question: &Question) -> Option<Tickets> {
+async fn ask(client: &AdviceClient, request: &Question) -> Option<Tickets> {
     counter!("thistle_advice_calls").increment(1);
-    let decides_in = question.policy.decides_in_ms(question.vms.len());
-    let step = (question.step.job, question.step.time, question.step.step);
-    match client.ask(step, &question.vms, Duration::from_millis(decides_in)).await {
+    let decides_in = request.policy.decides_in_ms(request.vms.len());
+    let step = (request.step.job, request.step.time, request.step.step);
+    match client.ask(step, &request.vms, Duration::from_millis(decides_in)).await {
         Ok(advice) => {
             let tickets = advice.tickets.into_iter().map(|t| (t.vm, t.text)).collect();
             Some((tickets, u64::try_from(advice.valid.as_millis()).unwrap_or(0)))
--- a/crates/scheduler/src/owner/lives.rs
+++ b/crates/scheduler/src/owner/incarnation_times.rs
@@ -1,4 +1,4 @@
-//! Which of several lives of a VM came later.
+//! The order in which incarnations of a VM started.
 
 use std::collections::HashMap;
 
@@ -6,7 +6,7 @@
 
 use crate::node::VmTable;
 
-/// When lives of VMs were first listed, by the count of listings that this owner has taken in.
+/// The number of the VM list in which each incarnation first appeared, counted from the first list that this owner read.
 #[derive(Debug, Default)]
 pub struct Lives {
     listings: u64,
@@ -14,7 +14,7 @@
 }
 
 impl Lives {
-    /// Takes in a listing. Those that it lacks are forgotten unless they are `known`: one may be listed again.
+    /// Records a VM list. Incarnations missing from it are removed unless they are `known`, as those may be listed again.
     pub fn take_in(&mut self, table: &VmTable, known: impl Fn(&VmLife) -> bool) {
         self.listings += 1;
         let listed = |vm: &VmLife| table.get(vm.id()).is_some_and(|facts| facts.id == *vm);
@@ -24,8 +24,8 @@
         self.first_listed.retain(|vm, _| listed(vm) || known(vm));
     }
 
-    /// Returns whether a life surely came after another one. Of two that do not tell when they started and were first listed
-    /// together that is not known.
+    /// Returns whether one incarnation is known to have started after another. The order is unknown if a start time is
+    /// missing and both were first listed together.
     pub fn is_later(&self, id: &VmLife, than: &VmLife) -> bool {
         if let (Some(later), Some(earlier)) = (id.born(), than.born()) {
             return later > earlier;
--- a/crates/scheduler/src/owner/link/hold.rs
+++ b/crates/scheduler/src/owner/link/hold.rs
@@ -1,4 +1,4 @@
-//! Renewing the lease of a VM and hearing what ends there.
+//! Renews the lease of a VM and receives the ends of its runs.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -14,45 +14,46 @@
 use crate::clock::steady_ms;
 use crate::locks::lock;
 
-/// How long the acknowledgement of ends is waited for before leases are renewed without it.
+/// How long to wait for the acknowledgement of ends before leases are renewed without it.
 const ACK_WAIT: Duration = Duration::from_millis(500);
-/// For how long after an answer the VM is surely in the life that gave it, in milliseconds: starting again takes longer.
+/// How long after an answer the VM is certainly still the incarnation that gave it, in milliseconds: a restart takes longer.
 const IN_ITS_LIFE_MS: Ms = 50;
-/// Pause between renewals while ends cannot be acknowledged: the VM answers at once then.
+/// Pause between renewals while ends cannot be acknowledged, as the VM then answers immediately.
 const UNACKED_PAUSE: Duration = Duration::from_millis(500);
 
-/// Renews the lease and takes in what the VM says, until the link is closed.
+/// Renews the lease and forwards the VM's reports to the owner, until the link is closed.
 pub(super) async fn run(link: Arc<Shared>) {
     let mut reachable = true;
-    let mut lost = false;
+    let mut loss_reported = false;
     let mut wait = Duration::ZERO;
     let mut acked = link.acked.subscribe();
-    // When the last call was answered by this life of the VM.
+    // When this incarnation last answered a call.
     let mut answered_at = None;
     loop {
         if !link.may_send() {
             tokio::time::sleep(NO_LEASE).await;
             continue;
         }
-        let asked_at = steady_ms();
-        let deadline_ms = lock(&link.lease).give(asked_at);
+        let sent_at = steady_ms();
+        let deadline_ms = lock(&link.lease).give(sent_at);
         let acknowledged = *acked.borrow_and_update();
-        // A VM that has not answered just now may have started again: its next life counts ends from 1, and is to forget none of them. It
-        // is asked first, and what it has listed is acknowledged right after that.
-        let in_its_life = answered_at.is_some_and(|at| asked_at <= at + IN_ITS_LIFE_MS);
-        let last_seen = if in_its_life { acknowledged } else { 0 };
+        // A VM without a recent answer may have restarted, and its next incarnation numbers ends from 1 and must not drop any
+        // of them. This call therefore acknowledges nothing; the next one, sent right after the answer, acknowledges the ends.
+        let same_incarnation = answered_at.is_some_and(|at| sent_at <= at + IN_ITS_LIFE_MS);
+        let last_seen = if same_incarnation { acknowledged } else { 0 };
         if last_seen < acknowledged {
             wait = Duration::ZERO;
         }
-        let ask = Hold { token: link.token.on_the_wire, last_seen, deadline_ms, wait };
+        let request = Hold { token: link.token.on_the_wire, last_seen, deadline_ms, wait };
         let result = tokio::select! {
-            result = link.client.hold(ask, asked_at) => result,
+            result = link.client.hold(request, sent_at) => result,
             () = link.ask.notified() => {
                 (answered_at, wait) = (None, Duration::ZERO);
                 continue;
             }
         };
-        // One question is asked after the other: a clock that is behind tells of another life, also of a VM that does not tell its start.
+        // Calls are made one after the other, so a clock that went back shows another incarnation, also of a VM that does not
+        // report its start time.
         let result = match result {
             Ok(held) if lock(&link.lease).has_begun_anew(held.clock_ms) => {
                 Err(OrderError::StartedAgain(link.vm.clone()))
@@ -67,12 +68,12 @@
                 if !reachable {
                     link.tell(Event::Reachable(link.vm.clone(), true));
                 }
-                // The first answer brings the clock; leases can be given from the next call on.
+                // The first answer contains the VM's clock; leases can be given from the next call on.
                 wait = match deadline_ms {
                     None => Duration::ZERO,
                     Some(_) => Duration::from_millis(link.wait_ms.load(Ordering::Relaxed)),
                 };
-                (reachable, lost) = (true, false);
+                (reachable, loss_reported) = (true, false);
                 link.pending_starts.note_listed(&held.report);
                 let last = held.report.ended.iter().map(|e| e.sequence).max();
                 link.tell(Event::Report(link.vm.clone(), held.report));
@@ -93,7 +94,7 @@
                 return;
             }
             Err(e) if reachable && !wait.is_zero() => {
-                // One answer may have been lost: whether the VM answers at all is soon known.
+                // One answer may have been lost: ask again without waiting to find out whether the VM still answers.
                 log::info!("vm step=asked-again vm={} error=\"{e}\"", link.vm);
                 lock(&link.lease).set_silent();
                 wait = Duration::ZERO;
@@ -107,8 +108,8 @@
                 lock(&link.lease).set_silent();
                 wait = Duration::ZERO;
                 let over = lock(&link.lease).is_over(steady_ms());
-                if over && !lost {
-                    lost = true;
+                if over && !loss_reported {
+                    loss_reported = true;
                     link.lost(VmLoss::LeaseOver);
                 }
                 tokio::time::sleep(RETRY).await;
--- a/crates/scheduler/src/owner/link/mod.rs
+++ b/crates/scheduler/src/owner/link/mod.rs
@@ -1,4 +1,4 @@
-//! The link to one life of a VM: renewing its lease, hearing what ends, giving orders.
+//! The link to one incarnation of a VM: renews its lease, receives the ends of its runs and sends orders.
 
 mod hold;
 mod orders;
@@ -21,22 +21,22 @@
 use crate::node::Node;
 use orders::PendingStarts;
 
-/// Pause before a VM that does not answer is asked again.
+/// Pause before a VM that does not answer is called again.
 const RETRY: Duration = Duration::from_millis(200);
 /// Pause while this node may not act as owner.
 const NO_LEASE: Duration = Duration::from_millis(50);
-/// How long a call waits for an end where none is expected. Longer costs fewer calls; the lease is
-/// renewed at each.
+/// How long a call waits for the end of a run where none is expected. A longer wait needs fewer calls; each
+/// call renews the lease.
 const WAIT: Duration = Duration::from_millis(1_500);
-/// How long a call waits where tasks run that end by themselves. A call that is left unanswered
-/// makes the owner deaf to their ends for so long: at 1.5 s, ends of tasks of a second were heard
-/// up to 2.1 s late; on three days on which VMs leave calls unanswered, 0.53 in place of 0.49 was
-/// earned of what is owed, less costs (means of four plays).
+/// How long a call waits where tasks run that end by themselves. While a call is left unanswered the
+/// owner cannot receive their ends: at 1.5 s, ends of tasks of one second arrived up to 2.1 s late. On three days on
+/// which VMs leave calls unanswered, this value earned 0.53 of what is due, less costs, instead of 0.49 (means of four
+/// runs).
 const WAIT_FOR_ENDS: Duration = Duration::from_millis(500);
-/// How long a call waits where serving and filling tasks run side by side, whose figures are of the
-/// last half second.
+/// How long a call waits where serving and filling tasks run on the same VM, whose usage figures
+/// cover the last half second.
 const WAIT_CLOSELY: Duration = Duration::from_millis(400);
-/// Orders of one kind to one VM that are under way at once.
+/// The most orders of one kind that are in flight to one VM.
 const ORDERS_AT_ONCE: usize = 2;
 
 struct Shared {
@@ -49,7 +49,7 @@
     lease: Mutex<TaskLease>,
     acked: watch::Sender<u64>,
     closed: AtomicBool,
-    /// The life of the VM is over, or another node owns the pool.
+    /// Whether this incarnation of the VM has ended or another node owns the pool.
     over: AtomicBool,
     /// How long a call may wait for an end, in milliseconds.
     wait_ms: AtomicU64,
@@ -58,16 +58,16 @@
     pending_starts: PendingStarts,
     starts: Semaphore,
     stops: Semaphore,
-    /// Wakes a question that waits for an end.
+    /// Interrupts a call that waits for the end of a run.
     ask: Notify,
     tx: UnboundedSender<Event>,
 }
 
-/// The link to one life of a VM. Dropping it ends all that it does.
+/// The link to one incarnation of a VM. Dropping the link stops its tasks.
 pub struct Link {
     shared: Arc<Shared>,
     facts: Arc<VmFacts>,
-    /// The newest loss of the VM that the owner has taken in: what it orders now was decided after that one.
+    /// The newest loss of the VM that the owner has handled: its current orders were decided after that loss.
     taken_in: LossNumber,
     holding: AbortHandle,
 }
@@ -80,7 +80,7 @@
 }
 
 impl Link {
-    /// Opens the link; `losses` numbers all losses that the owner is told.
+    /// Opens the link; `losses` numbers all losses reported to the owner.
     pub fn open(
         node: &Arc<Node>,
         vm: &Arc<VmFacts>,
@@ -112,42 +112,42 @@
         Self { shared, facts: vm.clone(), taken_in: LossNumber::default(), holding }
     }
 
-    /// Returns the life of the VM.
+    /// Returns the incarnation of the VM.
     pub fn vm(&self) -> &VmLife {
         &self.shared.vm
     }
 
-    /// Returns what the VM was listed with as the link was opened.
+    /// Returns the facts with which the VM was listed when the link was opened.
     pub const fn facts(&self) -> &Arc<VmFacts> {
         &self.facts
     }
 
-    /// Returns whether nothing comes by it any more.
+    /// Returns whether the link has ended and delivers no further reports.
     pub fn is_over(&self) -> bool {
         self.shared.over.load(Ordering::Relaxed)
     }
 
-    /// Has the VM asked at once, as another life of it is listed.
+    /// Calls the VM immediately, as another incarnation of it is listed.
     pub fn ask_at_once(&self) {
         self.shared.ask.notify_one();
     }
 
-    /// Tells the owner that the VM is lost. Nothing that was decided before it takes that in goes out any more.
+    /// Reports to the owner that the VM is lost. Orders decided before the owner has handled the loss are no longer sent.
     pub fn lose(&self, loss: VmLoss) {
         self.shared.lost(loss);
     }
 
-    /// Tells the owner that the VM has started again as another life, as its entry shows.
-    pub fn end_with(&self, life: &VmLife) {
-        self.shared.restarted(life);
+    /// Reports to the owner that the VM has restarted as another incarnation, as its entry shows.
+    pub fn end_with(&self, next: &VmLife) {
+        self.shared.restarted(next);
     }
 
-    /// Takes in that the owner has given up what ran on the VM.
+    /// Records that the owner has abandoned the runs lost with the VM.
     pub fn take_in_loss(&mut self, loss: LossNumber) {
         self.taken_in = self.taken_in.max(loss);
     }
 
-    /// Lets the VM forget ends up to a number.
+    /// Acknowledges ends up to a sequence number, so that the VM may drop them.
     pub fn acknowledge(&self, sequence: u64) {
         self.shared.acked.send_if_modified(|acked| {
             let more = sequence > *acked;
@@ -156,7 +156,7 @@
         });
     }
 
-    /// Sets how often the VM is looked at beside when something ends.
+    /// Sets how often the VM is polled while no run ends.
     pub fn watch(&self, watch: Watch) {
         let wait = match watch {
             Watch::Figures => WAIT_CLOSELY,
@@ -166,7 +166,7 @@
         self.shared.wait_ms.store(millis(wait), Ordering::Relaxed);
     }
 
-    /// Gives a start order.
+    /// Sends a start order.
     pub fn start(&self, order: StartOrder) {
         let shared = self.shared.clone();
         shared.pending_starts.add(order.run);
@@ -180,7 +180,7 @@
         });
     }
 
-    /// Gives a stop order. A start of the same run that is still to be sent is not sent any more.
+    /// Sends a stop order and cancels a start of the same run that was not sent yet.
     pub fn stop(&self, run: RunId) {
         let shared = self.shared.clone();
         shared.pending_starts.call_off(run);
@@ -192,7 +192,7 @@
         });
     }
 
-    /// Sets the share of its full speed at which a run works.
+    /// Sets the share of full speed at which a run works, in percent.
     pub fn pace(&self, run: RunId, percent: u32) {
         let shared = self.shared.clone();
         tokio::spawn(async move {
@@ -208,7 +208,7 @@
 
 impl Shared {
     fn tell(&self, event: Event) {
-        // An owner that has ended needs no news.
+        // The owner may have ended, and then needs no event.
         let _ = self.tx.send(event);
     }
 
@@ -216,17 +216,17 @@
         self.closed.load(Ordering::Relaxed)
     }
 
-    /// Returns whether orders may go out: checked last before each.
+    /// Returns whether orders may be sent; checked right before each one.
     fn may_send(&self) -> bool {
         !self.is_closed() && self.node.may_act(&self.pool, self.token.claim)
     }
 
-    /// Returns whether the VM's hall takes no new work.
+    /// Returns whether the VM's hall accepts no new work.
     fn is_evacuated(&self) -> bool {
         !self.node.halls.borrow().takes_work(&self.hall)
     }
 
-    /// Waits until orders may go out; returns false when the link was closed.
+    /// Waits until orders may be sent; returns false once the link is closed.
     async fn until_may_send(&self) -> bool {
         while !self.is_closed() {
             if self.may_send() {
@@ -237,13 +237,13 @@
         false
     }
 
-    /// Returns whether an error ends all dealings with this life of the VM, and tells the owner so.
+    /// Returns whether an error ends the link to this incarnation, and if so reports the cause to the owner.
     fn is_over_with(&self, e: &OrderError) -> bool {
         match e {
-            // What comes to a link that was closed says nothing: a later one to the same VM has a higher token.
+            // An error on a closed link proves nothing: a later link to the same VM has a higher token.
             _ if self.is_closed() => return true,
             OrderError::Gone => self.lost(VmLoss::Replaced),
-            OrderError::StartedAgain(life) => self.restarted(life),
+            OrderError::StartedAgain(next) => self.restarted(next),
             OrderError::Fenced => self.tell(Event::Fenced(self.vm.clone())),
             OrderError::NotSent(_)
             | OrderError::Unanswered(_)
@@ -253,10 +253,10 @@
         true
     }
 
-    fn restarted(&self, life: &VmLife) {
+    fn restarted(&self, next: &VmLife) {
         let number = self.losses.next();
         self.newest_loss.note(number);
-        self.tell(Event::Restarted(self.vm.clone(), life.clone(), number));
+        self.tell(Event::Restarted(self.vm.clone(), next.clone(), number));
     }
 
     fn lost(&self, loss: VmLoss) {
@@ -267,6 +267,6 @@
 }
 
 const fn millis(duration: Duration) -> u64 {
-    // The waits above are far below 2^64 ms.
+    // All waits above are far below 2^64 ms.
     duration.as_millis() as u64
 }
--- a/crates/scheduler/src/owner/link/orders.rs
+++ b/crates/scheduler/src/owner/link/orders.rs
@@ -1,4 +1,4 @@
-//! Sending orders to a VM until it is known what came of them.
+//! Sends orders to a VM until their outcome is known.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -14,25 +14,25 @@
 use crate::clock::steady_ms;
 use crate::locks::lock;
 
-/// An order that failed sooner than this is sent again after a pause; one that waited for its answer
-/// has paused enough.
+/// An order that failed sooner than this is sent again after a pause; one that waited longer for
+/// its answer is sent again immediately.
 const FAILED_AT_ONCE: Duration = Duration::from_millis(50);
 
-/// A start that waited for longer than this until those before it had come to something is told in the log.
+/// A start is logged if it waited at least this long for earlier starts to finish.
 const LONG_WAIT: Duration = Duration::from_millis(200);
 
-/// What is known of a start of which no answer is known.
+/// The state of a start whose outcome is not known yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Pending {
-    /// Nothing.
+    /// Neither of the other two.
     Unknown,
-    /// It was called off.
+    /// The start was cancelled.
     CalledOff,
     /// The VM has listed the run.
     Listed,
 }
 
-/// Starts whose outcome is not known yet.
+/// The starts whose outcome is not known yet.
 #[derive(Debug, Default)]
 pub(super) struct PendingStarts(Mutex<HashMap<RunId, Pending>>);
 
@@ -45,14 +45,14 @@
         lock(&self.0).remove(&run);
     }
 
-    /// Takes in that a run was told to stop.
+    /// Cancels the start of a run that is to stop.
     pub fn call_off(&self, run: RunId) {
         if let Some(pending) = lock(&self.0).get_mut(&run) {
             *pending = Pending::CalledOff;
         }
     }
 
-    /// Takes in that a VM has listed runs.
+    /// Records the runs that a VM has listed.
     pub fn note_listed(&self, report: &VmReport) {
         let mut starts = lock(&self.0);
         if starts.is_empty() {
@@ -71,11 +71,12 @@
     }
 }
 
-/// Sends a start until its outcome is known or it is called off. Sending it again is harmless: the VM
-/// has a run once.
+/// Sends a start until its outcome is known or it is cancelled. Sending it again is harmless, as the
+/// VM starts a run only once.
 ///
-/// It may wait for the store, and for its turn, and its VM may be lost meanwhile: `taken_in` is the newest loss that the owner
-/// knew of as it decided. Sent after a later one, it would start a task that the owner starts elsewhere.
+/// A start may wait for the store and for earlier starts, and its VM may be lost meanwhile. `handled` is the newest loss
+/// that the owner had handled when it decided. Sent after a later loss, the start would run a task that the owner also
+/// starts elsewhere.
 pub(super) async fn start(
     link: &Shared,
     order: &StartOrder,
@@ -92,37 +93,37 @@
             link.vm
         );
     }
-    let mut may_be_there = false;
+    let mut may_have_arrived = false;
     let mut deadline_ms = None;
     loop {
         if !link.until_may_send().await {
-            log_dropped(link, order.run, may_be_there);
+            log_dropped(link, order.run, may_have_arrived);
             return None;
         }
-        // Sent again it gives no longer lease. The first time, a VM that has fallen silent gets none, and
-        // the order is not sent.
+        // A copy carries the deadline of the first send and does not extend the lease. If the VM is unresponsive at the
+        // first send, it gets no lease and the order is not sent.
         let Some(until) = deadline_ms.or_else(|| lock(&link.lease).give(steady_ms())) else {
             return Some(StartResult::NotTaken);
         };
         deadline_ms = Some(until);
-        // After the lease was given: one that was given after a loss would make up for it.
+        // Checked after the lease was given: a lease given after the loss would make the order valid again.
         if link.newest_loss.is_after(taken_in) {
-            log_dropped(link, order.run, may_be_there);
+            log_dropped(link, order.run, may_have_arrived);
             return None;
         }
         match link.pending_starts.get(order.run) {
             Pending::Unknown => (),
             Pending::CalledOff => {
-                // Beside a stop of the same run it could arrive first, and begin a task of a job that was
-                // cancelled before. What came of copies that were sent is known once the stop is answered.
+                // Sent in parallel with the stop of the same run, the start could arrive first and run a task of a cancelled
+                // job. The outcome of copies that were sent before is known once the stop is answered.
                 log::info!("start step=called-off run={} vm={}", order.run, link.vm);
-                return (!may_be_there).then_some(StartResult::NotTaken);
+                return (!may_have_arrived).then_some(StartResult::NotTaken);
             }
-            // Sent again it could begin a task that is done, in a next life of the VM.
+            // Another copy could start a finished task again in the VM's next incarnation.
             Pending::Listed => return Some(StartResult::StartedWithCopies),
         }
-        if may_be_there && lock(&link.lease).is_silent() {
-            // The lease of a copy that its next life takes would begin with that, and outlast what is waited for.
+        if may_have_arrived && lock(&link.lease).is_silent() {
+            // The next incarnation could accept a copy, whose lease would start then and end later than the owner expects.
             tokio::time::sleep(RETRY).await;
             continue;
         }
@@ -130,11 +131,11 @@
             tokio::time::sleep(RETRY).await;
             continue;
         }
-        let refused = if may_be_there { StartResult::Unclear } else { StartResult::NotTaken };
+        let refused = if may_have_arrived { StartResult::Unclear } else { StartResult::NotTaken };
         if link.is_evacuated() {
-            // A copy that was sent before may run; sent again it could begin the task long after the hall was evacuated.
+            // A copy that was sent before may run; another one could start the task long after the hall was evacuated.
             log::info!(
-                "start step=hall-evacuated run={} vm={} hall={} sent={may_be_there}",
+                "start step=hall-evacuated run={} vm={} hall={} sent={may_have_arrived}",
                 order.run,
                 link.vm,
                 link.hall
@@ -151,13 +152,17 @@
             ticket: order.ticket.as_deref(),
         };
         match link.client.start(start).await {
-            Ok(StartAnswer::Started) if may_be_there => {
+            Ok(StartAnswer::Started) if may_have_arrived => {
                 return Some(StartResult::StartedWithCopies);
             }
             Ok(StartAnswer::Started) => return Some(StartResult::Started),
-            Ok(StartAnswer::NoRoom) if !may_be_there => return Some(StartResult::NoRoom),
-            Err(OrderError::Unhealthy(_)) if !may_be_there => return Some(StartResult::Unhealthy),
-            Err(OrderError::NotSent(_)) if !may_be_there => return Some(StartResult::Unhealthy),
+            Ok(StartAnswer::NoRoom) if !may_have_arrived => return Some(StartResult::NoRoom),
+            Err(OrderError::Unhealthy(_)) if !may_have_arrived => {
+                return Some(StartResult::Unhealthy);
+            }
+            Err(OrderError::NotSent(_)) if !may_have_arrived => {
+                return Some(StartResult::Unhealthy);
+            }
             Ok(answer) => {
                 log::info!("start step=refused run={} vm={} answer={answer:?}", order.run, link.vm);
                 return Some(refused);
@@ -166,7 +171,7 @@
             Err(e) => {
                 log::info!("start step=no-answer run={} vm={} error=\"{e}\"", order.run, link.vm);
                 if matches!(e, OrderError::Unanswered(_) | OrderError::Malformed(_)) {
-                    may_be_there = true;
+                    may_have_arrived = true;
                     lock(&link.lease).note_unanswered_start(steady_ms());
                 }
             }
@@ -175,7 +180,7 @@
     }
 }
 
-/// Sends a stop until it is answered, or its VM is lost with all that runs there.
+/// Sends a stop until it is answered or its VM is lost.
 pub(super) async fn stop(link: &Shared, run: RunId, taken_in: LossNumber) -> Option<()> {
     let _permit = link.stops.acquire().await.ok()?;
     loop {
@@ -197,7 +202,7 @@
     log::info!("start step=dropped run={run} vm={} sent={sent} link_closed={closed}", link.vm);
 }
 
-/// Waits before an order that failed is sent again.
+/// Pauses before a failed order is sent again, if it failed immediately.
 async fn pause_after(sent_at: Instant) {
     if sent_at.elapsed() < FAILED_AT_ONCE {
         tokio::time::sleep(RETRY).await;
--- a/crates/scheduler/src/owner/losses.rs
+++ b/crates/scheduler/src/owner/losses.rs
@@ -1,17 +1,17 @@
-//! Numbers of losses of VMs, by which an order is known to have been decided before one.
+//! Numbers of VM losses, which show whether an order was decided before a loss.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The number of a loss: of two losses of VMs that one owner was told, the later one has the higher number.
+/// The number of a VM loss: of two losses reported to one owner, the later one has the higher number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LossNumber(u64);
 
-/// Numbers the losses that one owner is told.
+/// Numbers the losses reported to one owner.
 #[derive(Debug, Default)]
 pub struct Losses(AtomicU64);
 
 impl Losses {
-    /// Returns the number of one more loss.
+    /// Returns the number of the next loss.
     pub fn next(&self) -> LossNumber {
         LossNumber(self.0.fetch_add(1, Ordering::Relaxed) + 1)
     }
@@ -22,12 +22,12 @@
 pub struct NewestLoss(AtomicU64);
 
 impl NewestLoss {
-    /// Takes in a loss.
+    /// Records a loss.
     pub fn note(&self, loss: LossNumber) {
         self.0.fetch_max(loss.0, Ordering::Relaxed);
     }
 
-    /// Returns whether the VM was lost after `taken_in`.
+    /// Returns whether the VM was lost after the loss `handled`.
     pub fn is_after(&self, taken_in: LossNumber) -> bool {
         self.0.load(Ordering::Relaxed) > taken_in.0
     }
--- a/crates/scheduler/src/owner/mod.rs
+++ b/crates/scheduler/src/owner/mod.rs
@@ -1,15 +1,15 @@
-//! Owning a pool: its schedule, its records and the links to its VMs.
+//! The owner of a pool: runs its schedule, writes its records and keeps the links to its VMs.
 
 mod advisor;
+mod incarnation_times;
 mod link;
-mod lives;
 mod losses;
 mod progress;
 mod purge;
 mod quota;
 mod report;
 mod start;
-mod tell;
+mod telemetry;
 mod tokens;
 mod vms;
 
@@ -27,50 +27,50 @@
 use crate::node::Node;
 use crate::pool_log::PoolLog;
 use advisor::Advisor;
+use incarnation_times::Lives;
 use link::Link;
-use lives::Lives;
 use losses::{LossNumber, Losses};
 use progress::ProgressWriter;
 use quota::Quota;
 use report::Reporter;
-use tell::{log_ends, log_report_news};
+use telemetry::{log_ends, log_report_news};
 use tokens::LinkTokens;
 
 pub use start::run;
 
-/// How often the schedule is looked at when nothing happens.
+/// The longest time between two steps of the schedule when no event arrives.
 const TICK: Duration = Duration::from_millis(100);
-/// How often all VMs are looked at, in milliseconds: at each step it was most of what a step of a
-/// large pool costs.
+/// How often all VMs are checked, in milliseconds. Checking them at each step is most of the cost
+/// of a step in a large pool.
 const LOOK_EVERY_MS: Ms = 100;
-/// What an owner takes in.
+/// An event that the owner handles.
 #[derive(Debug)]
 pub enum Event {
-    /// A submission or a cancel was read.
+    /// A submission or a cancellation was read.
     Log(LogChange),
-    /// A VM answered what runs there.
+    /// A VM reported its running and ended tasks.
     Report(VmLife, VmReport),
-    /// A start has come to something.
+    /// The result of a start order is known.
     Started(VmLife, RunId, StartResult),
-    /// A stop was answered.
+    /// A VM acknowledged a stop order.
     Stopped(VmLife, RunId),
-    /// A VM answers, or does not.
+    /// A VM became reachable or unreachable.
     Reachable(VmLife, bool),
-    /// Nothing runs on a VM any more; the number of this loss.
+    /// A VM was lost and none of its runs continues; the last field numbers this loss.
     Lost(VmLife, VmLoss, LossNumber),
-    /// A life of a VM is over, as the VM has started again under its ID as another one; the number of this loss.
+    /// A VM restarted under its ID: its previous incarnation, its next incarnation and the number of this loss.
     Restarted(VmLife, VmLife, LossNumber),
-    /// A VM has seen a higher token.
+    /// A VM rejected a call because it has seen a higher token.
     Fenced(VmLife),
-    /// A question about a step was answered, or not.
+    /// An advice request for a step was answered, or failed.
     Advised(StepId, Option<Tickets>),
-    /// The newest records of how caps are lent were read.
+    /// The newest records of the cap shares lent to pools were read.
     LentRead,
-    /// What was said of the use of caps may not have arrived.
+    /// A report of cap use may not have been written.
     CapUseNotSaid,
 }
 
-/// VMs that may run a step with their tickets, and for how long, in milliseconds.
+/// The VMs that may run a step with their tickets, and how long the tickets are valid, in milliseconds.
 pub type Tickets = (Vec<(VmLife, String)>, Ms);
 
 /// The owner of a pool.
@@ -81,19 +81,19 @@
     pool: Pool,
     journal: Journal,
     writer: ProgressWriter,
-    /// The links by the VMs' IDs: one to each VM, whichever of its lives it is in.
+    /// The links by VM ID: one for each VM, to its current incarnation.
     links: HashMap<Arc<str>, Link>,
     tokens: LinkTokens,
     losses: Arc<Losses>,
     lives: Lives,
-    /// When runs on VMs that cannot be asked are surely over.
+    /// The times by which the leases of VMs without a link have ended.
     orphans: HashMap<VmLife, Ms>,
     tx: UnboundedSender<Event>,
     purged_at: Ms,
     reporter: Reporter,
     advisor: Advisor,
     quota: Quota,
-    /// When what changes slowly was last looked at.
+    /// When all VMs were last checked.
     looked_at: Ms,
 }
 
@@ -130,11 +130,11 @@
                     lent.mark_unchanged();
                     self.take_lent();
                 }
-                // They are taken in with each step.
+                // Each step reads the current state of the halls.
                 Ok(()) = halls.changed() => halls.mark_unchanged(),
                 () = tokio::time::sleep(pause) => (),
             }
-            // What has piled up meanwhile is decided on together.
+            // Handle all queued events before the next step, so that it decides on them together.
             while let Ok(event) = rx.try_recv() {
                 self.take(event)?;
             }
@@ -167,8 +167,8 @@
             }
             Event::Report(vm, report) => {
                 log_ends(&vm, &report);
-                let news = self.pool.report(&vm, &report, now);
-                log_report_news(&vm, &news);
+                let changes = self.pool.report(&vm, &report, now);
+                log_report_news(&vm, &changes);
             }
             Event::Started(vm, run, result) => {
                 if result != StartResult::Started {
@@ -190,11 +190,11 @@
                 }
                 self.lose_vm(&vm, loss);
             }
-            Event::Restarted(vm, life, number) => {
+            Event::Restarted(vm, next, number) => {
                 if let Some(link) = self.link_mut(&vm) {
                     link.take_in_loss(number);
                 }
-                self.take_restart(&vm, &life);
+                self.take_restart(&vm, &next);
             }
             Event::Advised(step, answer) => {
                 let good = answer.as_ref().map(|(tickets, _)| tickets.len());
@@ -216,7 +216,7 @@
         Ok(())
     }
 
-    /// Decides, writes what was decided, and only then lets orders and acknowledgements go.
+    /// Plans, writes the plan's records to the store, and only then sends orders and acknowledgements.
     async fn step(&mut self) -> Result<(), Fenced> {
         self.pool.set_listing_is_sound(self.node.standing.listing_is_sound());
         self.pool.set_halls(self.node.halls.borrow().clone(), self.node.halls_known());
@@ -238,8 +238,8 @@
         self.look_at_vms();
         self.say_cap_use();
         self.report();
-        // What can wait is written when orders are out, and not beside a slow store: up to three appends of a quarter of a
-        // second each stood before the orders of each step.
+        // Repairs and purges run after the orders are sent, and not while the store is slow: up to three appends of a quarter
+        // of a second each would delay the orders of each step.
         if self.node.store.is_slow() {
             return Ok(());
         }
@@ -247,7 +247,7 @@
         self.purge().await
     }
 
-    /// Looks at all VMs, for what need not be known at each step.
+    /// Checks all VMs for changes that need not be handled at each step.
     fn look_at_vms(&mut self) {
         let now = steady_ms();
         if now.saturating_sub(self.looked_at) < LOOK_EVERY_MS {
@@ -265,15 +265,15 @@
         let vm = match &order {
             Order::Start(start) => &start.vm,
             Order::Stop { vm, .. } | Order::Pace { vm, .. } => vm,
-            Order::Ask(question) => {
-                self.advisor.ask(question.clone());
+            Order::Ask(request) => {
+                self.advisor.ask(request.clone());
                 return;
             }
         };
         let Some(link) = self.link(vm) else {
             log::warn!("order step=no-link vm={vm}");
             if let Order::Start(start) = &order {
-                // It was never sent.
+                // The order was never sent.
                 let (vm, run) = (start.vm.clone(), start.run);
                 self.pool.start_result(&vm, run, StartResult::NotTaken, now());
             }
--- a/crates/scheduler/src/owner/progress.rs
+++ b/crates/scheduler/src/owner/progress.rs
@@ -1,4 +1,4 @@
-//! Writing how far jobs are.
+//! Writes the progress of jobs to the store.
 
 use std::collections::BTreeSet;
 
@@ -13,40 +13,42 @@
 use crate::journal::{Fenced, PAUSE};
 use crate::pool_log::{FURTHER_PROGRESS, PROGRESS};
 
-/// Jobs whose progress is written to the first partition again in one go.
+/// The most jobs whose progress is copied back to the first partition in one step.
 const REPAIR_BATCH: usize = 200;
 
-/// How often the further partitions are opened or given up at most, in milliseconds: each try is a call that others' claims
-/// have to go round.
+/// The shortest time between two attempts to open or close the overflow partitions, in milliseconds: each attempt is an
+/// append to the partition of claims and may make other nodes retry theirs.
 const LANES_EVERY_MS: Ms = 300;
-/// For how long the further partitions must not have been written to before they are given up, in milliseconds: an outage of
-/// the store comes in pieces.
+/// How long the overflow partitions must have no writes before they are closed, in milliseconds, as an outage of the
+/// store may pause and resume.
 const LANES_QUIET_MS: Ms = 3_000;
 
-/// The numbering of an owner's records, and where they went.
+/// Numbers the owner's progress records and tracks which partitions hold them.
 #[derive(Debug)]
 pub(super) struct ProgressWriter {
     next: Version,
-    /// Jobs whose progress stands elsewhere and is to be written to the first partition, and where it stands.
+    /// Jobs whose newest progress is in a fallback or overflow partition and must be copied to the first one, with that
+    /// partition.
     spilled: BTreeSet<(JobId, u32)>,
-    /// Progress that may be dropped where it stands.
+    /// Jobs whose progress in a fallback or overflow partition is outdated and may be dropped, with that partition.
     repaired: BTreeSet<(JobId, u32)>,
-    /// The further partitions may hold progress, by what this owner or its predecessor told.
+    /// Whether this owner or its predecessor announced that the overflow partitions may hold progress.
     further_told: bool,
-    /// When they were last opened, or written to.
+    /// When the overflow partitions were last opened or written to.
     further_at: Ms,
-    /// When they were last tried to be opened or given up.
+    /// When opening or closing the overflow partitions was last attempted.
     lanes_tried_at: Ms,
 }
 
 impl ProgressWriter {
-    /// Makes the writer of a new owner; `spilled` is what its predecessors left elsewhere.
-    pub fn new(token: u64, spilled: BTreeSet<(JobId, u32)>, further_told: bool) -> Self {
+    /// Creates the writer of a new owner; `overflowed` lists the progress that its predecessors left outside the first
+    /// partition.
+    pub fn new(token: u64, overflowed: BTreeSet<(JobId, u32)>, overflow_announced: bool) -> Self {
         Self {
             next: Version { token, number: 0 },
-            spilled,
+            spilled: overflowed,
             repaired: BTreeSet::new(),
-            further_told,
+            further_told: overflow_announced,
             further_at: 0,
             lanes_tried_at: 0,
         }
@@ -57,7 +59,7 @@
         self.next
     }
 
-    /// Takes in where progress of some jobs was written.
+    /// Records to which partition the progress of some jobs was written.
     fn note_written(&mut self, ids: impl Iterator<Item = JobId>, part: u32) {
         if FURTHER_PROGRESS.contains(&part) {
             self.further_at = steady_ms();
@@ -77,14 +79,14 @@
         }
     }
 
-    /// Returns whether nothing stands in the further partitions any more, and nothing was written there for a while.
+    /// Returns whether the overflow partitions hold no progress and have had no writes for a while.
     fn further_are_empty(&self) -> bool {
         let mut places = self.spilled.iter().chain(&self.repaired);
         let quiet = steady_ms().saturating_sub(self.further_at) >= LANES_QUIET_MS;
         quiet && !places.any(|(_, part)| FURTHER_PROGRESS.contains(part))
     }
 
-    /// Returns whether they may be opened or given up now.
+    /// Returns whether the overflow partitions may be opened or closed now, and if so records the attempt.
     fn may_try_lanes(&mut self) -> bool {
         let now = steady_ms();
         let may = now.saturating_sub(self.lanes_tried_at) >= LANES_EVERY_MS;
@@ -96,7 +98,7 @@
 }
 
 impl Owner {
-    /// Writes how far jobs are, in as many appends as they need.
+    /// Writes the progress of jobs, in as many appends as needed.
     pub(super) async fn write_progress(
         &mut self,
         records: Vec<(JobId, Progress)>,
@@ -142,8 +144,9 @@
         Ok(())
     }
 
-    /// Has progress written to further partitions, as none of the usual ones takes it: without them a pool stood still for
-    /// 5.7 s at the onset of its turn, and earned 0.37 of what its kind of request is owed on that day.
+    /// Opens the overflow partitions because neither the first nor the fallback partition accepts progress. Without them a
+    /// pool made no progress for 5.7 s at the start of its outage, and earned 0.37 of what its kind of request is due on
+    /// such a day.
     async fn open_further_lanes(&mut self) {
         let is_open = self.journal.parts().any(|part| FURTHER_PROGRESS.contains(&part));
         if is_open || !self.writer.may_try_lanes() {
@@ -156,44 +159,44 @@
         }
     }
 
-    /// Gives the further partitions up once nothing stands there any more.
+    /// Closes the overflow partitions once they hold no progress.
     async fn close_further_lanes(&mut self) {
         let done = self.writer.further_told && self.writer.further_are_empty();
         if !done || !self.journal.first_takes_records() || !self.writer.may_try_lanes() {
             return;
         }
-        // Nothing more is written there before it is told that nothing stands there.
+        // Stop writing to them before announcing that they are empty.
         self.journal.close_lanes(&FURTHER_PROGRESS);
         self.writer.further_told = !announce(&self.node, &self.log.pool, self.token, false).await;
     }
 
-    /// Writes what went elsewhere to the first partition, once it takes records, and drops it there: other nodes
-    /// read the first one only.
+    /// Copies progress from the fallback and overflow partitions to the first one once that accepts records, and drops the
+    /// originals: other nodes read only the first partition.
     pub(super) async fn repair_progress(&mut self) -> Result<(), Fenced> {
         self.close_further_lanes().await;
         if !self.writer.spilled.is_empty() && self.journal.first_takes_records() {
             let mut ids: Vec<JobId> = self.writer.spilled.iter().map(|&(id, _)| id).collect();
             ids.dedup();
             ids.truncate(REPAIR_BATCH);
-            let again = self.known_progress(&ids);
-            log::info!("progress step=repair pool={} jobs={}", self.log.pool, again.len());
-            // What is not known any more was dropped with its submission.
-            let gone = ids.into_iter().filter(|id| !again.iter().any(|(known, _)| known == id));
+            let copies = self.known_progress(&ids);
+            log::info!("progress step=repair pool={} jobs={}", self.log.pool, copies.len());
+            // Progress of an unknown job was dropped together with its submission.
+            let gone = ids.into_iter().filter(|id| !copies.iter().any(|(known, _)| known == id));
             self.writer.note_written(gone, PROGRESS);
-            self.write_progress(again).await?;
+            self.write_progress(copies).await?;
         }
         self.drop_repaired().await
     }
 
-    /// Drops progress that stands in the first partition by now where else it stands.
+    /// Drops progress in the fallback and overflow partitions that was copied to the first one.
     async fn drop_repaired(&mut self) -> Result<(), Fenced> {
         let mut parts: Vec<u32> = self.writer.repaired.iter().map(|&(_, part)| part).collect();
         parts.sort_unstable();
         parts.dedup();
         for part in parts {
-            let here = self.writer.repaired.iter().filter(|(_, p)| *p == part);
+            let outdated = self.writer.repaired.iter().filter(|(_, p)| *p == part);
             let drops: Vec<KeyedRecord> =
-                here.map(|&(id, _)| KeyedRecord::dropping(progress_key(id))).collect();
+                outdated.map(|&(id, _)| KeyedRecord::dropping(progress_key(id))).collect();
             if self.journal.append_to_part(&self.node, part, &drops).await? {
                 self.writer.repaired.retain(|(_, p)| *p != part);
             }
--- a/crates/scheduler/src/owner/purge.rs
+++ b/crates/scheduler/src/owner/purge.rs
@@ -1,4 +1,4 @@
-//! Dropping the records of jobs that were settled long ago.
+//! Drops the records of jobs that settled long ago.
 
 use thistle_platform::{Guard, KeyedRecord};
 use thistle_schedule::job_log::{cancel_key, progress_key, submit_key};
@@ -9,16 +9,16 @@
 use crate::journal::Fenced;
 use crate::pool_log::{LANES, SPARE};
 
-/// How often settled jobs are looked through for those to be dropped, in milliseconds.
+/// How often settled jobs are checked for expired ones, in milliseconds.
 const PURGE_EVERY_MS: Ms = 5_000;
-/// How much longer than promised settled jobs are kept, in milliseconds: callers' clocks and ours
-/// may differ by seconds.
+/// How much longer than promised settled jobs are kept, in milliseconds: the clocks of callers and
+/// of this node may differ by seconds.
 const PURGE_SLACK_MS: Ms = 30_000;
-/// Settled jobs dropped in one go at most.
+/// The most settled jobs dropped in one step.
 const PURGE_BATCH: usize = 500;
 
 impl Owner {
-    /// Drops the records of jobs that were settled long ago.
+    /// Drops the records of jobs that settled before the retention time.
     pub(super) async fn purge(&mut self) -> Result<(), Fenced> {
         if steady_ms().saturating_sub(self.purged_at) < PURGE_EVERY_MS {
             return Ok(());
@@ -37,7 +37,7 @@
             return Ok(());
         }
         log::info!("jobs step=dropped pool={} count={}", self.log.pool, old.len());
-        // A submission that outlived its progress would be run again by the next owner.
+        // The next owner would run a job again if its submission outlived its progress.
         if !self.drop_submissions(&old).await {
             return Ok(());
         }
@@ -47,13 +47,14 @@
         Ok(())
     }
 
-    /// Drops submissions and cancels wherever they may be; returns whether that is done.
+    /// Drops submissions and cancellations from all partitions that may hold them; returns whether all were dropped.
     async fn drop_submissions(&self, old: &[JobId]) -> bool {
         let drop_both = |&id: &JobId| {
             [KeyedRecord::dropping(cancel_key(id)), KeyedRecord::dropping(submit_key(id))]
         };
         let records: Vec<KeyedRecord> = old.iter().flat_map(drop_both).collect();
-        // The first partition last: who reads of the drop there may read the spare one later, and must not find the job in it.
+        // The first partition goes last: a node that reads the drop there may read the fallback partition later, and must not
+        // find the job in it.
         for part in LANES.into_iter().rev() {
             if part == SPARE && !self.log.spare_was_used().await {
                 continue;
--- a/crates/scheduler/src/owner/quota.rs
+++ b/crates/scheduler/src/owner/quota.rs
@@ -1,4 +1,4 @@
-//! A pool's owner and the caps of workspaces: what it is lent, and what it says of its use.
+//! Caps of workspaces in a pool's owner: applies the shares lent to the pool and reports what it uses.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,22 +14,22 @@
 use crate::clock::steady_ms;
 use crate::control::TOPIC;
 
-/// How often an owner says what it uses at most, in milliseconds: a share moves in about two such times, and what a pool
-/// wants changes with each task.
+/// The shortest time between two reports of cap use, in milliseconds: a share moves within about two reports, and a
+/// pool's demand changes with each task.
 const SAY_EVERY_MS: Ms = 40;
-/// Pause before the records are read again, if they could not be.
+/// Pause before a failed read of the records is retried.
 const READ_AGAIN: Duration = Duration::from_millis(100);
-/// How often it is told at most that a workspace is held back, in milliseconds.
+/// The shortest time between two log lines about workspaces held back by their caps, in milliseconds.
 const TELL_EVERY_MS: Ms = 1_000;
 
-/// How an owner stands with caps.
+/// An owner's state of the caps of workspaces.
 #[derive(Debug, Default)]
 pub(super) struct Quota {
-    /// The records are being read, or were, since this owner came to own the pool.
+    /// Whether this owner has started to read the records.
     asked: bool,
-    /// They were read: from here on news of them count.
+    /// Whether the records were read; changes to them are applied from then on.
     read: bool,
-    /// How often something was said.
+    /// The number of reports made.
     count: u64,
     said_at: Ms,
     told_at: Ms,
@@ -37,8 +37,8 @@
 }
 
 impl Owner {
-    /// Takes in the workspaces of the configuration in force, and has the records of their caps read once there are any: one call for
-    /// each time that a pool changes hands.
+    /// Applies the workspaces of the current configuration, and starts reading the records of their caps once there are
+    /// any: one call for each change of a pool's owner.
     pub(super) fn take_caps(&mut self) {
         let Some(catalog) = self.node.catalog.borrow().clone() else { return };
         self.pool.set_workspaces(catalog.version, catalog.workspaces.all());
@@ -55,18 +55,18 @@
                 }
                 tokio::time::sleep(READ_AGAIN).await;
             }
-            // An owner that has ended needs no news.
+            // The owner may have ended, and then needs no event.
             let _ = tx.send(Event::LentRead);
         });
     }
 
-    /// Takes in that the newest records were read since this owner came to own the pool.
+    /// Handles the end of the first read of the records by this owner.
     pub(super) fn lent_read(&mut self) {
         self.quota.read = true;
         self.take_lent();
     }
 
-    /// Takes in how caps are lent.
+    /// Applies the lent shares of caps.
     pub(super) fn take_lent(&mut self) {
         if self.quota.read {
             let table = self.node.lent.borrow().clone();
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Says what workspaces use that are short of their shares, or whose shares have changed.
+    /// Reports the use of workspaces that need larger shares or whose shares have changed.
     pub(super) fn say_cap_use(&mut self) {
         let now = steady_ms();
         let quiet = now.saturating_sub(self.quota.said_at) < SAY_EVERY_MS;
@@ -83,26 +83,26 @@
         }
         self.quota.said_at = now;
         self.tell_held(now);
-        let said = self.pool.say_cap_use(self.token, &mut self.quota.count);
-        if said.is_empty() {
+        let reports = self.pool.say_cap_use(self.token, &mut self.quota.count);
+        if reports.is_empty() {
             return;
         }
         self.quota.under_way.store(true, Ordering::Relaxed);
-        let records: Vec<_> = said.iter().map(use_record).collect();
+        let records: Vec<_> = reports.iter().map(use_record).collect();
         let (node, tx, under_way) =
             (self.node.clone(), self.tx.clone(), self.quota.under_way.clone());
         tokio::spawn(async move {
             let result = node.store.append(TOPIC, USES, Guard::Always, &records).await;
             node.standing.note(result.is_ok());
             if let Err(e) = result {
-                log::info!("caps step=not-said count={} error=\"{e}\"", records.len());
+                log::info!("caps step=use-not-written count={} error=\"{e}\"", records.len());
                 let _ = tx.send(Event::CapUseNotSaid);
             }
             under_way.store(false, Ordering::Relaxed);
         });
     }
 
-    /// Tells which workspaces are held back by their caps, and by what.
+    /// Logs which workspaces are held back by their caps, with the cap, the lent share and the use of each.
     fn tell_held(&mut self, now: Ms) {
         if now.saturating_sub(self.quota.told_at) < TELL_EVERY_MS {
             return;
--- a/crates/scheduler/src/owner/report.rs
+++ b/crates/scheduler/src/owner/report.rs
@@ -1,4 +1,4 @@
-//! Telling the owner of the fleet how a pool is doing.
+//! Reports the load of a pool to the owner of the fleet.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,20 +13,20 @@
 use crate::control::{TOPIC, to_json};
 use crate::fleet_owner::{REPORTS, pool_key};
 
-/// How often a report goes out at most, in milliseconds, if a VM has become empty or the pool needs
-/// many more. With what follows nodes, by what they need, calls to the store fell from 365 to 280 a
-/// second on a calm day of 49 VMs and nine nodes.
+/// The shortest time between two reports, in milliseconds, if a VM has become empty or the pool
+/// needs many more VMs. These intervals, together with following the store's records only on the nodes that need
+/// them, cut calls to the store from 365 to 280 a second on a calm day of 49 VMs and nine nodes.
 const AT_ONCE_MS: Ms = 50;
-/// How often otherwise, if VMs have become idle or busy, or the need is another.
+/// The shortest time, in milliseconds, if VMs have become idle or busy, or the need has changed.
 const EVERY_MS: Ms = 250;
-/// How often if nothing but the work on its VMs has changed.
+/// The shortest time, in milliseconds, if only the work on the pool's VMs has changed.
 const SELDOM_MS: Ms = 1_000;
-/// A need that has grown by this part is told at once: one of so many.
+/// A need that has grown by one part in this many is reported with the shortest interval.
 const JUMP_PART: u64 = 8;
-/// What changes by less is no news, in thousandths of a core.
+/// The unit to which needs are rounded up, in thousandths of a core: smaller changes are not reported.
 const CORE: u64 = 1_000;
 
-/// What was reported last.
+/// The last report and when it was sent.
 #[derive(Debug, Default)]
 pub(super) struct Reporter {
     last: PoolReport,
@@ -35,7 +35,7 @@
 }
 
 impl Owner {
-    /// Reports how the pool is doing, if that has changed.
+    /// Reports the pool's load, if it has changed.
     pub(super) fn report(&mut self) {
         let waited = steady_ms().saturating_sub(self.reporter.at);
         if waited < AT_ONCE_MS || self.reporter.under_way.load(Ordering::Relaxed) {
@@ -66,14 +66,14 @@
             let result = node.store.append(TOPIC, REPORTS, Guard::Always, &[record]).await;
             node.standing.note(result.is_ok());
             if let Err(e) = result {
-                // The next report tells the same and more.
+                // The next report replaces this one.
                 log::debug!("report step=failed pool={pool} error=\"{e}\"");
             }
             under_way.store(false, Ordering::Relaxed);
         });
     }
 
-    /// Returns how far ahead the need is worked out, in milliseconds.
+    /// Returns how far ahead the need is computed, in milliseconds.
     fn lead(&self) -> Ms {
         match self.node.settings.policy.need.lead_ms {
             0 => 0,
@@ -100,7 +100,7 @@
     }
 }
 
-/// Returns how long after a report the next one is due, by how they differ.
+/// Returns how long after the last report the next one is due, by how they differ.
 fn pause_before(last: &PoolReport, next: &PoolReport) -> Ms {
     let jumped = next.soon_cpu > last.soon_cpu + (last.soon_cpu / JUMP_PART).max(vm_cpu(next));
     if jumped || next.emptied != last.emptied {
@@ -114,7 +114,7 @@
     }
 }
 
-/// Returns the processor of one of the pool's VMs, in thousandths of a core.
+/// Returns the average CPU capacity of the pool's VMs, in thousandths of a core.
 fn vm_cpu(report: &PoolReport) -> u64 {
     report.cpu / u64::from(report.vms.max(1))
 }
--- a/crates/scheduler/src/owner/start.rs
+++ b/crates/scheduler/src/owner/start.rs
@@ -1,4 +1,4 @@
-//! Coming to own a pool: shutting the predecessor out, reading all that there is, and taking it in.
+//! Takeover of a pool: fences the previous owner, reads the pool's records and adopts its jobs.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc::unbounded_channel;
 
 use super::advisor::Advisor;
-use super::lives::Lives;
+use super::incarnation_times::Lives;
 use super::progress::ProgressWriter;
 use super::quota::Quota;
 use super::report::Reporter;
@@ -20,23 +20,24 @@
 use crate::node::Node;
 use crate::pool_log::{FURTHER_PROGRESS, PROGRESS, PoolLog, SPARE_PROGRESS};
 
-/// How long a new owner waits for the VMs to be read: a page of 540 VMs takes 0.1 s over 20 Mbit/s.
+/// How long a new owner waits for the list of VMs: a page of 540 VMs takes 0.1 s over 20 Mbit/s.
 const LISTED_WITHIN: Duration = Duration::from_millis(1_000);
 
-/// Owns a pool until another node does, or the task is aborted.
+/// Owns a pool until another node takes it over or the task is aborted.
 pub async fn run(node: Arc<Node>, log: Arc<PoolLog>, token: u64) {
     let (tx, rx) = unbounded_channel();
     let pool_name = log.pool.clone();
     let began = steady_ms();
-    // Without the VMs nothing can be started; an outage may concern their partition alone, and jobs are told of all
-    // the same. They are waited for beside the rest: each call to a slow store takes a quarter of a second.
+    // No task can start without the VM list. An outage may affect its partition alone, so the owner then continues without
+    // it and still reports on jobs. The wait runs in parallel with the reads: each call to a slow store takes a quarter of
+    // a second.
     let (journal, ()) = tokio::join!(open_and_read(&node, &log, token), until_listed(&node));
     let Ok(journal) = journal else {
         log::warn!("owner pool={pool_name} step=fenced token={token}");
         return;
     };
-    let spilled = log.spilled();
-    let further_told = lock(&node.ownership).has_further_lanes(&log.pool);
+    let overflowed = log.spilled();
+    let overflow_announced = lock(&node.ownership).has_further_lanes(&log.pool);
     let policy = node.settings.policy;
     let advisor = Advisor::start(&node, tx.clone());
     let mut owner = Owner {
@@ -45,7 +46,7 @@
         token,
         pool: Pool::with_policy(policy).with_name(pool_name.clone()),
         journal,
-        writer: ProgressWriter::new(token, spilled, further_told),
+        writer: ProgressWriter::new(token, overflowed, overflow_announced),
         links: HashMap::new(),
         tokens: LinkTokens::new(token),
         losses: Arc::default(),
@@ -73,7 +74,7 @@
     drop(owner.log.connect_owner(None));
 }
 
-/// Waits until the VMs were read, but not for long.
+/// Waits until the VM list was read, but at most for `VM_LIST_TIMEOUT`.
 async fn until_listed(node: &Node) {
     let mut listed = node.vms_listed.subscribe();
     let wait = async {
@@ -85,18 +86,18 @@
     }
 }
 
-/// Shuts the predecessor out of the pool's progress and reads all that there is.
+/// Fences the previous owner from the pool's progress and reads all records of the pool.
 async fn open_and_read(node: &Node, log: &PoolLog, token: u64) -> Result<Journal, Fenced> {
-    // All that its predecessor told was read before this node could claim the pool.
-    let further = lock(&node.ownership).has_further_lanes(&log.pool);
+    // This node read all announcements of the previous owner before it could claim the pool.
+    let overflow = lock(&node.ownership).has_further_lanes(&log.pool);
     let mut parts = vec![PROGRESS, SPARE_PROGRESS];
-    if further {
+    if overflow {
         parts.extend(FURTHER_PROGRESS);
     }
     let journal = Journal::open(node, &log.topic, &parts, token).await?;
-    // The predecessor can write no more: what is there now is all there is.
+    // The previous owner is fenced and can write no further records.
     let since = steady_ms();
-    while let Err(e) = log.read_all(node, since, further).await {
+    while let Err(e) = log.read_all(node, since, overflow).await {
         log::debug!("owner pool={} step=read-failed error=\"{e}\"", log.pool);
         tokio::time::sleep(TICK).await;
     }
@@ -104,7 +105,7 @@
 }
 
 impl Owner {
-    /// Takes in all jobs, and from here on all news.
+    /// Adopts all jobs and subscribes to changes.
     fn adopt(&mut self) {
         let log = self.log.clone();
         self.pool.taken_over(now());
--- a/crates/scheduler/src/owner/tell.rs
+++ b/crates/scheduler/src/owner/telemetry.rs
@@ -1,4 +1,4 @@
-//! What an owner tells operators: metrics of its load, tasks given up, ends.
+//! Metrics and log lines of an owner: its load, abandoned tasks and ends of runs.
 
 use metrics::{counter, gauge};
 use thistle_schedule::pool::{GivenUp, Load, ReportNews};
@@ -8,7 +8,7 @@
 use crate::clock::now;
 
 impl Owner {
-    /// Logs the tasks that were given up since VMs crashed under them.
+    /// Logs the tasks that were abandoned because VMs crashed under them.
     pub(super) fn tell_given_up(&mut self) {
         for GivenUp { task, harm } in self.pool.take_given_up() {
             let Harm { crashes, at_start, alone, .. } = harm;
@@ -31,7 +31,7 @@
     }
 }
 
-/// Logs the ends that a VM lists.
+/// Logs the ends of runs that a VM reports.
 pub(super) fn log_ends(vm: &VmLife, report: &VmReport) {
     for end in &report.ended {
         log::info!("end run={} vm={vm} how={:?} number={}", end.run, end.kind, end.sequence);
@@ -39,12 +39,12 @@
     }
 }
 
-/// Logs runs that a VM does not have after all, and ends of runs that were given up before: what was done there may be done twice.
-pub(super) fn log_report_news(vm: &VmLife, news: &ReportNews) {
-    for run in &news.not_listed {
+/// Logs runs that a VM turns out not to have, and ends of runs that were abandoned before, whose work may be done twice.
+pub(super) fn log_report_news(vm: &VmLife, changes: &ReportNews) {
+    for run in &changes.not_listed {
         log::info!("run step=not-listed run={run} vm={vm}");
     }
-    for end in &news.of_given_up {
+    for end in &changes.of_given_up {
         let (run, how, number) = (end.run, end.kind, end.sequence);
         if how == EndKind::Done {
             log::warn!("run step=done-after-given-up run={run} vm={vm} number={number}");
--- a/crates/scheduler/src/owner/tokens.rs
+++ b/crates/scheduler/src/owner/tokens.rs
@@ -1,16 +1,17 @@
-//! Tokens of the links of an owner.
+//! Tokens of an owner's links.
 
-/// Bits of a token on the wire that number the links of one owner: so many are opened in a term at most before tokens repeat.
+/// The number of low bits of a wire token that number the links of one owner. Tokens repeat once an owner has opened
+/// more links than they can number.
 const LINK_BITS: u32 = 24;
 const LAST_LINK: u64 = (1 << LINK_BITS) - 1;
 
-/// The token under which a link acts, and the one that its calls carry.
+/// The tokens of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkToken {
     /// The token of the owner's claim.
     pub claim: u64,
-    /// The token that VMs see: above those of all earlier owners, and above those of this owner's earlier links. A VM that has
-    /// answered by a link carries out no call of an earlier one any more, in whichever of its lives that was made.
+    /// The token sent to VMs: higher than those of all earlier owners and of this owner's earlier links. A VM that has
+    /// answered a call of one link rejects all calls of earlier links, also those made to a previous incarnation.
     pub on_the_wire: u64,
 }
 
@@ -22,12 +23,12 @@
 }
 
 impl LinkTokens {
-    /// Starts with an owner's term.
+    /// Creates the numbering for an owner with the token of its claim.
     pub const fn new(claim: u64) -> Self {
         Self { claim, opened: 0 }
     }
 
-    /// Returns the token of one more link.
+    /// Returns the tokens of the next link.
     pub fn next(&mut self) -> LinkToken {
         let link = self.opened.min(LAST_LINK);
         self.opened += 1;
--- a/crates/scheduler/src/owner/vms.rs
+++ b/crates/scheduler/src/owner/vms.rs
@@ -1,4 +1,4 @@
-//! Keeping an owner's links in step with the VMs that the store lists.
+//! Keeps an owner's links consistent with the VMs that the store lists.
 
 use std::borrow::Cow;
 use std::collections::HashSet;
@@ -14,7 +14,7 @@
 use crate::node::VmTable;
 
 impl Owner {
-    /// Takes in the VMs as the store lists them now.
+    /// Applies the current VM list.
     pub(super) fn list_vms(&mut self, table: &VmTable) {
         let table = &*self.name_lives(table);
         let listed = self.pool.vm_summaries();
@@ -27,7 +27,7 @@
             self.orphans.remove(&facts.id);
             match self.links.get(facts.id.id()) {
                 Some(link) if *link.vm() == facts.id => (),
-                // The VM itself tells whether that life is over.
+                // The VM itself reports whether its previous incarnation has ended.
                 Some(link) if !link.is_over() => link.ask_at_once(),
                 Some(_) | None => self.open_link(facts),
             }
@@ -41,9 +41,9 @@
             }
             self.note_if_reborn(&vm, table);
         }
-        // One that fell silent under a task may be back in another pool.
+        // A VM that became unresponsive while it ran a task may be listed again in another pool.
         for (vm, name) in self.pool.silent_losses() {
-            // An earlier life of it, whose entry stands on, says nothing.
+            // The leftover entry of an earlier incarnation is no evidence.
             let successor =
                 |f: &VmFacts| *f.name == *name && f.id != vm && !self.lives.is_later(&vm, &f.id);
             if !name.is_empty() && table.values().any(|f| successor(f)) {
@@ -53,32 +53,32 @@
         self.watch_orphans();
     }
 
-    /// Has entries that tell no start name the lives that have answered.
+    /// Replaces the IDs of entries without a start time with the incarnations that have answered on their links.
     fn name_lives<'a>(&self, table: &'a VmTable) -> Cow<'a, VmTable> {
-        let told = |facts: &VmFacts| {
-            let life = self.links.get(facts.id.id()).map(Link::vm);
-            life.filter(|life| facts.id.born().is_none() && life.born().is_some()).cloned()
+        let answered = |facts: &VmFacts| {
+            let current = self.links.get(facts.id.id()).map(Link::vm);
+            current.filter(|vm| facts.id.born().is_none() && vm.born().is_some()).cloned()
         };
-        if !table.values().any(|facts| told(facts).is_some()) {
+        if !table.values().any(|facts| answered(facts).is_some()) {
             return Cow::Borrowed(table);
         }
         let mut named = table.clone();
         for facts in named.values_mut() {
-            if let Some(id) = told(facts) {
+            if let Some(id) = answered(facts) {
                 *facts = Arc::new(VmFacts { id, ..VmFacts::clone(facts) });
             }
         }
         Cow::Owned(named)
     }
 
-    /// Opens the link to a VM, in place of the one to an earlier life of it.
+    /// Opens the link to a VM, replacing the link to an earlier incarnation.
     fn open_link(&mut self, facts: &Arc<VmFacts>) {
         let (tx, losses) = (self.tx.clone(), self.losses.clone());
         let link = Link::open(&self.node, facts, self.tokens.next(), tx, losses);
         self.links.insert(facts.id.id().clone(), link);
     }
 
-    /// Returns the link to a life of a VM.
+    /// Returns the link to an incarnation of a VM.
     pub(super) fn link(&self, vm: &VmLife) -> Option<&Link> {
         self.links.get(vm.id()).filter(|link| link.vm() == vm)
     }
@@ -87,7 +87,7 @@
         self.links.get_mut(vm.id()).filter(|link| link.vm() == vm)
     }
 
-    /// Takes in that a VM has stopped answering: another incarnation of it may be listed already.
+    /// Checks whether a later incarnation of a VM that has stopped answering is listed already.
     pub(super) fn look_for_successor(&self, id: &VmLife) {
         let listed = self.node.vms.borrow().clone();
         let table = self.name_lives(&listed);
@@ -98,16 +98,16 @@
         }
     }
 
-    /// Gives up an unlisted incarnation if a later one of its VM has come up. One that still answers is none that is gone,
-    /// whatever an entry says that names its VM; and the entry of an earlier one, which stands on for a while after its end, says
-    /// nothing of this one.
+    /// Reports an unlisted incarnation as lost if a later one of its VM is listed. An incarnation that still answers is not
+    /// gone, whatever an entry for its VM states. The entry of an earlier incarnation, which remains for a while after its
+    /// end, is no evidence about this one.
     fn note_if_reborn(&self, vm: &VmSummary, table: &VmTable) {
         if vm.reachable && self.link(&vm.id).is_some_and(|link| !link.is_over()) {
             return;
         }
-        let came_later =
+        let is_later_successor =
             |facts: &&Arc<VmFacts>| is_reborn(facts, vm) && self.lives.is_later(&facts.id, &vm.id);
-        match table.values().find(came_later) {
+        match table.values().find(is_later_successor) {
             Some(facts) if facts.id.is_other_life_of(&vm.id) => {
                 self.tell_restarted(&vm.id, &facts.id);
             }
@@ -116,46 +116,46 @@
         }
     }
 
-    /// Has it taken in, when this step is done, that a VM has started again under its ID.
-    fn tell_restarted(&self, vm: &VmLife, life: &VmLife) {
+    /// Queues an event that a VM has restarted under its ID.
+    fn tell_restarted(&self, vm: &VmLife, next: &VmLife) {
         if let Some(link) = self.link(vm) {
-            link.end_with(life);
+            link.end_with(next);
             return;
         }
-        // This owner takes it in itself.
+        // There is no link to send the event.
         let number = self.losses.next();
-        let _ = self.tx.send(Event::Restarted(vm.clone(), life.clone(), number));
+        let _ = self.tx.send(Event::Restarted(vm.clone(), next.clone(), number));
     }
 
-    /// Takes in that a VM has started again under its ID, and goes on with its new life.
-    pub(super) fn take_restart(&mut self, former: &VmLife, life: &VmLife) {
-        let lost = self.pool.vm_restarted(former, life, now());
-        log::info!("vm step=restarted vm={former} life={life} runs={}", lost.len());
-        self.log_lost(former, VmLoss::Replaced, lost);
-        let Some(link) = self.link(former) else { return };
-        // It is listed with what it has now before anything is started there.
-        let facts = Arc::new(VmFacts { id: life.clone(), ..VmFacts::clone(link.facts()) });
+    /// Handles the restart of a VM under its ID and opens a link to the next incarnation.
+    pub(super) fn take_restart(&mut self, previous: &VmLife, next: &VmLife) {
+        let lost = self.pool.vm_restarted(previous, next, now());
+        log::info!("vm step=restarted vm={previous} life={next} runs={}", lost.len());
+        self.log_lost(previous, VmLoss::Replaced, lost);
+        let Some(link) = self.link(previous) else { return };
+        // The next incarnation has to be listed with its current facts before any task starts there.
+        let facts = Arc::new(VmFacts { id: next.clone(), ..VmFacts::clone(link.facts()) });
         self.open_link(&facts);
-        self.orphans.remove(life);
+        self.orphans.remove(next);
         let table = self.node.vms.borrow().clone();
-        if table.get(life.id()).is_some_and(|listed| listed.id.born().is_none()) {
-            // No entry will ever tell of this life.
-            self.pool.unlist_vm(former);
+        if table.get(next.id()).is_some_and(|listed| listed.id.born().is_none()) {
+            // The VM's entries have no start time, so none will name this incarnation.
+            self.pool.unlist_vm(previous);
             self.list_vms(&table);
         }
     }
 
-    /// Has it taken in, when this step is done, that another incarnation of a VM is there.
+    /// Queues an event that another incarnation has replaced a VM.
     fn tell_replaced(&self, vm: &VmLife) {
         if let Some(link) = self.link(vm) {
             link.lose(VmLoss::Replaced);
             return;
         }
-        // This owner takes it in itself.
+        // There is no link to send the event.
         let _ = self.tx.send(Event::Lost(vm.clone(), VmLoss::Replaced, self.losses.next()));
     }
 
-    /// Notes runs on VMs to which there is no link: they count until their lease is over.
+    /// Records VMs that have runs but no link: their runs count until the lease has ended.
     fn watch_orphans(&mut self) {
         let over_at = steady_ms() + lease_bound(self.node.task_lease());
         for vm in self.pool.unlisted_with_runs() {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Gives up the runs on VMs to which there is no link, once their lease is over.
+    /// Handles VMs without a link as lost once their lease has ended.
     pub(super) fn drop_orphans(&mut self) {
         let now = now();
         let over: Vec<VmLife> = self
@@ -180,11 +180,11 @@
         }
     }
 
-    /// Gives up what ran on a VM incarnation that is gone.
+    /// Abandons the runs on a VM incarnation that is lost.
     pub(super) fn lose_vm(&mut self, vm: &VmLife, loss: VmLoss) {
         let lost = self.pool.vm_lost(vm, loss, now());
         if lost.is_empty() {
-            // It is told again for as long as a link to it is open.
+            // A loss may be reported more than once while the link is open.
             log::debug!("vm step=lost vm={vm} reason={loss:?} runs=0");
             return;
         }
@@ -192,7 +192,7 @@
         self.log_lost(vm, loss, lost);
     }
 
-    /// Counts a loss under tasks, and logs the runs that went with it.
+    /// Counts the loss of a VM that had runs, and logs the lost runs.
     fn log_lost(&self, vm: &VmLife, loss: VmLoss, lost: Vec<LostRun>) {
         if lost.is_empty() {
             return;
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Closes the links to VMs that are neither listed nor have anything running.
+    /// Closes the links to VMs that are not listed and have no runs.
     pub(super) fn drop_links(&mut self) {
         let known: HashSet<VmLife> = self.pool.vm_summaries().into_iter().map(|vm| vm.id).collect();
         self.links.retain(|_, link| known.contains(link.vm()));
@@ -232,17 +232,17 @@
     );
 }
 
-/// Returns the entry of a life of a VM, if it is the one that its ID's entry is of now.
+/// Returns the entry of a VM's ID if it names this incarnation.
 fn is_listed<'a>(table: &'a VmTable, vm: &VmLife) -> Option<&'a Arc<VmFacts>> {
     table.get(vm.id()).filter(|facts| facts.id == *vm)
 }
 
-fn is_reborn(facts: &VmFacts, old: &VmSummary) -> bool {
-    let same_name = !old.name.is_empty() && facts.name == old.name;
-    (same_name || facts.id.id() == old.id.id()) && facts.id != old.id
+fn is_reborn(facts: &VmFacts, previous: &VmSummary) -> bool {
+    let same_name = !previous.name.is_empty() && facts.name == previous.name;
+    (same_name || facts.id.id() == previous.id.id()) && facts.id != previous.id
 }
 
-/// Returns after how long a lease that was given at the latest now is surely over.
+/// Returns after how long a lease that was given no later than now has certainly ended.
 fn lease_bound(length: Ms) -> Ms {
     let lease = TaskLease::new(length, 0);
     (length..).find(|&at| lease.is_over(at)).unwrap_or(length)
--- a/crates/scheduler/src/pool_log/mod.rs
+++ b/crates/scheduler/src/pool_log/mod.rs
@@ -1,7 +1,7 @@
-//! One pool's records, as this node has read them.
+//! The records of one pool that this node has read.
 
-mod lanes;
 mod read;
+mod submission_partitions;
 
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -21,24 +21,24 @@
 use crate::owner::Event;
 use crate::read_failures::ReadFailures;
 use crate::submit::{Submission, start_submitter};
-use lanes::Lane;
+use submission_partitions::Lane;
 
-/// The partition to which any node appends submissions and cancels.
+/// The partition to which any node appends submissions and cancellations.
 pub const SUBMISSIONS: u32 = 0;
 /// The partition to which only the pool's owner appends.
 pub const PROGRESS: u32 = 1;
-/// The partition to which any node appends submissions and cancels that the first one does not take:
-/// an outage of the store may concern some partitions only.
+/// The fallback partition, to which any node appends submissions and cancellations that the first one does not
+/// accept: an outage of the store may affect only some partitions.
 pub const SPARE: u32 = 2;
-/// The partition to which the owner appends progress that its first one does not take, until that
-/// one does.
+/// The fallback partition of progress, to which the owner appends while the first one does not accept records.
 pub const SPARE_PROGRESS: u32 = 3;
-/// Where progress goes while neither of the two takes it; an owner tells so before.
+/// The overflow partitions, to which progress is appended while neither of the two accepts it; an owner announces
+/// this before.
 pub const FURTHER_PROGRESS: [u32; 2] = [5, 7];
-/// Where submissions may go, in the order in which they are tried.
+/// The partitions of submissions, in the order in which they are tried.
 pub const LANES: [u32; 2] = [SUBMISSIONS, SPARE];
-/// How old a reading of the spare partition may be when callers ask, in milliseconds: half of the
-/// time within which each node is to show a job.
+/// How old the last read of the fallback partition may be when a caller's request is answered, in milliseconds: half of
+/// the time within which each node has to show a job.
 pub const SPARE_AGE_MS: Ms = 1_500;
 
 /// Returns the topic of a pool's partitions.
@@ -46,44 +46,44 @@
     format!("jobs.{pool}")
 }
 
-/// How far a partition was read.
+/// The position up to which a partition was read.
 #[derive(Debug, Default)]
 struct Cursor {
-    /// The offset of the next record; none before the newest of each key were read.
+    /// The offset of the next record; `None` until the newest record of each key was read.
     next: Option<u64>,
-    /// When the last read that reached the end was begun.
+    /// When the last read that reached the end was started.
     read_at: Ms,
-    /// Reads that failed since one was answered.
+    /// The failed reads since the last one that succeeded.
     failures: ReadFailures,
 }
 
-/// One pool's records, as this node has read them.
+/// The records of one pool that this node has read.
 pub struct PoolLog {
     /// The pool.
     pub pool: Arc<str>,
-    /// The topic of its partitions.
+    /// The topic of the pool's partitions.
     pub topic: String,
     jobs: Mutex<JobLog>,
     cursors: [tokio::sync::Mutex<Cursor>; 6],
-    /// Jobs whose progress stands elsewhere than in its first partition, and where, as far as that was read.
+    /// The jobs whose progress was read from a fallback or overflow partition, with that partition.
     spilled: Mutex<BTreeSet<(JobId, u32)>>,
-    /// Where the owner on this node takes in changes.
+    /// The channel that sends changes to the owner on this node.
     owner: Mutex<Option<UnboundedSender<Event>>>,
     owned: Owned,
-    /// This node reads it on though it does not own it, and has read all that there was.
+    /// Whether this node follows the pool's records without owning it, and has caught up once.
     reading_on: AtomicBool,
-    /// It is known to have had an owner.
+    /// Whether the pool is known to have had an owner.
     had_owner: AtomicBool,
     lanes: [Lane; LANES.len()],
-    /// The owner's last read of submissions failed.
+    /// Whether the last read failed.
     in_trouble: AtomicBool,
     submitter: UnboundedSender<Submission>,
-    /// Jobs read so far; for metrics.
+    /// The number of jobs read so far, for metrics.
     pub submitted: AtomicU64,
 }
 
 impl PoolLog {
-    /// Makes a pool's log and starts the tasks that read and write it.
+    /// Creates a pool's log and starts the tasks that read and write it.
     pub fn start(node: &Arc<Node>, pool: &Arc<str>) -> Arc<Self> {
         let (submitter, rx) = tokio::sync::mpsc::unbounded_channel();
         let log = Arc::new(Self {
@@ -107,34 +107,34 @@
         log
     }
 
-    /// Locks what is known of its jobs.
+    /// Locks the known jobs of the pool.
     pub fn jobs(&self) -> MutexGuard<'_, JobLog> {
         lock(&self.jobs)
     }
 
-    /// Returns whether this node reads its records: as its owner, or as one that reads it on.
+    /// Returns whether this node follows the pool's records, as its owner or as a standby.
     pub fn is_read_here(&self) -> bool {
         self.is_owned() || self.reading_on.load(Ordering::Relaxed)
     }
 
-    /// Returns whether an owner runs on this node, so that its progress is known at once.
+    /// Returns whether the owner runs on this node, so that new progress is known immediately.
     pub fn is_owned(&self) -> bool {
         self.owned.get()
     }
 
-    /// Returns whether it has an owner now, by what the caller knows, or has had one.
+    /// Returns whether the pool has an owner now, as the caller states with `has_one`, or had one before.
     pub fn has_had_owner(&self, has_one: bool) -> bool {
         self.had_owner.fetch_or(has_one, Ordering::Relaxed) || has_one
     }
 
-    /// Waits until an owner runs on this node, for no longer than `most`.
+    /// Waits until the owner runs on this node, for at most `most`.
     pub async fn wait_until_owned(&self, most: Duration) {
         self.owned.wait_unless_owned(most).await;
     }
 
-    /// Hands a submission or a cancel to the task that appends.
+    /// Passes a submission or a cancellation to the task that appends.
     pub fn submit(&self, submission: Submission) {
-        // The task ends with the process only; if it has, the caller finds its answer dropped.
+        // The task ends only with the process; the caller then sees its reply channel closed.
         let _ = self.submitter.send(submission);
     }
 
@@ -149,28 +149,28 @@
         }
     }
 
-    /// Returns whether the spare partition holds, or held, anything, as far as it was read.
+    /// Returns whether the fallback partition holds or has held any record, or was not read yet.
     pub async fn spare_was_used(&self) -> bool {
         self.cursor(SPARE).lock().await.next.is_none_or(|next| next > 0)
     }
 
-    /// Notes which jobs' progress stands elsewhere than in its first partition.
+    /// Records which jobs have progress in a fallback or overflow partition.
     fn note_spilled(&self, part: u32, records: &[Stored]) {
         if part != SPARE_PROGRESS && !FURTHER_PROGRESS.contains(&part) {
             return;
         }
-        let mut spilled = lock(&self.spilled);
+        let mut overflowed = lock(&self.spilled);
         for Stored { record, .. } in records {
             let Some(id) = job_of_progress_key(&record.key) else { continue };
             if record.value().is_some() {
-                spilled.insert((id, part));
+                overflowed.insert((id, part));
             } else {
-                spilled.remove(&(id, part));
+                overflowed.remove(&(id, part));
             }
         }
     }
 
-    /// Returns the jobs whose progress stands elsewhere, and where, for a new owner.
+    /// Returns the jobs with progress in a fallback or overflow partition, with that partition, for a new owner.
     pub fn spilled(&self) -> BTreeSet<(JobId, u32)> {
         lock(&self.spilled).clone()
     }
@@ -182,12 +182,12 @@
         }
     }
 
-    /// Takes in the newest record of each key of a partition: what it lacks was dropped.
+    /// Applies the newest record of each key of a partition. Jobs without a record there were dropped.
     fn reload(&self, part: u32, records: &[Stored]) {
         if LANES.contains(&part) {
             let newest = records.iter().filter(|stored| stored.record.value().is_some());
-            let there = newest.filter_map(|stored| job_of_submit_key(&stored.record.key)).collect();
-            self.jobs().reloaded(part, &there);
+            let jobs = newest.filter_map(|stored| job_of_submit_key(&stored.record.key)).collect();
+            self.jobs().reloaded(part, &jobs);
         }
         self.apply(part, records);
     }
@@ -207,13 +207,13 @@
             self.submitted.fetch_add(1, Ordering::Relaxed);
         }
         if let Some(tx) = &*lock(&self.owner) {
-            // An owner that has just ended needs no news.
+            // The owner may just have ended, and then needs no event.
             let _ = tx.send(Event::Log(change));
         }
     }
 
-    /// Takes in submissions and cancels that this node has just appended. Records of other nodes
-    /// that lie before them go first: a cancel may have come before its job.
+    /// Applies submissions and cancellations that this node has just appended. Earlier records of other
+    /// nodes are applied first: a cancellation may precede its job.
     pub async fn apply_own(
         &self,
         node: &Node,
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Takes in progress that this node has just appended as owner.
+    /// Applies progress that this node has just appended as owner.
     pub async fn apply_progress(&self, records: Vec<(JobId, Version, Progress)>, place: Place) {
         let mut cursor = self.cursor(place.part).lock().await;
         if cursor.next == Some(place.offset) {
@@ -253,7 +253,7 @@
     }
 
     /// Connects an owner on this node, or disconnects it. Returns the jobs locked, so that the
-    /// owner takes in what is there before anything new is handed to it.
+    /// owner adopts the known jobs before it receives any change.
     pub fn connect_owner(&self, tx: Option<UnboundedSender<Event>>) -> MutexGuard<'_, JobLog> {
         let jobs = self.jobs();
         self.owned.set(tx.is_some());
--- a/crates/scheduler/src/pool_log/read.rs
+++ b/crates/scheduler/src/pool_log/read.rs
@@ -1,4 +1,4 @@
-//! Reading a pool's partitions.
+//! Reads a pool's partitions.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -11,23 +11,23 @@
 use crate::clock::steady_ms;
 use crate::node::Node;
 
-/// How often a node that reads a pool without owning it reads on, so that it has little to read when it
-/// comes to own it; what callers ask for is read when they ask.
+/// How often a standby reads new records of a pool, so that it has few left to read when it takes the
+/// pool over. Records that callers request are read on request.
 const READ_EVERY: Duration = Duration::from_millis(4_000);
-/// How old what was read may be for a partition to be read on from there, in milliseconds; the newest
-/// record of each key is less than the history of such a time, as progress is written whole each time.
+/// The age of the last complete read up to which a partition is read on from there, in milliseconds. After a longer
+/// time, the newest record of each key is smaller than the records since, as each progress record is written whole.
 const READ_ON_WITHIN_MS: Ms = 10_000;
-/// How long the owner's read waits for submissions: the longest delay of a job whose append was
-/// under way when the read arrived, and so does not wake it.
+/// How long the owner's read waits for submissions. An append that is in flight when the read arrives does not
+/// end the wait, so this is the longest delay of its job.
 const WAIT: Duration = Duration::from_millis(250);
 /// Pause after a failure.
 const PAUSE: Duration = Duration::from_millis(100);
-/// How often the owner reads the spare partition while the first one answers, and otherwise.
+/// How often the owner reads the fallback partition while the first one answers, and otherwise.
 const SPARE_EVERY: Duration = Duration::from_millis(1_000);
 const SPARE_EVERY_IN_TROUBLE: Duration = Duration::from_millis(150);
 
 impl PoolLog {
-    /// Makes sure that everything the store had at `since` was read.
+    /// Reads a partition until all records that the store had at `since` are applied.
     pub async fn catch_up(&self, node: &Node, part: u32, since: Ms) -> Result<(), StoreError> {
         let mut cursor = self.cursor(part).lock().await;
         while cursor.read_at < since {
@@ -80,20 +80,20 @@
         }
     }
 
-    /// Reads what is new, for a node that stands by.
+    /// Reads new records for a standby.
     async fn read_on_once(&self, node: &Node) -> Result<(), StoreError> {
         let since = steady_ms();
         self.catch_up(node, SUBMISSIONS, since).await?;
         self.catch_up(node, PROGRESS, since).await
     }
 
-    /// Waits for new submissions and takes them in; for the owner, who acts on them at once.
+    /// Waits for new submissions and applies them, for the owner, which handles them immediately.
     async fn wait_for_submissions(&self, node: &Node) -> Result<(), StoreError> {
         let began = steady_ms();
         let Some(from) = self.cursor(SUBMISSIONS).lock().await.next else {
             return self.catch_up(node, SUBMISSIONS, began).await;
         };
-        // The cursor is free while this waits, so that callers' reads go on.
+        // The cursor is not locked during the wait, so that reads for callers can continue.
         let batch = match node.store.read(&self.topic, SUBMISSIONS, from, WAIT).await {
             Ok(batch) => batch,
             Err(ReadError::Dropped) => {
@@ -119,10 +119,10 @@
         Ok(())
     }
 
-    /// Reads all that a new owner must know; `further` tells that progress may stand in further partitions. Jobs of the spare partition are read later if it does
-    /// not answer, unless some of them have begun.
-    pub async fn read_all(&self, node: &Node, since: Ms, further: bool) -> Result<(), StoreError> {
-        if further {
+    /// Reads all records that a new owner needs; `overflow` states whether progress may be in the overflow partitions. If the
+    /// fallback partition of submissions does not answer, its jobs are read later, unless some of them have started.
+    pub async fn read_all(&self, node: &Node, since: Ms, overflow: bool) -> Result<(), StoreError> {
+        if overflow {
             let parts = FURTHER_PROGRESS.map(|part| self.catch_up(node, part, since));
             futures::future::try_join_all(parts).await?;
         }
@@ -144,10 +144,10 @@
     }
 }
 
-/// Reads a pool on for its owner, and on the few nodes that stand by; on all others not at all.
+/// Follows a pool's records on its owner and on the few standbys. Other nodes do not follow them.
 pub(super) async fn read_on(node: Arc<Node>, log: Arc<PoolLog>) {
     loop {
-        // What a node that does not hear the others is to read stays as it was.
+        // A node that cannot receive heartbeats keeps its current role.
         let reads = node.reads(&log.pool).unwrap_or_else(|| log.is_read_here());
         if !log.is_owned() && !reads {
             log.reading_on.store(false, Ordering::Relaxed);
@@ -175,13 +175,13 @@
     }
 }
 
-/// Half of a pause to all of it: nodes that were started at once do not read at once.
+/// Returns a random duration between half of a pause and all of it, so that nodes started together do not read at the same time.
 fn about(pause: Duration) -> Duration {
     pause.mul_f64(rand::random_range(0.5..1.0))
 }
 
-/// Reads the spare partition for the owner. Other nodes read it when they are asked for a job that
-/// they do not know.
+/// Reads the fallback partition of submissions for the owner. Other nodes read it when a caller requests a job
+/// that they do not know.
 pub(super) async fn read_spare_on(node: Arc<Node>, log: Arc<PoolLog>) {
     loop {
         let in_trouble = log.in_trouble.load(Ordering::Relaxed);
--- a/crates/scheduler/src/pool_log/lanes.rs
+++ b/crates/scheduler/src/pool_log/submission_partitions.rs
@@ -1,4 +1,4 @@
-//! The partitions that submissions may go to, and whether they take any.
+//! The partitions of submissions, and whether each accepts appends.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,22 +8,23 @@
 use super::{PoolLog, SPARE};
 use crate::node::Node;
 
-/// Pause before a partition that does not answer is asked again: a probe is one small read.
+/// Pause before an unresponsive partition is probed again: a probe is one small read.
 const ASK_PAUSE: Duration = Duration::from_millis(250);
-/// How long a submission waits for a partition that has just left an append unanswered to be asked: above this the store
-/// counts as slow. When answers get lost the probe is answered in 4 ms; in an outage callers are refused this soon.
+/// How long a submission waits for the probe of a partition that has left an append unanswered; a store that takes longer
+/// counts as slow. If only an answer was lost, the probe is answered in 4 ms. In an outage callers are refused after
+/// this time.
 const ASKED_WITHIN: Duration = Duration::from_millis(60);
 
-/// How a partition took submissions lately.
+/// The state of a partition of submissions.
 #[derive(Debug, Default)]
 pub(super) struct Lane {
-    /// It has left an append unanswered, and has not answered since.
+    /// Whether the partition has left an append unanswered and has not answered since.
     suspect: watch::Sender<bool>,
 }
 
 impl PoolLog {
-    /// Takes in that an append of submissions to a partition was not answered, and asks it until it answers. No
-    /// caller waits for that: one in each half second was held for 0.8 s by it.
+    /// Records that a partition did not answer an append of submissions, and probes it until it answers. The probes run in
+    /// a task of their own: made by callers, they held up one caller in each half second for 0.8 s.
     pub fn suspect(self: &Arc<Self>, node: &Arc<Node>, part: u32) {
         if self.lane(part).suspect.send_replace(true) {
             return;
