--- a/crates/scheduler/src/control/mod.rs
+++ b/crates/scheduler/src/control/mod.rs
@@ -76,8 +76,11 @@
 
 /// Returns the pools whose records announce that their progress may be in overflow partitions.
 fn lanes_of(records: &[Stored]) -> HashSet<Arc<str>> {
-    let open = records.iter().filter(|stored| stored.record.value().is_some());
-    open.filter_map(|stored| stored.record.key.strip_prefix(LANES_PREFIX)).map(Arc::from).collect()
+    let open_records = records.iter().filter(|stored| stored.record.value().is_some());
+    open_records
+        .filter_map(|stored| stored.record.key.strip_prefix(LANES_PREFIX))
+        .map(Arc::from)
+        .collect()
 }
 
 fn take_claim(node: &Node, stored: &Stored) {
--- a/crates/scheduler/src/fleet_owner/mod.rs
+++ b/crates/scheduler/src/fleet_owner/mod.rs
@@ -303,7 +303,8 @@
 
 fn fleet_vm(machine: Machine, table: &VmTable) -> FleetVm {
     // The machine service reports only IDs; the incarnation of a VM that is not listed yet is unknown.
-    let incarnation = |id: Arc<str>| table.get(&id).map_or(id, |facts| facts.id.to_string().into());
+    let incarnation_of =
+        |id: Arc<str>| table.get(&id).map_or(id, |facts| facts.id.to_string().into());
     let state = match machine.state {
         MachineState::Up => VmState::Up,
         MachineState::Moving | MachineState::Upkeep => VmState::Away,
@@ -315,6 +316,6 @@
         state,
         hall: machine.hall,
         rack: machine.rack,
-        incarnation: machine.incarnation.map(incarnation),
+        incarnation: machine.incarnation.map(incarnation_of),
     }
 }
--- a/crates/scheduler/src/owner/advisor.rs
+++ b/crates/scheduler/src/owner/advisor.rs
@@ -48,8 +48,8 @@
 ) {
     while let Some(request) = rx.recv().await {
         let step = request.step;
-        let tickets = ask(&client, &request).await;
-        if events.send(Event::Advised(step, tickets)).is_err() {
+        let answer = ask(&client, &request).await;
+        if events.send(Event::Advised(step, answer)).is_err() {
             return;
         }
     }
--- a/crates/scheduler/src/owner/link/orders.rs
+++ b/crates/scheduler/src/owner/link/orders.rs
@@ -93,11 +93,11 @@
             link.vm
         );
     }
-    let mut may_have_arrived = false;
+    let mut maybe_arrived = false;
     let mut deadline_ms = None;
     loop {
         if !link.until_may_send().await {
-            log_dropped(link, order.run, may_have_arrived);
+            log_dropped(link, order.run, maybe_arrived);
             return None;
         }
         // A copy carries the deadline of the first send and does not extend the lease. If the VM is unresponsive at the
@@ -108,7 +108,7 @@
         deadline_ms = Some(until);
         // Checked after the lease was given: a lease given after the loss would make the order valid again.
         if link.newest_loss.is_after(taken_in) {
-            log_dropped(link, order.run, may_have_arrived);
+            log_dropped(link, order.run, maybe_arrived);
             return None;
         }
         match link.pending_starts.get(order.run) {
@@ -117,12 +117,12 @@
                 // Sent in parallel with the stop of the same run, the start could arrive first and run a task of a cancelled
                 // job. The outcome of copies that were sent before is known once the stop is answered.
                 log::info!("start step=called-off run={} vm={}", order.run, link.vm);
-                return (!may_have_arrived).then_some(StartResult::NotTaken);
+                return (!maybe_arrived).then_some(StartResult::NotTaken);
             }
             // Another copy could start a finished task again in the VM's next incarnation.
             Pending::Listed => return Some(StartResult::StartedWithCopies),
         }
-        if may_have_arrived && lock(&link.lease).is_silent() {
+        if maybe_arrived && lock(&link.lease).is_silent() {
             // The next incarnation could accept a copy, whose lease would start then and end later than the owner expects.
             tokio::time::sleep(RETRY).await;
             continue;
@@ -131,11 +131,11 @@
             tokio::time::sleep(RETRY).await;
             continue;
         }
-        let refused = if may_have_arrived { StartResult::Unclear } else { StartResult::NotTaken };
+        let refused = if maybe_arrived { StartResult::Unclear } else { StartResult::NotTaken };
         if link.is_evacuated() {
             // A copy that was sent before may run; another one could start the task long after the hall was evacuated.
             log::info!(
-                "start step=hall-evacuated run={} vm={} hall={} sent={may_have_arrived}",
+                "start step=hall-evacuated run={} vm={} hall={} sent={maybe_arrived}",
                 order.run,
                 link.vm,
                 link.hall
@@ -152,15 +152,15 @@
             ticket: order.ticket.as_deref(),
         };
         match link.client.start(start).await {
-            Ok(StartAnswer::Started) if may_have_arrived => {
+            Ok(StartAnswer::Started) if maybe_arrived => {
                 return Some(StartResult::StartedWithCopies);
             }
             Ok(StartAnswer::Started) => return Some(StartResult::Started),
-            Ok(StartAnswer::NoRoom) if !may_have_arrived => return Some(StartResult::NoRoom),
-            Err(OrderError::Unhealthy(_)) if !may_have_arrived => {
+            Ok(StartAnswer::NoRoom) if !maybe_arrived => return Some(StartResult::NoRoom),
+            Err(OrderError::Unhealthy(_)) if !maybe_arrived => {
                 return Some(StartResult::Unhealthy);
             }
-            Err(OrderError::NotSent(_)) if !may_have_arrived => {
+            Err(OrderError::NotSent(_)) if !maybe_arrived => {
                 return Some(StartResult::Unhealthy);
             }
             Ok(answer) => {
@@ -171,7 +171,7 @@
             Err(e) => {
                 log::info!("start step=no-answer run={} vm={} error=\"{e}\"", order.run, link.vm);
                 if matches!(e, OrderError::Unanswered(_) | OrderError::Malformed(_)) {
-                    may_have_arrived = true;
+                    maybe_arrived = true;
                     lock(&link.lease).note_unanswered_start(steady_ms());
                 }
             }
--- a/crates/scheduler/src/owner/vms.rs
+++ b/crates/scheduler/src/owner/vms.rs
@@ -53,11 +53,11 @@
         self.watch_orphans();
     }
 
-    /// Replaces the IDs of entries without a start time with the incarnations that have answered on their links.
+    /// Fills in, for entries without a start time, the incarnation that has answered on the VM's link.
     fn name_lives<'a>(&self, table: &'a VmTable) -> Cow<'a, VmTable> {
         let answered = |facts: &VmFacts| {
             let current = self.links.get(facts.id.id()).map(Link::vm);
-            current.filter(|vm| facts.id.born().is_none() && vm.born().is_some()).cloned()
+            current.filter(|current| facts.id.born().is_none() && current.born().is_some()).cloned()
         };
         if !table.values().any(|facts| answered(facts).is_some()) {
             return Cow::Borrowed(table);
--- a/crates/scheduler/src/pool_log/mod.rs
+++ b/crates/scheduler/src/pool_log/mod.rs
@@ -186,8 +186,8 @@
     fn reload(&self, part: u32, records: &[Stored]) {
         if LANES.contains(&part) {
             let newest = records.iter().filter(|stored| stored.record.value().is_some());
-            let jobs = newest.filter_map(|stored| job_of_submit_key(&stored.record.key)).collect();
-            self.jobs().reloaded(part, &jobs);
+            let kept = newest.filter_map(|stored| job_of_submit_key(&stored.record.key)).collect();
+            self.jobs().reloaded(part, &kept);
         }
         self.apply(part, records);
     }
--- a/crates/scheduler/src/pool_log/read.rs
+++ b/crates/scheduler/src/pool_log/read.rs
@@ -126,14 +126,14 @@
             let parts = FURTHER_PROGRESS.map(|part| self.catch_up(node, part, since));
             futures::future::try_join_all(parts).await?;
         }
-        let (submissions, progress, spare_progress, spare) = tokio::join!(
+        let (submissions, progress, fallback_progress, fallback) = tokio::join!(
             self.catch_up(node, SUBMISSIONS, since),
             self.catch_up(node, PROGRESS, since),
             self.catch_up(node, SPARE_PROGRESS, since),
             self.catch_up(node, SPARE, since),
         );
-        submissions.and(progress).and(spare_progress)?;
-        match spare {
+        submissions.and(progress).and(fallback_progress)?;
+        match fallback {
             Err(e) if self.jobs().has_begun_unseen() => Err(e),
             Err(e) => {
                 log::info!("jobs step=spare-not-read pool={} error=\"{e}\"", self.pool);
@@ -184,8 +184,8 @@
 /// that they do not know.
 pub(super) async fn read_spare_on(node: Arc<Node>, log: Arc<PoolLog>) {
     loop {
-        let in_trouble = log.in_trouble.load(Ordering::Relaxed);
-        tokio::time::sleep(if in_trouble { SPARE_EVERY_IN_TROUBLE } else { SPARE_EVERY }).await;
+        let has_failed = log.in_trouble.load(Ordering::Relaxed);
+        tokio::time::sleep(if has_failed { SPARE_EVERY_IN_TROUBLE } else { SPARE_EVERY }).await;
         if !log.is_owned() {
             continue;
         }
