--- a/crates/scheduler/src/caps/mod.rs
+++ b/crates/scheduler/src/caps/mod.rs
@@ -27,8 +27,8 @@
 /// The prefix of the keys of reports of cap use; a hash of the names of the pool and the workspace follows.
 pub const USE_PREFIX: &str = "use/";
 
-/// The key of the configuration version for which the splits are valid. It sorts before all other keys, so that pages of
-/// newest records never contain a newer version than the splits that follow.
+/// The key of the configuration version for which the splits are valid. It sorts before all other keys, so that pages
+/// of newest records never contain a newer version than the splits that follow.
 const AS_OF_KEY: &str = "as-of";
 
 /// The lent shares of all caps.
--- a/crates/scheduler/src/control/heartbeat.rs
+++ b/crates/scheduler/src/control/heartbeat.rs
@@ -29,9 +29,9 @@
 /// The time between two heartbeats of a node that owns nothing, in milliseconds.
 const IDLE_HEARTBEAT_MS: Ms = 2_500;
 
-/// Sends heartbeats and reads those of other nodes, concurrently: a heartbeat that a slow store leaves unanswered takes
-/// seconds, and a node that receives no heartbeats meanwhile claims no pool. With a store slowed down 46 times, a
-/// released pool had no owner for 1.5 s after all nodes knew of its release.
+/// Sends heartbeats and reads those of other nodes, concurrently: a heartbeat that a slow store leaves unanswered
+/// takes seconds, and a node that receives no heartbeats meanwhile claims no pool. With a store slowed down 46 times,
+/// a released pool had no owner for 1.5 s after all nodes knew of its release.
 pub async fn run(node: Arc<Node>) {
     tokio::join!(send(&node), hear(&node), hear_aside(&node));
 }
@@ -141,8 +141,8 @@
     false
 }
 
-/// Waits until the next heartbeat is due. A node that owns nothing sends few: all heartbeats share one
-/// partition, which appends one at a time.
+/// Waits until the next heartbeat is due. A node that owns nothing sends few: all heartbeats share one partition,
+/// which appends one at a time.
 async fn until_next_beat(node: &Node, sent_at: Ms) {
     loop {
         tokio::time::sleep(HEARTBEAT_EVERY).await;
--- a/crates/scheduler/src/control/mod.rs
+++ b/crates/scheduler/src/control/mod.rs
@@ -234,8 +234,8 @@
     }
 }
 
-/// How long to wait for orders that are in flight when the owner of the fleet stops: the machine
-/// service answers within about 20 ms.
+/// How long to wait for orders that are in flight when the owner of the fleet stops: the machine service answers
+/// within about 20 ms.
 const LAST_ORDERS: Duration = Duration::from_millis(150);
 /// How often the release of pools is tried; other nodes claim them after the lease ends anyway.
 const RELEASE_TRIES: u32 = 10;
--- a/crates/scheduler/src/control/overflow.rs
+++ b/crates/scheduler/src/control/overflow.rs
@@ -2,9 +2,9 @@
 //! announces this in the partition of claims.
 //!
 //! A claim is accepted only at the end of the partition that its node has read, so a new owner has read all earlier
-//! announcements. It therefore knows every partition to which its predecessor may have written, and normally fences and
-//! reads only two. Always using four partitions was rejected, as a new owner would have to fence and read all of them:
-//! with 35% of partitions down that succeeds at once in 18 of 100 cases, and with two partitions in 42.
+//! announcements. It therefore knows every partition to which its predecessor may have written, and normally fences
+//! and reads only two. Always using four partitions was rejected, as a new owner would have to fence and read all of
+//! them: with 35% of partitions down that succeeds at once in 18 of 100 cases, and with two partitions in 42.
 
 use std::sync::Arc;
 
@@ -18,8 +18,8 @@
 pub(super) const LANES_PREFIX: &str = "lanes/";
 
 /// Announces that a pool's progress may also be in the overflow partitions, or no longer is. Returns whether the
-/// announcement was certainly written; a node that no longer owns the pool cannot write it. An unanswered announcement
-/// may still be written, unless another announcement or a claim comes first.
+/// announcement was certainly written; a node that no longer owns the pool cannot write it. An unanswered
+/// announcement may still be written, unless another announcement or a claim comes first.
 pub async fn announce(node: &Node, pool: &Arc<str>, token: u64, open: bool) -> bool {
     let Some(end) = node.claims_end.get() else { return false };
     // This node owns the pool according to the records before `end`; the guard rejects the append if any other follows.
--- a/crates/scheduler/src/fleet_owner/mod.rs
+++ b/crates/scheduler/src/fleet_owner/mod.rs
@@ -196,8 +196,8 @@
         Ok(())
     }
 
-    /// Writes the rows that differ from the record in the store, in as many appends as needed. Orders are sent after the
-    /// last append.
+    /// Writes the rows that differ from the record in the store, in as many appends as needed. Orders are sent after
+    /// the last append.
     async fn write_changes(&mut self, now: &FleetRecord) -> Result<(), Fenced> {
         let mut records: Vec<KeyedRecord> =
             now.changes_since(&self.written).iter().map(rows::to_record).collect();
--- a/crates/scheduler/src/fleet_owner/records.rs
+++ b/crates/scheduler/src/fleet_owner/records.rs
@@ -14,8 +14,8 @@
 use crate::locks::lock;
 use crate::node::Node;
 
-/// The shortest time for which a predecessor that did not release the fleet has sent no order, in
-/// milliseconds: another node replaces it at least this long after its lease ended or it restarted.
+/// The shortest time for which a predecessor that did not release the fleet has sent no order, in milliseconds:
+/// another node replaces it at least this long after its lease ended or it restarted.
 const SILENT_SINCE_MS: Ms = 400;
 /// Margin added to the shortest time between orders of different nodes, in milliseconds.
 const GAP_MARGIN_MS: Ms = 300;
@@ -42,8 +42,9 @@
 pub(super) fn hold_off(node: &Node, record: Option<&FleetRecord>) -> HoldOff {
     let gap = u64::try_from(node.settings.machine_order_gap.0.as_millis()).unwrap_or(Ms::MAX);
     let gap = gap + GAP_MARGIN_MS;
-    // Without a record no order was sent yet. This node's own orders need no wait, unless an owner here ended by itself and
-    // its orders may be in flight. A predecessor that released the fleet had its last order answered before.
+    // Without a record no order was sent yet. This node's own orders need no wait, unless an owner here ended by
+    // itself and its orders may be in flight. A predecessor that released the fleet had its last order answered
+    // before.
     let ended = lock(&node.ownership).has_ended(FLEET);
     let other_writer = record.is_some_and(|record| record.owner != node.me.name || ended);
     if !other_writer || lock(&node.ownership).was_given_up(FLEET) {
@@ -74,8 +75,8 @@
     readable
 }
 
-/// Reads the record after all other writers are fenced. Returns `Some(None)` if there is no record, and `None` if a row
-/// is unreadable and the task has to end.
+/// Reads the record after all other writers are fenced. Returns `Some(None)` if there is no record, and `None` if a
+/// row is unreadable and the task has to end.
 pub(super) async fn read_record(node: &Node) -> Option<Option<FoundRecord>> {
     loop {
         match node.store.newest(TOPIC, RECORD).await {
--- a/crates/scheduler/src/owner/incarnation_times.rs
+++ b/crates/scheduler/src/owner/incarnation_times.rs
@@ -24,8 +24,8 @@
         self.first_listed.retain(|vm, _| listed(vm) || known(vm));
     }
 
-    /// Returns whether one incarnation is known to have started after another. The order is unknown if a start time is
-    /// missing and both were first listed together.
+    /// Returns whether one incarnation is known to have started after another. The order is unknown if a start time
+    /// is missing and both were first listed together.
     pub fn is_later(&self, id: &VmLife, than: &VmLife) -> bool {
         if let (Some(later), Some(earlier)) = (id.born(), than.born()) {
             return later > earlier;
--- a/crates/scheduler/src/owner/link/hold.rs
+++ b/crates/scheduler/src/owner/link/hold.rs
@@ -37,8 +37,9 @@
         let sent_at = steady_ms();
         let deadline_ms = lock(&link.lease).give(sent_at);
         let acknowledged = *acked.borrow_and_update();
-        // A VM without a recent answer may have restarted, and its next incarnation numbers ends from 1 and must not drop any
-        // of them. This call therefore acknowledges nothing; the next one, sent right after the answer, acknowledges the ends.
+        // A VM without a recent answer may have restarted, and its next incarnation numbers ends from 1 and must not
+        // drop any of them. This call therefore acknowledges nothing; the next one, sent right after the answer,
+        // acknowledges the ends.
         let same_incarnation = answered_at.is_some_and(|at| sent_at <= at + IN_ITS_LIFE_MS);
         let last_seen = if same_incarnation { acknowledged } else { 0 };
         if last_seen < acknowledged {
@@ -52,8 +53,8 @@
                 continue;
             }
         };
-        // Calls are made one after the other, so a clock that went back shows another incarnation, also of a VM that does not
-        // report its start time.
+        // Calls are made one after the other, so a clock that went back shows another incarnation, also of a VM that
+        // does not report its start time.
         let result = match result {
             Ok(held) if lock(&link.lease).has_begun_anew(held.clock_ms) => {
                 Err(OrderError::StartedAgain(link.vm.clone()))
--- a/crates/scheduler/src/owner/link/mod.rs
+++ b/crates/scheduler/src/owner/link/mod.rs
@@ -25,16 +25,15 @@
 const RETRY: Duration = Duration::from_millis(200);
 /// Pause while this node may not act as owner.
 const NO_LEASE: Duration = Duration::from_millis(50);
-/// How long a call waits for the end of a run where none is expected. A longer wait needs fewer calls; each
-/// call renews the lease.
+/// How long a call waits for the end of a run where none is expected. A longer wait needs fewer calls; each call
+/// renews the lease.
 const WAIT: Duration = Duration::from_millis(1_500);
-/// How long a call waits where tasks run that end by themselves. While a call is left unanswered the
-/// owner cannot receive their ends: at 1.5 s, ends of tasks of one second arrived up to 2.1 s late. On three days on
-/// which VMs leave calls unanswered, this value earned 0.53 of what is due, less costs, instead of 0.49 (means of four
-/// runs).
+/// How long a call waits where tasks run that end by themselves. While a call is left unanswered the owner cannot
+/// receive their ends: at 1.5 s, ends of tasks of one second arrived up to 2.1 s late. On three days on which VMs
+/// leave calls unanswered, this value earned 0.53 of what is due, less costs, instead of 0.49 (means of four runs).
 const WAIT_FOR_ENDS: Duration = Duration::from_millis(500);
-/// How long a call waits where serving and filling tasks run on the same VM, whose usage figures
-/// cover the last half second.
+/// How long a call waits where serving and filling tasks run on the same VM, whose usage figures cover the last half
+/// second.
 const WAIT_CLOSELY: Duration = Duration::from_millis(400);
 /// The most orders of one kind that are in flight to one VM.
 const ORDERS_AT_ONCE: usize = 2;
--- a/crates/scheduler/src/owner/link/orders.rs
+++ b/crates/scheduler/src/owner/link/orders.rs
@@ -14,8 +14,8 @@
 use crate::clock::steady_ms;
 use crate::locks::lock;
 
-/// An order that failed sooner than this is sent again after a pause; one that waited longer for
-/// its answer is sent again immediately.
+/// An order that failed sooner than this is sent again after a pause; one that waited longer for its answer is sent
+/// again immediately.
 const FAILED_AT_ONCE: Duration = Duration::from_millis(50);
 
 /// A start is logged if it waited at least this long for earlier starts to finish.
@@ -71,12 +71,12 @@
     }
 }
 
-/// Sends a start until its outcome is known or it is cancelled. Sending it again is harmless, as the
-/// VM starts a run only once.
+/// Sends a start until its outcome is known or it is cancelled. Sending it again is harmless, as the VM starts a run
+/// only once.
 ///
-/// A start may wait for the store and for earlier starts, and its VM may be lost meanwhile. `handled` is the newest loss
-/// that the owner had handled when it decided. Sent after a later loss, the start would run a task that the owner also
-/// starts elsewhere.
+/// A start may wait for the store and for earlier starts, and its VM may be lost meanwhile. `handled` is the newest
+/// loss that the owner had handled when it decided. Sent after a later loss, the start would run a task that the
+/// owner also starts elsewhere.
 pub(super) async fn start(
     link: &Shared,
     order: &StartOrder,
@@ -100,8 +100,8 @@
             log_dropped(link, order.run, maybe_arrived);
             return None;
         }
-        // A copy carries the deadline of the first send and does not extend the lease. If the VM is unresponsive at the
-        // first send, it gets no lease and the order is not sent.
+        // A copy carries the deadline of the first send and does not extend the lease. If the VM is unresponsive at
+        // the first send, it gets no lease and the order is not sent.
         let Some(until) = deadline_ms.or_else(|| lock(&link.lease).give(steady_ms())) else {
             return Some(StartResult::NotTaken);
         };
@@ -114,8 +114,8 @@
         match link.pending_starts.get(order.run) {
             Pending::Unknown => (),
             Pending::CalledOff => {
-                // Sent in parallel with the stop of the same run, the start could arrive first and run a task of a cancelled
-                // job. The outcome of copies that were sent before is known once the stop is answered.
+                // Sent in parallel with the stop of the same run, the start could arrive first and run a task of a
+                // cancelled job. The outcome of copies that were sent before is known once the stop is answered.
                 log::info!("start step=called-off run={} vm={}", order.run, link.vm);
                 return (!maybe_arrived).then_some(StartResult::NotTaken);
             }
--- a/crates/scheduler/src/owner/mod.rs
+++ b/crates/scheduler/src/owner/mod.rs
@@ -40,8 +40,8 @@
 
 /// The longest time between two steps of the schedule when no event arrives.
 const TICK: Duration = Duration::from_millis(100);
-/// How often all VMs are checked, in milliseconds. Checking them at each step is most of the cost
-/// of a step in a large pool.
+/// How often all VMs are checked, in milliseconds. Checking them at each step is most of the cost of a step in a
+/// large pool.
 const LOOK_EVERY_MS: Ms = 100;
 /// An event that the owner handles.
 #[derive(Debug)]
@@ -238,8 +238,8 @@
         self.look_at_vms();
         self.say_cap_use();
         self.report();
-        // Repairs and purges run after the orders are sent, and not while the store is slow: up to three appends of a quarter
-        // of a second each would delay the orders of each step.
+        // Repairs and purges run after the orders are sent, and not while the store is slow: up to three appends of a
+        // quarter of a second each would delay the orders of each step.
         if self.node.store.is_slow() {
             return Ok(());
         }
--- a/crates/scheduler/src/owner/progress.rs
+++ b/crates/scheduler/src/owner/progress.rs
@@ -16,8 +16,8 @@
 /// The most jobs whose progress is copied back to the first partition in one step.
 const REPAIR_BATCH: usize = 200;
 
-/// The shortest time between two attempts to open or close the overflow partitions, in milliseconds: each attempt is an
-/// append to the partition of claims and may make other nodes retry theirs.
+/// The shortest time between two attempts to open or close the overflow partitions, in milliseconds: each attempt is
+/// an append to the partition of claims and may make other nodes retry theirs.
 const LANES_EVERY_MS: Ms = 300;
 /// How long the overflow partitions must have no writes before they are closed, in milliseconds, as an outage of the
 /// store may pause and resume.
@@ -27,8 +27,8 @@
 #[derive(Debug)]
 pub(super) struct ProgressWriter {
     next: Version,
-    /// Jobs whose newest progress is in a fallback or overflow partition and must be copied to the first one, with that
-    /// partition.
+    /// Jobs whose newest progress is in a fallback or overflow partition and must be copied to the first one, with
+    /// that partition.
     spilled: BTreeSet<(JobId, u32)>,
     /// Jobs whose progress in a fallback or overflow partition is outdated and may be dropped, with that partition.
     repaired: BTreeSet<(JobId, u32)>,
@@ -41,8 +41,8 @@
 }
 
 impl ProgressWriter {
-    /// Creates the writer of a new owner; `overflowed` lists the progress that its predecessors left outside the first
-    /// partition.
+    /// Creates the writer of a new owner; `overflowed` lists the progress that its predecessors left outside the
+    /// first partition.
     pub fn new(token: u64, overflowed: BTreeSet<(JobId, u32)>, overflow_announced: bool) -> Self {
         Self {
             next: Version { token, number: 0 },
@@ -144,9 +144,9 @@
         Ok(())
     }
 
-    /// Opens the overflow partitions because neither the first nor the fallback partition accepts progress. Without them a
-    /// pool made no progress for 5.7 s at the start of its outage, and earned 0.37 of what its kind of request is due on
-    /// such a day.
+    /// Opens the overflow partitions because neither the first nor the fallback partition accepts progress. Without
+    /// them a pool made no progress for 5.7 s at the start of its outage, and earned 0.37 of what its kind of request
+    /// is due on such a day.
     async fn open_further_lanes(&mut self) {
         let is_open = self.journal.parts().any(|part| FURTHER_PROGRESS.contains(&part));
         if is_open || !self.writer.may_try_lanes() {
@@ -170,8 +170,8 @@
         self.writer.further_told = !announce(&self.node, &self.log.pool, self.token, false).await;
     }
 
-    /// Copies progress from the fallback and overflow partitions to the first one once that accepts records, and drops the
-    /// originals: other nodes read only the first partition.
+    /// Copies progress from the fallback and overflow partitions to the first one once that accepts records, and
+    /// drops the originals: other nodes read only the first partition.
     pub(super) async fn repair_progress(&mut self) -> Result<(), Fenced> {
         self.close_further_lanes().await;
         if !self.writer.spilled.is_empty() && self.journal.first_takes_records() {
--- a/crates/scheduler/src/owner/purge.rs
+++ b/crates/scheduler/src/owner/purge.rs
@@ -11,8 +11,8 @@
 
 /// How often settled jobs are checked for expired ones, in milliseconds.
 const PURGE_EVERY_MS: Ms = 5_000;
-/// How much longer than promised settled jobs are kept, in milliseconds: the clocks of callers and
-/// of this node may differ by seconds.
+/// How much longer than promised settled jobs are kept, in milliseconds: the clocks of callers and of this node may
+/// differ by seconds.
 const PURGE_SLACK_MS: Ms = 30_000;
 /// The most settled jobs dropped in one step.
 const PURGE_BATCH: usize = 500;
@@ -53,8 +53,8 @@
             [KeyedRecord::dropping(cancel_key(id)), KeyedRecord::dropping(submit_key(id))]
         };
         let records: Vec<KeyedRecord> = old.iter().flat_map(drop_both).collect();
-        // The first partition goes last: a node that reads the drop there may read the fallback partition later, and must not
-        // find the job in it.
+        // The first partition goes last: a node that reads the drop there may read the fallback partition later, and
+        // must not find the job in it.
         for part in LANES.into_iter().rev() {
             if part == SPARE && !self.log.spare_was_used().await {
                 continue;
--- a/crates/scheduler/src/owner/quota.rs
+++ b/crates/scheduler/src/owner/quota.rs
@@ -37,8 +37,8 @@
 }
 
 impl Owner {
-    /// Applies the workspaces of the current configuration, and starts reading the records of their caps once there are
-    /// any: one call for each change of a pool's owner.
+    /// Applies the workspaces of the current configuration, and starts reading the records of their caps once there
+    /// are any: one call for each change of a pool's owner.
     pub(super) fn take_caps(&mut self) {
         let Some(catalog) = self.node.catalog.borrow().clone() else { return };
         self.pool.set_workspaces(catalog.version, catalog.workspaces.all());
--- a/crates/scheduler/src/owner/report.rs
+++ b/crates/scheduler/src/owner/report.rs
@@ -13,9 +13,9 @@
 use crate::control::{TOPIC, to_json};
 use crate::fleet_owner::{REPORTS, pool_key};
 
-/// The shortest time between two reports, in milliseconds, if a VM has become empty or the pool
-/// needs many more VMs. These intervals, together with following the store's records only on the nodes that need
-/// them, cut calls to the store from 365 to 280 a second on a calm day of 49 VMs and nine nodes.
+/// The shortest time between two reports, in milliseconds, if a VM has become empty or the pool needs many more VMs.
+/// These intervals, together with following the store's records only on the nodes that need them, cut calls to the
+/// store from 365 to 280 a second on a calm day of 49 VMs and nine nodes.
 const AT_ONCE_MS: Ms = 50;
 /// The shortest time, in milliseconds, if VMs have become idle or busy, or the need has changed.
 const EVERY_MS: Ms = 250;
--- a/crates/scheduler/src/owner/start.rs
+++ b/crates/scheduler/src/owner/start.rs
@@ -28,9 +28,9 @@
     let (tx, rx) = unbounded_channel();
     let pool_name = log.pool.clone();
     let began = steady_ms();
-    // No task can start without the VM list. An outage may affect its partition alone, so the owner then continues without
-    // it and still reports on jobs. The wait runs in parallel with the reads: each call to a slow store takes a quarter of
-    // a second.
+    // No task can start without the VM list. An outage may affect its partition alone, so the owner then continues
+    // without it and still reports on jobs. The wait runs in parallel with the reads: each call to a slow store takes
+    // a quarter of a second.
     let (journal, ()) = tokio::join!(open_and_read(&node, &log, token), until_listed(&node));
     let Ok(journal) = journal else {
         log::warn!("owner pool={pool_name} step=fenced token={token}");
--- a/crates/scheduler/src/owner/tokens.rs
+++ b/crates/scheduler/src/owner/tokens.rs
@@ -10,8 +10,8 @@
 pub struct LinkToken {
     /// The token of the owner's claim.
     pub claim: u64,
-    /// The token sent to VMs: higher than those of all earlier owners and of this owner's earlier links. A VM that has
-    /// answered a call of one link rejects all calls of earlier links, also those made to a previous incarnation.
+    /// The token sent to VMs: higher than those of all earlier owners and of this owner's earlier links. A VM that
+    /// has answered a call of one link rejects all calls of earlier links, also those made to a previous incarnation.
     pub on_the_wire: u64,
 }
 
--- a/crates/scheduler/src/owner/vms.rs
+++ b/crates/scheduler/src/owner/vms.rs
@@ -98,9 +98,9 @@
         }
     }
 
-    /// Reports an unlisted incarnation as lost if a later one of its VM is listed. An incarnation that still answers is not
-    /// gone, whatever an entry for its VM states. The entry of an earlier incarnation, which remains for a while after its
-    /// end, is no evidence about this one.
+    /// Reports an unlisted incarnation as lost if a later one of its VM is listed. An incarnation that still answers
+    /// is not gone, whatever an entry for its VM states. The entry of an earlier incarnation, which remains for a
+    /// while after its end, is no evidence about this one.
     fn note_if_reborn(&self, vm: &VmSummary, table: &VmTable) {
         if vm.reachable && self.link(&vm.id).is_some_and(|link| !link.is_over()) {
             return;
--- a/crates/scheduler/src/pool_log/mod.rs
+++ b/crates/scheduler/src/pool_log/mod.rs
@@ -37,8 +37,8 @@
 pub const FURTHER_PROGRESS: [u32; 2] = [5, 7];
 /// The partitions of submissions, in the order in which they are tried.
 pub const LANES: [u32; 2] = [SUBMISSIONS, SPARE];
-/// How old the last read of the fallback partition may be when a caller's request is answered, in milliseconds: half of
-/// the time within which each node has to show a job.
+/// How old the last read of the fallback partition may be when a caller's request is answered, in milliseconds: half
+/// of the time within which each node has to show a job.
 pub const SPARE_AGE_MS: Ms = 1_500;
 
 /// Returns the topic of a pool's partitions.
@@ -212,8 +212,8 @@
         }
     }
 
-    /// Applies submissions and cancellations that this node has just appended. Earlier records of other
-    /// nodes are applied first: a cancellation may precede its job.
+    /// Applies submissions and cancellations that this node has just appended. Earlier records of other nodes are
+    /// applied first: a cancellation may precede its job.
     pub async fn apply_own(
         &self,
         node: &Node,
--- a/crates/scheduler/src/pool_log/read.rs
+++ b/crates/scheduler/src/pool_log/read.rs
@@ -11,14 +11,14 @@
 use crate::clock::steady_ms;
 use crate::node::Node;
 
-/// How often a standby reads new records of a pool, so that it has few left to read when it takes the
-/// pool over. Records that callers request are read on request.
+/// How often a standby reads new records of a pool, so that it has few left to read when it takes the pool over.
+/// Records that callers request are read on request.
 const READ_EVERY: Duration = Duration::from_millis(4_000);
 /// The age of the last complete read up to which a partition is read on from there, in milliseconds. After a longer
 /// time, the newest record of each key is smaller than the records since, as each progress record is written whole.
 const READ_ON_WITHIN_MS: Ms = 10_000;
-/// How long the owner's read waits for submissions. An append that is in flight when the read arrives does not
-/// end the wait, so this is the longest delay of its job.
+/// How long the owner's read waits for submissions. An append that is in flight when the read arrives does not end
+/// the wait, so this is the longest delay of its job.
 const WAIT: Duration = Duration::from_millis(250);
 /// Pause after a failure.
 const PAUSE: Duration = Duration::from_millis(100);
@@ -119,8 +119,9 @@
         Ok(())
     }
 
-    /// Reads all records that a new owner needs; `overflow` states whether progress may be in the overflow partitions. If the
-    /// fallback partition of submissions does not answer, its jobs are read later, unless some of them have started.
+    /// Reads all records that a new owner needs; `overflow` states whether progress may be in the overflow
+    /// partitions. If the fallback partition of submissions does not answer, its jobs are read later, unless some of
+    /// them have started.
     pub async fn read_all(&self, node: &Node, since: Ms, overflow: bool) -> Result<(), StoreError> {
         if overflow {
             let parts = FURTHER_PROGRESS.map(|part| self.catch_up(node, part, since));
@@ -180,8 +181,8 @@
     pause.mul_f64(rand::random_range(0.5..1.0))
 }
 
-/// Reads the fallback partition of submissions for the owner. Other nodes read it when a caller requests a job
-/// that they do not know.
+/// Reads the fallback partition of submissions for the owner. Other nodes read it when a caller requests a job that
+/// they do not know.
 pub(super) async fn read_spare_on(node: Arc<Node>, log: Arc<PoolLog>) {
     loop {
         let has_failed = log.in_trouble.load(Ordering::Relaxed);
--- a/crates/scheduler/src/pool_log/submission_partitions.rs
+++ b/crates/scheduler/src/pool_log/submission_partitions.rs
@@ -10,9 +10,9 @@
 
 /// Pause before an unresponsive partition is probed again: a probe is one small read.
 const ASK_PAUSE: Duration = Duration::from_millis(250);
-/// How long a submission waits for the probe of a partition that has left an append unanswered; a store that takes longer
-/// counts as slow. If only an answer was lost, the probe is answered in 4 ms. In an outage callers are refused after
-/// this time.
+/// How long a submission waits for the probe of a partition that has left an append unanswered; a store that takes
+/// longer counts as slow. If only an answer was lost, the probe is answered in 4 ms. In an outage callers are refused
+/// after this time.
 const ASKED_WITHIN: Duration = Duration::from_millis(60);
 
 /// The state of a partition of submissions.
@@ -23,8 +23,8 @@
 }
 
 impl PoolLog {
-    /// Records that a partition did not answer an append of submissions, and probes it until it answers. The probes run in
-    /// a task of their own: made by callers, they held up one caller in each half second for 0.8 s.
+    /// Records that a partition did not answer an append of submissions, and probes it until it answers. The probes
+    /// run in a task of their own: made by callers, they held up one caller in each half second for 0.8 s.
     pub fn suspect(self: &Arc<Self>, node: &Arc<Node>, part: u32) {
         if self.lane(part).suspect.send_replace(true) {
             return;
