--- a/crates/scheduler/src/caps/lender.rs
+++ b/crates/scheduler/src/caps/lender.rs
@@ -37,14 +37,14 @@
     );
     let (tx, mut rx) = unbounded_channel();
     let mut owner =
-        Lending { node: node.clone(), lender: Lender::new(table.as_of, records), journal };
+        CapsOwner { node: node.clone(), lender: Lender::new(table.as_of, records), journal };
     let work = async {
         loop {
             if let Ok(Some(cap_use)) = tokio::time::timeout(TICK, rx.recv()).await {
-                owner.take(cap_use);
+                owner.record_use(cap_use);
             }
             while let Ok(cap_use) = rx.try_recv() {
-                owner.take(cap_use);
+                owner.record_use(cap_use);
             }
             if owner.node.may_act(CAPS, token) && owner.step().await == Err(Fenced) {
                 log::warn!("caps step=fenced token={token}");
@@ -72,14 +72,14 @@
     .await;
 }
 
-struct Lending {
+struct CapsOwner {
     node: Arc<Node>,
     lender: Lender,
     journal: Journal,
 }
 
-impl Lending {
-    fn take(&mut self, cap_use: CapUse) {
+impl CapsOwner {
+    fn record_use(&mut self, cap_use: CapUse) {
         log::debug!(
             "caps step=use pool={} workspace={} number={} used={:?} wanted={:?}",
             cap_use.pool,
--- a/crates/scheduler/src/caps/mod.rs
+++ b/crates/scheduler/src/caps/mod.rs
@@ -55,20 +55,23 @@
     node.catalog.borrow().as_ref().is_some_and(|catalog| has_caps(catalog))
 }
 
-fn hashed(prefix: &str, name: &str) -> String {
+fn hashed_key(prefix: &str, name: &str) -> String {
     format!("{prefix}{:016x}{:016x}", weight(name.as_bytes(), 0), weight(name.as_bytes(), 1))
 }
 
 /// Encodes the lent shares of a cap.
 pub fn lent_record(lent: &LentCap) -> KeyedRecord {
     let value = thistle_schedule::job_log::encode(lent);
-    KeyedRecord::new(hashed(LENT_PREFIX, &lent.workspace), value)
+    KeyedRecord::new(hashed_key(LENT_PREFIX, &lent.workspace), value)
 }
 
 /// Encodes a report of cap use.
 pub fn use_record(cap_use: &CapUse) -> KeyedRecord {
     let value = thistle_schedule::job_log::encode(cap_use);
-    KeyedRecord::new(hashed(USE_PREFIX, &format!("{}\n{}", cap_use.pool, cap_use.workspace)), value)
+    KeyedRecord::new(
+        hashed_key(USE_PREFIX, &format!("{}\n{}", cap_use.pool, cap_use.workspace)),
+        value,
+    )
 }
 
 /// Decodes a record; logs and skips one that cannot be read.
@@ -80,7 +83,7 @@
 }
 
 /// Merges records into a table, keeping the newest for each workspace; returns whether the table has changed.
-fn merge(table: &mut LentTable, records: &[Stored]) -> bool {
+fn merge_records(table: &mut LentTable, records: &[Stored]) -> bool {
     let mut changed = false;
     for stored in records {
         if stored.record.key == AS_OF_KEY {
@@ -102,7 +105,7 @@
 /// Reads the current lent shares, so that this node has the newest ones.
 pub async fn read_lent(node: &Node) -> Result<(), StoreError> {
     let newest = node.store.newest(TOPIC, LENT).await?;
-    node.lent.send_if_modified(|table| merge(Arc::make_mut(table), &newest.records));
+    node.lent.send_if_modified(|table| merge_records(Arc::make_mut(table), &newest.records));
     Ok(())
 }
 
@@ -117,7 +120,7 @@
         let records = match update {
             News::Reloaded(records) | News::Records(records) => records,
         };
-        node.lent.send_if_modified(|table| merge(Arc::make_mut(table), &records));
+        node.lent.send_if_modified(|table| merge_records(Arc::make_mut(table), &records));
     };
     // The table is kept afterwards: the next owner here reads newer records before it starts any task.
     follow_while_owning(&node, (TOPIC, LENT), Pace::AtOnce, apply, || ()).await;
--- a/crates/scheduler/src/control/claims_end.rs
+++ b/crates/scheduler/src/control/claims_end.rs
@@ -8,7 +8,7 @@
 
 impl ClaimsEnd {
     /// Records that all records before `end` were applied.
-    pub fn reached(&self, end: u64) {
+    pub fn advance_to(&self, end: u64) {
         // 0 stands for an unknown end.
         self.0.fetch_max(end + 1, Ordering::Relaxed);
     }
--- a/crates/scheduler/src/control/heartbeat.rs
+++ b/crates/scheduler/src/control/heartbeat.rs
@@ -16,13 +16,13 @@
 /// The partition of heartbeats.
 const HEARTBEATS: u32 = 1;
 /// The fallback partition, for heartbeats that the first one does not accept.
-const SPARE_HEARTBEATS: u32 = 4;
+const FALLBACK_HEARTBEATS: u32 = 4;
 /// The prefix of the keys of heartbeats.
 const MEMBER_PREFIX: &str = "member/";
 /// The time between two heartbeats of a node: four of them fit in an owner's lease.
 const HEARTBEAT_EVERY: Duration = Duration::from_millis(450);
 /// The number of heartbeats after which the first partition is tried first again.
-const FIRST_AGAIN_EVERY: u64 = 8;
+const RETRY_FIRST_EVERY: u64 = 8;
 /// How often to check whether all claims were applied, and the pause before each further check.
 const CLAIMS_TRIES: u32 = 10;
 const CLAIMS_PAUSE: Duration = Duration::from_millis(20);
@@ -33,69 +33,69 @@
 /// takes seconds, and a node that receives no heartbeats meanwhile claims no pool. With a store slowed down 46 times,
 /// a released pool had no owner for 1.5 s after all nodes knew of its release.
 pub async fn run(node: Arc<Node>) {
-    tokio::join!(send(&node), hear(&node), hear_aside(&node));
+    tokio::join!(send(&node), follow_heartbeats(&node), poll_fallback_partition(&node));
 }
 
 /// Follows the heartbeats of other nodes.
-async fn hear(node: &Node) {
+async fn follow_heartbeats(node: &Node) {
     let mut tail = Tail::new(TOPIC, HEARTBEATS);
     loop {
         if let Ok(update) = tail.read(&node.store, Duration::ZERO).await {
             // This is the most regular of all calls, so its lack of answers shows an unresponsive store.
             node.standing.note(true);
-            take_beats(node, update);
+            apply_heartbeats(node, update);
         }
         tokio::time::sleep(HEARTBEAT_EVERY).await;
     }
 }
 
 /// Reads the fallback partition of heartbeats while no heartbeat of some owner has arrived for a while.
-async fn hear_aside(node: &Node) {
-    let mut fallback = Tail::new(TOPIC, SPARE_HEARTBEATS);
+async fn poll_fallback_partition(node: &Node) {
+    let mut fallback = Tail::new(TOPIC, FALLBACK_HEARTBEATS);
     loop {
         if lock(&node.ownership).has_quiet_owner(steady_ms()) {
-            listen_aside(node, &mut fallback).await;
+            read_fallback_partition(node, &mut fallback).await;
         }
         tokio::time::sleep(HEARTBEAT_EVERY).await;
     }
 }
 
-async fn listen_aside(node: &Node, fallback: &mut Tail) {
+async fn read_fallback_partition(node: &Node, fallback: &mut Tail) {
     match fallback.read(&node.store, Duration::ZERO).await {
         Ok(update) => {
             let now = steady_ms();
             let mut ownership = lock(&node.ownership);
-            for_each_beat(update, |name, heartbeat| ownership.heard_aside(name, heartbeat, now));
+            apply_each(update, |name, heartbeat| ownership.heard_aside(name, heartbeat, now));
         }
         Err(e) => {
-            log::info!("heartbeat step=not-read part={SPARE_HEARTBEATS} error=\"{e}\"");
+            log::info!("heartbeat step=not-read part={FALLBACK_HEARTBEATS} error=\"{e}\"");
             lock(&node.ownership).forgive_silence(steady_ms());
         }
     }
 }
 
 async fn send(node: &Node) {
-    let mut parts = [HEARTBEATS, SPARE_HEARTBEATS];
+    let mut parts = [HEARTBEATS, FALLBACK_HEARTBEATS];
     let mut sequence = 0;
     loop {
         let sent_at = steady_ms();
         sequence += 1;
-        if sequence % FIRST_AGAIN_EVERY == 0 {
-            parts = [HEARTBEATS, SPARE_HEARTBEATS];
+        if sequence % RETRY_FIRST_EVERY == 0 {
+            parts = [HEARTBEATS, FALLBACK_HEARTBEATS];
         }
         for i in 0..parts.len() {
-            if send_beat(node, parts[i], sequence).await {
+            if send_heartbeat(node, parts[i], sequence).await {
                 // The partition that accepted the heartbeat is tried first next time.
                 parts.swap(0, i);
                 break;
             }
         }
-        until_next_beat(node, sent_at).await;
+        wait_for_next_heartbeat(node, sent_at).await;
     }
 }
 
 /// Sends one heartbeat and returns whether the store accepted it.
-async fn send_beat(node: &Node, part: u32, sequence: u64) -> bool {
+async fn send_heartbeat(node: &Node, part: u32, sequence: u64) -> bool {
     let sent_at = steady_ms();
     let leaving = *node.stopping.borrow();
     let relay = node.settings.relay_listen;
@@ -143,7 +143,7 @@
 
 /// Waits until the next heartbeat is due. A node that owns nothing sends few: all heartbeats share one partition,
 /// which appends one at a time.
-async fn until_next_beat(node: &Node, sent_at: Ms) {
+async fn wait_for_next_heartbeat(node: &Node, sent_at: Ms) {
     loop {
         tokio::time::sleep(HEARTBEAT_EVERY).await;
         let waited = steady_ms().saturating_sub(sent_at);
@@ -153,20 +153,20 @@
     }
 }
 
-fn take_beats(node: &Node, update: News) {
+fn apply_heartbeats(node: &Node, update: News) {
     let now = steady_ms();
     let mut ownership = lock(&node.ownership);
     if ownership.listen(now) {
         log::info!("heartbeat step=listening-again");
     }
     let any = !update.is_empty();
-    for_each_beat(update, |name, heartbeat| ownership.heard(name, heartbeat, now));
+    apply_each(update, |name, heartbeat| ownership.heard(name, heartbeat, now));
     if any {
         node.store.set_peers(ownership.relays(now));
     }
 }
 
-fn for_each_beat(update: News, mut apply: impl FnMut(&str, &Heartbeat)) {
+fn apply_each(update: News, mut apply: impl FnMut(&str, &Heartbeat)) {
     let records = match update {
         News::Reloaded(records) | News::Records(records) => records,
     };
--- a/crates/scheduler/src/control/mod.rs
+++ b/crates/scheduler/src/control/mod.rs
@@ -22,8 +22,8 @@
 use crate::{caps, fleet_owner, owner};
 
 pub use claims_end::ClaimsEnd;
-use overflow::LANES_PREFIX;
-pub use overflow::announce;
+use overflow::OVERFLOW_PREFIX;
+pub use overflow::announce_overflow;
 
 /// The topic of claims and heartbeats.
 pub const TOPIC: &str = "control";
@@ -41,7 +41,7 @@
 pub async fn run(node: Arc<Node>) {
     let follow_claims = follow_claims(node.clone());
     let follow_fleet = fleet_owner::follow_record(node.clone());
-    let claim = claim(node.clone());
+    let claim = run_claims(node.clone());
     let follow_lent = caps::follow_lent(node.clone());
     tokio::join!(follow_claims, follow_fleet, follow_lent, heartbeat::run(node.clone()), claim);
 }
@@ -52,22 +52,22 @@
         let records = match update {
             News::Reloaded(records) => {
                 // Replace all at once, so that a claim made in between misses no announcement.
-                lock(&cx.ownership).replace_further_lanes(lanes_of(&records));
+                lock(&cx.ownership).replace_further_lanes(pools_with_overflow(&records));
                 records
             }
             News::Records(records) => records,
         };
         for stored in records {
-            match stored.record.key.strip_prefix(LANES_PREFIX) {
+            match stored.record.key.strip_prefix(OVERFLOW_PREFIX) {
                 Some(pool) => {
                     let open = stored.record.value().is_some();
                     lock(&cx.ownership).set_further_lanes(&pool.into(), open);
                 }
-                None => take_claim(&cx, &stored),
+                None => apply_claim(&cx, &stored),
             }
         }
         if let Some(next) = tail.next_offset() {
-            cx.claims_end.reached(next);
+            cx.claims_end.advance_to(next);
         }
         cx.ownership_changed.notify_one();
     })
@@ -75,15 +75,15 @@
 }
 
 /// Returns the pools whose records announce that their progress may be in overflow partitions.
-fn lanes_of(records: &[Stored]) -> HashSet<Arc<str>> {
+fn pools_with_overflow(records: &[Stored]) -> HashSet<Arc<str>> {
     let open_records = records.iter().filter(|stored| stored.record.value().is_some());
     open_records
-        .filter_map(|stored| stored.record.key.strip_prefix(LANES_PREFIX))
+        .filter_map(|stored| stored.record.key.strip_prefix(OVERFLOW_PREFIX))
         .map(Arc::from)
         .collect()
 }
 
-fn take_claim(node: &Node, stored: &Stored) {
+fn apply_claim(node: &Node, stored: &Stored) {
     let Some(pool) = stored.record.key.strip_prefix(OWNER_PREFIX) else { return };
     let Some(value) = stored.record.value() else { return };
     match serde_json::from_slice::<Claim>(value) {
@@ -107,7 +107,7 @@
 }
 
 /// Claims pools without an owner, and starts and stops the owners on this node as the claims require.
-async fn claim(node: Arc<Node>) {
+async fn run_claims(node: Arc<Node>) {
     let mut running = Running::new();
     let mut stopping = node.stopping.subscribe();
     loop {
@@ -116,16 +116,16 @@
             () = node.ownership_changed.notified() => (),
             _ = stopping.wait_for(|&stop| stop) => break,
         }
-        for pool in wanted(&node) {
+        for pool in pools_to_claim(&node) {
             claim_pool(&node, &pool).await;
         }
-        start_and_stop(&node, &mut running);
+        reconcile_owners(&node, &mut running);
     }
     release_all(&node, running).await;
     std::future::pending::<()>().await;
 }
 
-fn wanted(node: &Node) -> Vec<Arc<str>> {
+fn pools_to_claim(node: &Node) -> Vec<Arc<str>> {
     let logs = node.pool_logs();
     if !node.standing.in_touch() {
         return Vec::new();
@@ -145,7 +145,7 @@
     let record = KeyedRecord::new(format!("{OWNER_PREFIX}{pool}"), to_json(&claim));
     match node.store.append(TOPIC, CLAIMS, Guard::EndsAt(end), &[record]).await {
         Ok(Appended::Done { offset, end }) => {
-            node.claims_end.reached(end);
+            node.claims_end.advance_to(end);
             node.renew_lease(sent_at);
             lock(&node.ownership).claimed(pool, claim, offset, steady_ms());
         }
@@ -155,18 +155,18 @@
     }
 }
 
-fn start_and_stop(node: &Arc<Node>, running: &mut Running) {
+fn reconcile_owners(node: &Arc<Node>, running: &mut Running) {
     for log in node.pool_logs() {
-        keep_in_step(node, running, &log.pool.clone(), Some(&log));
+        reconcile_owner(node, running, &log.pool.clone(), Some(&log));
     }
-    keep_in_step(node, running, &FLEET.into(), None);
-    keep_in_step(node, running, &CAPS.into(), None);
+    reconcile_owner(node, running, &FLEET.into(), None);
+    reconcile_owner(node, running, &CAPS.into(), None);
     let owning = !running.is_empty();
     node.owning.set(owning);
 }
 
 /// Starts or stops the owner of a pool, or of the fleet or the caps, which have no log.
-fn keep_in_step(
+fn reconcile_owner(
     node: &Arc<Node>,
     running: &mut Running,
     shard: &Arc<str>,
@@ -214,7 +214,7 @@
     let (fleet, pools): (Vec<_>, Vec<_>) = records.into_iter().partition(|r| r.key == fleet);
     // Orders to the machine service that are in flight are answered by then.
     let release_fleet = async {
-        tokio::time::sleep(LAST_ORDERS).await;
+        tokio::time::sleep(LAST_ORDERS_WAIT).await;
         release(node, &fleet).await;
     };
     tokio::join!(release(node, &pools), release_fleet);
@@ -236,6 +236,6 @@
 
 /// How long to wait for orders that are in flight when the owner of the fleet stops: the machine service answers
 /// within about 20 ms.
-const LAST_ORDERS: Duration = Duration::from_millis(150);
+const LAST_ORDERS_WAIT: Duration = Duration::from_millis(150);
 /// How often the release of pools is tried; other nodes claim them after the lease ends anyway.
 const RELEASE_TRIES: u32 = 10;
--- a/crates/scheduler/src/control/overflow.rs
+++ b/crates/scheduler/src/control/overflow.rs
@@ -15,25 +15,25 @@
 use crate::node::Node;
 
 /// The prefix of the keys of announcements.
-pub(super) const LANES_PREFIX: &str = "lanes/";
+pub(super) const OVERFLOW_PREFIX: &str = "lanes/";
 
 /// Announces that a pool's progress may also be in the overflow partitions, or no longer is. Returns whether the
 /// announcement was certainly written; a node that no longer owns the pool cannot write it. An unanswered
 /// announcement may still be written, unless another announcement or a claim comes first.
-pub async fn announce(node: &Node, pool: &Arc<str>, token: u64, open: bool) -> bool {
+pub async fn announce_overflow(node: &Node, pool: &Arc<str>, token: u64, open: bool) -> bool {
     let Some(end) = node.claims_end.get() else { return false };
     // This node owns the pool according to the records before `end`; the guard rejects the append if any other follows.
     if lock(&node.ownership).my_token(pool) != Some(token) {
         return false;
     }
-    let key = format!("{LANES_PREFIX}{pool}");
+    let key = format!("{OVERFLOW_PREFIX}{pool}");
     let record = match open {
         true => KeyedRecord::new(key, b"open".to_vec()),
         false => KeyedRecord::dropping(key),
     };
     match node.store.append(TOPIC, CLAIMS, Guard::EndsAt(end), &[record]).await {
         Ok(Appended::Done { end, .. }) => {
-            node.claims_end.reached(end);
+            node.claims_end.advance_to(end);
             lock(&node.ownership).set_further_lanes(pool, open);
             log::info!("progress step=overflow pool={pool} open={open} token={token}");
             true
--- a/crates/scheduler/src/fleet_owner/mod.rs
+++ b/crates/scheduler/src/fleet_owner/mod.rs
@@ -24,7 +24,7 @@
 use records::{follow_reports, hold_off, read_record};
 
 pub use records::follow_record;
-pub use rows::take as take_row;
+pub use rows::apply_row as take_row;
 
 /// The name under which nodes claim the fleet; no pool has this name.
 pub const FLEET: &str = "#fleet";
@@ -58,10 +58,10 @@
     fleet: Fleet,
     journal: Journal,
     written: FleetRecord,
-    drops_whole: bool,
+    drop_legacy: bool,
     tx: UnboundedSender<Event>,
     listed_at: Ms,
-    listing: bool,
+    list_in_flight: bool,
 }
 
 /// Owns the fleet until another node takes it over or the task is aborted.
@@ -85,23 +85,23 @@
     let mut owner = FleetOwner {
         fleet: Fleet::with_policy(written.clone(), hold_off, node.settings.policy),
         // A record in the old format is rewritten as rows with the first change.
-        drops_whole: read.is_whole,
+        drop_legacy: read.is_legacy,
         client: Arc::new(MachineClient::new(addr)),
         node: node.clone(),
         token,
         journal,
-        written: if read.is_whole { FleetRecord::default() } else { written },
+        written: if read.is_legacy { FleetRecord::default() } else { written },
         tx: tx.clone(),
         listed_at: 0,
-        listing: false,
+        list_in_flight: false,
     };
     let work = async {
         loop {
             if let Ok(Some(event)) = tokio::time::timeout(TICK, rx.recv()).await {
-                owner.take(event);
+                owner.handle_event(event);
             }
             while let Ok(event) = rx.try_recv() {
-                owner.take(event);
+                owner.handle_event(event);
             }
             owner.list_vms();
             if owner.node.may_act(FLEET, token) && owner.step().await == Err(Fenced) {
@@ -118,7 +118,7 @@
 }
 
 impl FleetOwner {
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = steady_ms();
         match event {
             Event::Report(pool, report) => {
@@ -149,7 +149,7 @@
                 self.listed_at = 0;
             }
             Event::Vms(requested_at, result) => {
-                self.listing = false;
+                self.list_in_flight = false;
                 match result {
                     Ok(machines) => {
                         let table = self.node.vms.borrow().clone();
@@ -165,10 +165,10 @@
     /// Requests the list of VMs if it is due.
     fn list_vms(&mut self) {
         let every = if self.fleet.is_busy() { LIST_BUSY_MS } else { LIST_IDLE_MS };
-        if self.listing || steady_ms().saturating_sub(self.listed_at) < every {
+        if self.list_in_flight || steady_ms().saturating_sub(self.listed_at) < every {
             return;
         }
-        self.listing = true;
+        self.list_in_flight = true;
         self.listed_at = steady_ms();
         let (client, tx, requested_at) = (self.client.clone(), self.tx.clone(), steady_ms());
         tokio::spawn(async move {
@@ -178,10 +178,10 @@
 
     async fn step(&mut self) -> Result<(), Fenced> {
         let now = steady_ms();
-        self.take_config();
+        self.apply_config();
         let orders = self.fleet.plan(now);
         for wave in self.fleet.to_complete() {
-            self.tell(wave, WaveState::Completed).await;
+            self.report_wave_state(wave, WaveState::Completed).await;
         }
         if !self.fleet.record().is_same_work(&self.written) {
             let mut written = self.fleet.record().clone();
@@ -191,7 +191,7 @@
             self.written = written;
         }
         for order in orders {
-            self.give(order);
+            self.send_order(order);
         }
         Ok(())
     }
@@ -201,20 +201,20 @@
     async fn write_changes(&mut self, now: &FleetRecord) -> Result<(), Fenced> {
         let mut records: Vec<KeyedRecord> =
             now.changes_since(&self.written).iter().map(rows::to_record).collect();
-        if std::mem::take(&mut self.drops_whole) {
-            records.push(rows::drop_whole());
+        if std::mem::take(&mut self.drop_legacy) {
+            records.push(rows::drop_legacy_record());
         }
         let max_bytes = self.node.settings.max_append_bytes;
         let mut rest = records.as_slice();
         while !rest.is_empty() {
-            let (batch, later) = rest.split_at(fitting(rest, max_bytes));
+            let (batch, later) = rest.split_at(fitting_count(rest, max_bytes));
             self.journal.append(&self.node, batch).await?;
             rest = later;
         }
         Ok(())
     }
 
-    fn take_config(&mut self) {
+    fn apply_config(&mut self) {
         let Some(catalog) = self.node.catalog.borrow().clone() else { return };
         let working: HashSet<Arc<str>> = catalog.working_pools().cloned().collect();
         let off = catalog.pools.iter().find(|p| p.switched_off).map(|p| p.name.clone());
@@ -226,7 +226,7 @@
     }
 
     /// Writes the state of a wave for the operator.
-    async fn tell(&mut self, wave: u64, state: WaveState) {
+    async fn report_wave_state(&mut self, wave: u64, state: WaveState) {
         let (key, value) = encode_wave_status(wave, state);
         let record = KeyedRecord::new(key, value);
         match self.node.store.append(STATUS_TOPIC, 0, Guard::Always, &[record]).await {
@@ -255,7 +255,7 @@
         }
     }
 
-    fn give(&self, order: FleetOrder) {
+    fn send_order(&self, order: FleetOrder) {
         log::info!(
             "fleet step=ordered vm={} purpose={:?} token={}",
             order.vm,
@@ -281,7 +281,7 @@
 }
 
 /// Returns how many of the first records fit into one append, at least one.
-fn fitting(records: &[KeyedRecord], max_bytes: usize) -> usize {
+fn fitting_count(records: &[KeyedRecord], max_bytes: usize) -> usize {
     let mut size = 0;
     let fits = |record: &&KeyedRecord| {
         size += record.framed_len();
--- a/crates/scheduler/src/fleet_owner/records.rs
+++ b/crates/scheduler/src/fleet_owner/records.rs
@@ -16,7 +16,7 @@
 
 /// The shortest time for which a predecessor that did not release the fleet has sent no order, in milliseconds:
 /// another node replaces it at least this long after its lease ended or it restarted.
-const SILENT_SINCE_MS: Ms = 400;
+const NO_ORDERS_MS: Ms = 400;
 /// Margin added to the shortest time between orders of different nodes, in milliseconds.
 const GAP_MARGIN_MS: Ms = 300;
 
@@ -29,7 +29,7 @@
             News::Records(records) => (FleetRecord::clone(&node.fleet.borrow()), records),
         };
         // Unreadable rows are logged, and the others apply.
-        let _ = take_all(&mut fleet, &records);
+        let _ = apply_all(&mut fleet, &records);
         node.fleet.send_replace(Arc::new(fleet));
     };
     let clear = || {
@@ -50,24 +50,24 @@
     if !other_writer || lock(&node.ownership).was_given_up(FLEET) {
         return HoldOff { until: 0, gap };
     }
-    HoldOff { until: steady_ms() + gap.saturating_sub(SILENT_SINCE_MS), gap }
+    HoldOff { until: steady_ms() + gap.saturating_sub(NO_ORDERS_MS), gap }
 }
 
 /// The record that a new owner finds in the store.
 #[derive(Default)]
-pub(super) struct FoundRecord {
+pub(super) struct StoredRecord {
     pub record: FleetRecord,
     /// Whether an older version wrote it as a single record.
-    pub is_whole: bool,
+    pub is_legacy: bool,
 }
 
 /// Applies rows, after any single record of an older version; returns whether all could be read.
-fn take_all(fleet: &mut FleetRecord, records: &[Stored]) -> bool {
+fn apply_all(fleet: &mut FleetRecord, records: &[Stored]) -> bool {
     let (legacy, current): (Vec<&Stored>, Vec<&Stored>) =
-        records.iter().partition(|stored| rows::is_whole(stored));
+        records.iter().partition(|stored| rows::is_legacy_record(stored));
     let mut readable = true;
     for stored in legacy.into_iter().chain(current) {
-        if let Err(e) = rows::take(fleet, stored) {
+        if let Err(e) = rows::apply_row(fleet, stored) {
             log::error!("fleet step=unreadable offset={} error=\"{e}\"", stored.offset);
             readable = false;
         }
@@ -77,15 +77,15 @@
 
 /// Reads the record after all other writers are fenced. Returns `Some(None)` if there is no record, and `None` if a
 /// row is unreadable and the task has to end.
-pub(super) async fn read_record(node: &Node) -> Option<Option<FoundRecord>> {
+pub(super) async fn read_record(node: &Node) -> Option<Option<StoredRecord>> {
     loop {
         match node.store.newest(TOPIC, RECORD).await {
             Ok(newest) if newest.records.is_empty() => return Some(None),
             Ok(newest) => {
-                let is_whole = newest.records.iter().any(rows::is_whole);
-                let mut found = FoundRecord { is_whole, ..FoundRecord::default() };
+                let is_legacy = newest.records.iter().any(rows::is_legacy_record);
+                let mut found = StoredRecord { is_legacy, ..StoredRecord::default() };
                 // An unreadable row may hide a recent order for its VM.
-                return take_all(&mut found.record, &newest.records).then_some(Some(found));
+                return apply_all(&mut found.record, &newest.records).then_some(Some(found));
             }
             Err(e) => {
                 node.standing.note(false);
--- a/crates/scheduler/src/fleet_owner/rows.rs
+++ b/crates/scheduler/src/fleet_owner/rows.rs
@@ -14,7 +14,7 @@
 /// The prefix of the keys of VMs.
 const VM_PREFIX: &str = "vm/";
 /// The key under which older versions stored the whole record.
-const WHOLE_KEY: &str = "fleet";
+const LEGACY_KEY: &str = "fleet";
 
 #[derive(Serialize, Deserialize)]
 struct HeadBody {
@@ -42,27 +42,27 @@
 
 /// The whole record in the format of older versions.
 #[derive(Deserialize)]
-struct WholeBody {
+struct LegacyBody {
     owner: String,
     work: Vec<VmWork>,
     #[serde(default)]
     ordered_lately: Vec<String>,
-    waves: Vec<WholeWave>,
+    waves: Vec<LegacyWave>,
     #[serde(default)]
     move_ms: Ms,
 }
 
 #[derive(Deserialize)]
-struct WholeWave {
+struct LegacyWave {
     wave: u64,
     done: Vec<String>,
     left: Vec<String>,
     completed: bool,
 }
 
-impl From<WholeBody> for FleetRecord {
-    fn from(body: WholeBody) -> Self {
-        let wave = |w: WholeWave| WaveRecord {
+impl From<LegacyBody> for FleetRecord {
+    fn from(body: LegacyBody) -> Self {
+        let wave = |w: LegacyWave| WaveRecord {
             wave: w.wave,
             done: w.done.into_iter().collect(),
             left: w.left.into_iter().collect(),
@@ -108,21 +108,21 @@
 }
 
 /// Returns the record that drops the single record of older versions.
-pub fn drop_whole() -> KeyedRecord {
-    KeyedRecord::dropping(WHOLE_KEY)
+pub fn drop_legacy_record() -> KeyedRecord {
+    KeyedRecord::dropping(LEGACY_KEY)
 }
 
 /// Returns whether a record is the single record of older versions.
-pub fn is_whole(stored: &Stored) -> bool {
-    stored.record.key == WHOLE_KEY && stored.record.value().is_some()
+pub fn is_legacy_record(stored: &Stored) -> bool {
+    stored.record.key == LEGACY_KEY && stored.record.value().is_some()
 }
 
 /// Applies a row to the record. Rows with unknown keys are ignored.
-pub fn take(fleet: &mut FleetRecord, stored: &Stored) -> Result<(), serde_json::Error> {
+pub fn apply_row(fleet: &mut FleetRecord, stored: &Stored) -> Result<(), serde_json::Error> {
     let key = stored.record.key.as_str();
     let value = stored.record.value();
-    if is_whole(stored) {
-        *fleet = serde_json::from_slice::<WholeBody>(value.unwrap_or_default())?.into();
+    if is_legacy_record(stored) {
+        *fleet = serde_json::from_slice::<LegacyBody>(value.unwrap_or_default())?.into();
         return Ok(());
     }
     if let Some(row) = decode(key, value)? {
--- a/crates/scheduler/src/owner/advisor.rs
+++ b/crates/scheduler/src/owner/advisor.rs
@@ -22,7 +22,7 @@
         let Some(addr) = node.settings.advice else { return Self { tx: None } };
         let (tx, rx) = unbounded_channel();
         // The task ends when the sender is dropped.
-        tokio::spawn(ask_all(AdviceClient::new(addr), rx, events));
+        tokio::spawn(send_requests(AdviceClient::new(addr), rx, events));
         Self { tx: Some(tx) }
     }
 
@@ -41,21 +41,21 @@
     }
 }
 
-async fn ask_all(
+async fn send_requests(
     client: AdviceClient,
     mut rx: UnboundedReceiver<Question>,
     events: UnboundedSender<Event>,
 ) {
     while let Some(request) = rx.recv().await {
         let step = request.step;
-        let answer = ask(&client, &request).await;
+        let answer = request_advice(&client, &request).await;
         if events.send(Event::Advised(step, answer)).is_err() {
             return;
         }
     }
 }
 
-async fn ask(client: &AdviceClient, request: &Question) -> Option<Tickets> {
+async fn request_advice(client: &AdviceClient, request: &Question) -> Option<Tickets> {
     counter!("thistle_advice_calls").increment(1);
     let decides_in = request.policy.decides_in_ms(request.vms.len());
     let step = (request.step.job, request.step.time, request.step.step);
--- a/crates/scheduler/src/owner/incarnation_times.rs
+++ b/crates/scheduler/src/owner/incarnation_times.rs
@@ -8,14 +8,14 @@
 
 /// The number of the VM list in which each incarnation first appeared, counted from the first list that this owner read.
 #[derive(Debug, Default)]
-pub struct Lives {
+pub struct IncarnationTimes {
     listings: u64,
     first_listed: HashMap<VmLife, u64>,
 }
 
-impl Lives {
+impl IncarnationTimes {
     /// Records a VM list. Incarnations missing from it are removed unless they are `known`, as those may be listed again.
-    pub fn take_in(&mut self, table: &VmTable, known: impl Fn(&VmLife) -> bool) {
+    pub fn record_list(&mut self, table: &VmTable, known: impl Fn(&VmLife) -> bool) {
         self.listings += 1;
         let listed = |vm: &VmLife| table.get(vm.id()).is_some_and(|facts| facts.id == *vm);
         for facts in table.values() {
--- a/crates/scheduler/src/owner/link/hold.rs
+++ b/crates/scheduler/src/owner/link/hold.rs
@@ -10,14 +10,14 @@
 use thistle_schedule::{Ms, VmLoss};
 
 use super::super::Event;
-use super::{NO_LEASE, RETRY, Shared};
+use super::{NO_LEASE_PAUSE, RETRY_PAUSE, Shared};
 use crate::clock::steady_ms;
 use crate::locks::lock;
 
 /// How long to wait for the acknowledgement of ends before leases are renewed without it.
-const ACK_WAIT: Duration = Duration::from_millis(500);
+const ACK_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long after an answer the VM is certainly still the incarnation that gave it, in milliseconds: a restart takes longer.
-const IN_ITS_LIFE_MS: Ms = 50;
+const SAME_INCARNATION_MS: Ms = 50;
 /// Pause between renewals while ends cannot be acknowledged, as the VM then answers immediately.
 const UNACKED_PAUSE: Duration = Duration::from_millis(500);
 
@@ -31,7 +31,7 @@
     let mut answered_at = None;
     loop {
         if !link.may_send() {
-            tokio::time::sleep(NO_LEASE).await;
+            tokio::time::sleep(NO_LEASE_PAUSE).await;
             continue;
         }
         let sent_at = steady_ms();
@@ -40,7 +40,7 @@
         // A VM without a recent answer may have restarted, and its next incarnation numbers ends from 1 and must not
         // drop any of them. This call therefore acknowledges nothing; the next one, sent right after the answer,
         // acknowledges the ends.
-        let same_incarnation = answered_at.is_some_and(|at| sent_at <= at + IN_ITS_LIFE_MS);
+        let same_incarnation = answered_at.is_some_and(|at| sent_at <= at + SAME_INCARNATION_MS);
         let last_seen = if same_incarnation { acknowledged } else { 0 };
         if last_seen < acknowledged {
             wait = Duration::ZERO;
@@ -48,7 +48,7 @@
         let request = Hold { token: link.token.on_the_wire, last_seen, deadline_ms, wait };
         let result = tokio::select! {
             result = link.client.hold(request, sent_at) => result,
-            () = link.ask.notified() => {
+            () = link.wake_poll.notified() => {
                 (answered_at, wait) = (None, Duration::ZERO);
                 continue;
             }
@@ -67,7 +67,7 @@
             Ok(held) => {
                 lock(&link.lease).read_clock(held.clock_ms, steady_ms());
                 if !reachable {
-                    link.tell(Event::Reachable(link.vm.clone(), true));
+                    link.send_event(Event::Reachable(link.vm.clone(), true));
                 }
                 // The first answer contains the VM's clock; leases can be given from the next call on.
                 wait = match deadline_ms {
@@ -75,18 +75,18 @@
                     Some(_) => Duration::from_millis(link.wait_ms.load(Ordering::Relaxed)),
                 };
                 (reachable, loss_reported) = (true, false);
-                link.pending_starts.note_listed(&held.report);
+                link.pending_starts.record_listed(&held.report);
                 let last = held.report.ended.iter().map(|e| e.sequence).max();
-                link.tell(Event::Report(link.vm.clone(), held.report));
+                link.send_event(Event::Report(link.vm.clone(), held.report));
                 if let Some(last) = last {
                     let settled = acked.wait_for(|&acked| acked >= last);
-                    if tokio::time::timeout(ACK_WAIT, settled).await.is_err() {
+                    if tokio::time::timeout(ACK_TIMEOUT, settled).await.is_err() {
                         tokio::time::sleep(UNACKED_PAUSE).await;
                         wait = Duration::ZERO;
                     }
                 }
             }
-            Err(e) if link.is_over_with(&e) => {
+            Err(e) if link.report_if_final(&e) => {
                 log::info!(
                     "vm step=link-over vm={} acknowledged={acknowledged} error=\"{e}\"",
                     link.vm
@@ -103,7 +103,7 @@
             Err(e) => {
                 if reachable {
                     log::info!("vm step=no-answer vm={} error=\"{e}\"", link.vm);
-                    link.tell(Event::Reachable(link.vm.clone(), false));
+                    link.send_event(Event::Reachable(link.vm.clone(), false));
                 }
                 reachable = false;
                 lock(&link.lease).set_silent();
@@ -111,9 +111,9 @@
                 let over = lock(&link.lease).is_over(steady_ms());
                 if over && !loss_reported {
                     loss_reported = true;
-                    link.lost(VmLoss::LeaseOver);
+                    link.send_loss(VmLoss::LeaseOver);
                 }
-                tokio::time::sleep(RETRY).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
     }
--- a/crates/scheduler/src/owner/link/mod.rs
+++ b/crates/scheduler/src/owner/link/mod.rs
@@ -15,28 +15,28 @@
 use tokio::task::AbortHandle;
 
 use super::Event;
-use super::losses::{LossNumber, Losses, NewestLoss};
+use super::losses::{LossCounter, LossNumber, NewestLoss};
 use super::tokens::LinkToken;
 use crate::clock::steady_ms;
 use crate::node::Node;
 use orders::PendingStarts;
 
 /// Pause before a VM that does not answer is called again.
-const RETRY: Duration = Duration::from_millis(200);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Pause while this node may not act as owner.
-const NO_LEASE: Duration = Duration::from_millis(50);
+const NO_LEASE_PAUSE: Duration = Duration::from_millis(50);
 /// How long a call waits for the end of a run where none is expected. A longer wait needs fewer calls; each call
 /// renews the lease.
-const WAIT: Duration = Duration::from_millis(1_500);
+const LEASE_WAIT: Duration = Duration::from_millis(1_500);
 /// How long a call waits where tasks run that end by themselves. While a call is left unanswered the owner cannot
 /// receive their ends: at 1.5 s, ends of tasks of one second arrived up to 2.1 s late. On three days on which VMs
 /// leave calls unanswered, this value earned 0.53 of what is due, less costs, instead of 0.49 (means of four runs).
-const WAIT_FOR_ENDS: Duration = Duration::from_millis(500);
+const ENDS_WAIT: Duration = Duration::from_millis(500);
 /// How long a call waits where serving and filling tasks run on the same VM, whose usage figures cover the last half
 /// second.
-const WAIT_CLOSELY: Duration = Duration::from_millis(400);
+const FIGURES_WAIT: Duration = Duration::from_millis(400);
 /// The most orders of one kind that are in flight to one VM.
-const ORDERS_AT_ONCE: usize = 2;
+const MAX_ORDERS_IN_FLIGHT: usize = 2;
 
 struct Shared {
     node: Arc<Node>,
@@ -52,13 +52,13 @@
     over: AtomicBool,
     /// How long a call may wait for an end, in milliseconds.
     wait_ms: AtomicU64,
-    losses: Arc<Losses>,
+    losses: Arc<LossCounter>,
     newest_loss: NewestLoss,
     pending_starts: PendingStarts,
     starts: Semaphore,
     stops: Semaphore,
     /// Interrupts a call that waits for the end of a run.
-    ask: Notify,
+    wake_poll: Notify,
     tx: UnboundedSender<Event>,
 }
 
@@ -67,14 +67,14 @@
     shared: Arc<Shared>,
     facts: Arc<VmFacts>,
     /// The newest loss of the VM that the owner has handled: its current orders were decided after that loss.
-    taken_in: LossNumber,
-    holding: AbortHandle,
+    handled_loss: LossNumber,
+    hold_task: AbortHandle,
 }
 
 impl Drop for Link {
     fn drop(&mut self) {
         self.shared.closed.store(true, Ordering::Relaxed);
-        self.holding.abort();
+        self.hold_task.abort();
     }
 }
 
@@ -85,7 +85,7 @@
         vm: &Arc<VmFacts>,
         token: LinkToken,
         tx: UnboundedSender<Event>,
-        losses: Arc<Losses>,
+        losses: Arc<LossCounter>,
     ) -> Self {
         let shared = Arc::new(Shared {
             node: node.clone(),
@@ -98,17 +98,17 @@
             acked: watch::Sender::new(0),
             closed: AtomicBool::new(false),
             over: AtomicBool::new(false),
-            wait_ms: AtomicU64::new(millis(WAIT)),
+            wait_ms: AtomicU64::new(millis(LEASE_WAIT)),
             losses,
             newest_loss: NewestLoss::default(),
             pending_starts: PendingStarts::default(),
-            starts: Semaphore::new(ORDERS_AT_ONCE),
-            stops: Semaphore::new(ORDERS_AT_ONCE),
-            ask: Notify::new(),
+            starts: Semaphore::new(MAX_ORDERS_IN_FLIGHT),
+            stops: Semaphore::new(MAX_ORDERS_IN_FLIGHT),
+            wake_poll: Notify::new(),
             tx,
         });
-        let holding = tokio::spawn(hold::run(shared.clone())).abort_handle();
-        Self { shared, facts: vm.clone(), taken_in: LossNumber::default(), holding }
+        let hold_task = tokio::spawn(hold::run(shared.clone())).abort_handle();
+        Self { shared, facts: vm.clone(), handled_loss: LossNumber::default(), hold_task }
     }
 
     /// Returns the incarnation of the VM.
@@ -127,23 +127,23 @@
     }
 
     /// Calls the VM immediately, as another incarnation of it is listed.
-    pub fn ask_at_once(&self) {
-        self.shared.ask.notify_one();
+    pub fn poll_now(&self) {
+        self.shared.wake_poll.notify_one();
     }
 
     /// Reports to the owner that the VM is lost. Orders decided before the owner has handled the loss are no longer sent.
-    pub fn lose(&self, loss: VmLoss) {
-        self.shared.lost(loss);
+    pub fn report_loss(&self, loss: VmLoss) {
+        self.shared.send_loss(loss);
     }
 
     /// Reports to the owner that the VM has restarted as another incarnation, as its entry shows.
-    pub fn end_with(&self, next: &VmLife) {
-        self.shared.restarted(next);
+    pub fn report_restart(&self, next: &VmLife) {
+        self.shared.send_restart(next);
     }
 
     /// Records that the owner has abandoned the runs lost with the VM.
-    pub fn take_in_loss(&mut self, loss: LossNumber) {
-        self.taken_in = self.taken_in.max(loss);
+    pub fn set_handled_loss(&mut self, loss: LossNumber) {
+        self.handled_loss = self.handled_loss.max(loss);
     }
 
     /// Acknowledges ends up to a sequence number, so that the VM may drop them.
@@ -156,11 +156,11 @@
     }
 
     /// Sets how often the VM is polled while no run ends.
-    pub fn watch(&self, watch: Watch) {
+    pub fn set_watch(&self, watch: Watch) {
         let wait = match watch {
-            Watch::Figures => WAIT_CLOSELY,
-            Watch::Ends => WAIT_FOR_ENDS,
-            Watch::Lease => WAIT,
+            Watch::Figures => FIGURES_WAIT,
+            Watch::Ends => ENDS_WAIT,
+            Watch::Lease => LEASE_WAIT,
         };
         self.shared.wait_ms.store(millis(wait), Ordering::Relaxed);
     }
@@ -169,12 +169,12 @@
     pub fn start(&self, order: StartOrder) {
         let shared = self.shared.clone();
         shared.pending_starts.add(order.run);
-        let taken_in = self.taken_in;
+        let handled_loss = self.handled_loss;
         tokio::spawn(async move {
-            let result = orders::start(&shared, &order, taken_in).await;
+            let result = orders::start(&shared, &order, handled_loss).await;
             shared.pending_starts.remove(order.run);
             if let Some(result) = result {
-                shared.tell(Event::Started(shared.vm.clone(), order.run, result));
+                shared.send_event(Event::Started(shared.vm.clone(), order.run, result));
             }
         });
     }
@@ -182,11 +182,11 @@
     /// Sends a stop order and cancels a start of the same run that was not sent yet.
     pub fn stop(&self, run: RunId) {
         let shared = self.shared.clone();
-        shared.pending_starts.call_off(run);
-        let taken_in = self.taken_in;
+        shared.pending_starts.cancel(run);
+        let handled_loss = self.handled_loss;
         tokio::spawn(async move {
-            if orders::stop(&shared, run, taken_in).await.is_some() {
-                shared.tell(Event::Stopped(shared.vm.clone(), run));
+            if orders::stop(&shared, run, handled_loss).await.is_some() {
+                shared.send_event(Event::Stopped(shared.vm.clone(), run));
             }
         });
     }
@@ -206,7 +206,7 @@
 }
 
 impl Shared {
-    fn tell(&self, event: Event) {
+    fn send_event(&self, event: Event) {
         // The owner may have ended, and then needs no event.
         let _ = self.tx.send(event);
     }
@@ -231,19 +231,19 @@
             if self.may_send() {
                 return true;
             }
-            tokio::time::sleep(NO_LEASE).await;
+            tokio::time::sleep(NO_LEASE_PAUSE).await;
         }
         false
     }
 
     /// Returns whether an error ends the link to this incarnation, and if so reports the cause to the owner.
-    fn is_over_with(&self, e: &OrderError) -> bool {
+    fn report_if_final(&self, e: &OrderError) -> bool {
         match e {
             // An error on a closed link proves nothing: a later link to the same VM has a higher token.
             _ if self.is_closed() => return true,
-            OrderError::Gone => self.lost(VmLoss::Replaced),
-            OrderError::StartedAgain(next) => self.restarted(next),
-            OrderError::Fenced => self.tell(Event::Fenced(self.vm.clone())),
+            OrderError::Gone => self.send_loss(VmLoss::Replaced),
+            OrderError::StartedAgain(next) => self.send_restart(next),
+            OrderError::Fenced => self.send_event(Event::Fenced(self.vm.clone())),
             OrderError::NotSent(_)
             | OrderError::Unanswered(_)
             | OrderError::Unhealthy(_)
@@ -252,16 +252,16 @@
         true
     }
 
-    fn restarted(&self, next: &VmLife) {
+    fn send_restart(&self, next: &VmLife) {
         let number = self.losses.next();
-        self.newest_loss.note(number);
-        self.tell(Event::Restarted(self.vm.clone(), next.clone(), number));
+        self.newest_loss.record(number);
+        self.send_event(Event::Restarted(self.vm.clone(), next.clone(), number));
     }
 
-    fn lost(&self, loss: VmLoss) {
+    fn send_loss(&self, loss: VmLoss) {
         let number = self.losses.next();
-        self.newest_loss.note(number);
-        self.tell(Event::Lost(self.vm.clone(), loss, number));
+        self.newest_loss.record(number);
+        self.send_event(Event::Lost(self.vm.clone(), loss, number));
     }
 }
 
--- a/crates/scheduler/src/owner/losses.rs
+++ b/crates/scheduler/src/owner/losses.rs
@@ -8,9 +8,9 @@
 
 /// Numbers the losses reported to one owner.
 #[derive(Debug, Default)]
-pub struct Losses(AtomicU64);
+pub struct LossCounter(AtomicU64);
 
-impl Losses {
+impl LossCounter {
     /// Returns the number of the next loss.
     pub fn next(&self) -> LossNumber {
         LossNumber(self.0.fetch_add(1, Ordering::Relaxed) + 1)
@@ -23,12 +23,12 @@
 
 impl NewestLoss {
     /// Records a loss.
-    pub fn note(&self, loss: LossNumber) {
+    pub fn record(&self, loss: LossNumber) {
         self.0.fetch_max(loss.0, Ordering::Relaxed);
     }
 
-    /// Returns whether the VM was lost after the loss `handled`.
-    pub fn is_after(&self, taken_in: LossNumber) -> bool {
-        self.0.load(Ordering::Relaxed) > taken_in.0
+    /// Returns whether the VM was lost after `handled_loss`.
+    pub fn is_after(&self, handled_loss: LossNumber) -> bool {
+        self.0.load(Ordering::Relaxed) > handled_loss.0
     }
 }
--- a/crates/scheduler/src/owner/mod.rs
+++ b/crates/scheduler/src/owner/mod.rs
@@ -27,13 +27,13 @@
 use crate::node::Node;
 use crate::pool_log::PoolLog;
 use advisor::Advisor;
-use incarnation_times::Lives;
+use incarnation_times::IncarnationTimes;
 use link::Link;
-use losses::{LossNumber, Losses};
+use losses::{LossCounter, LossNumber};
 use progress::ProgressWriter;
 use quota::Quota;
 use report::Reporter;
-use telemetry::{log_ends, log_report_news};
+use telemetry::{log_ends, log_report_changes};
 use tokens::LinkTokens;
 
 pub use start::run;
@@ -42,7 +42,7 @@
 const TICK: Duration = Duration::from_millis(100);
 /// How often all VMs are checked, in milliseconds. Checking them at each step is most of the cost of a step in a
 /// large pool.
-const LOOK_EVERY_MS: Ms = 100;
+const VM_CHECK_EVERY_MS: Ms = 100;
 /// An event that the owner handles.
 #[derive(Debug)]
 pub enum Event {
@@ -67,7 +67,7 @@
     /// The newest records of the cap shares lent to pools were read.
     LentRead,
     /// A report of cap use may not have been written.
-    CapUseNotSaid,
+    CapUseNotWritten,
 }
 
 /// The VMs that may run a step with their tickets, and how long the tickets are valid, in milliseconds.
@@ -84,8 +84,8 @@
     /// The links by VM ID: one for each VM, to its current incarnation.
     links: HashMap<Arc<str>, Link>,
     tokens: LinkTokens,
-    losses: Arc<Losses>,
-    lives: Lives,
+    losses: Arc<LossCounter>,
+    incarnation_times: IncarnationTimes,
     /// The times by which the leases of VMs without a link have ended.
     orphans: HashMap<VmLife, Ms>,
     tx: UnboundedSender<Event>,
@@ -94,7 +94,7 @@
     advisor: Advisor,
     quota: Quota,
     /// When all VMs were last checked.
-    looked_at: Ms,
+    vms_checked_at: Ms,
 }
 
 impl Owner {
@@ -110,10 +110,10 @@
         loop {
             let pause = self.pause();
             tokio::select! {
-                Some(event) = rx.recv() => self.take(event)?,
+                Some(event) = rx.recv() => self.handle_event(event)?,
                 Ok(()) = vms.changed() => {
                     let table = vms.borrow_and_update().clone();
-                    self.list_vms(&table);
+                    self.apply_vm_list(&table);
                 }
                 Ok(()) = fleet.changed() => {
                     let record = fleet.borrow_and_update().clone();
@@ -124,11 +124,11 @@
                 }
                 Ok(()) = catalog.changed() => {
                     catalog.mark_unchanged();
-                    self.take_caps();
+                    self.apply_workspaces();
                 }
                 Ok(()) = lent.changed() => {
                     lent.mark_unchanged();
-                    self.take_lent();
+                    self.apply_lent_shares();
                 }
                 // Each step reads the current state of the halls.
                 Ok(()) = halls.changed() => halls.mark_unchanged(),
@@ -136,9 +136,9 @@
             }
             // Handle all queued events before the next step, so that it decides on them together.
             while let Ok(event) = rx.try_recv() {
-                self.take(event)?;
+                self.handle_event(event)?;
             }
-            self.drop_orphans();
+            self.expire_orphans();
             if self.node.may_act(&self.log.pool, self.token) {
                 self.step().await?;
             }
@@ -151,7 +151,7 @@
         TICK.min(Duration::from_millis(due.max(1)))
     }
 
-    fn take(&mut self, event: Event) -> Result<(), Fenced> {
+    fn handle_event(&mut self, event: Event) -> Result<(), Fenced> {
         let now = now();
         match event {
             Event::Log(LogChange::Submitted(id)) => {
@@ -168,7 +168,7 @@
             Event::Report(vm, report) => {
                 log_ends(&vm, &report);
                 let changes = self.pool.report(&vm, &report, now);
-                log_report_news(&vm, &changes);
+                log_report_changes(&vm, &changes);
             }
             Event::Started(vm, run, result) => {
                 if result != StartResult::Started {
@@ -181,20 +181,20 @@
                 log::info!("vm step=reachable vm={vm} reachable={reachable}");
                 self.pool.set_reachable(&vm, reachable, now);
                 if !reachable {
-                    self.look_for_successor(&vm);
+                    self.check_for_successor(&vm);
                 }
             }
             Event::Lost(vm, loss, number) => {
                 if let Some(link) = self.link_mut(&vm) {
-                    link.take_in_loss(number);
+                    link.set_handled_loss(number);
                 }
                 self.lose_vm(&vm, loss);
             }
             Event::Restarted(vm, next, number) => {
                 if let Some(link) = self.link_mut(&vm) {
-                    link.take_in_loss(number);
+                    link.set_handled_loss(number);
                 }
-                self.take_restart(&vm, &next);
+                self.handle_restart(&vm, &next);
             }
             Event::Advised(step, answer) => {
                 let good = answer.as_ref().map(|(tickets, _)| tickets.len());
@@ -206,8 +206,8 @@
                 );
                 self.pool.advised(step, answer, now);
             }
-            Event::LentRead => self.lent_read(),
-            Event::CapUseNotSaid => self.pool.cap_use_not_said(),
+            Event::LentRead => self.handle_lent_read(),
+            Event::CapUseNotWritten => self.pool.cap_use_not_said(),
             Event::Fenced(vm) => {
                 log::warn!("vm step=fenced vm={vm} token={}", self.token);
                 return Err(Fenced);
@@ -223,7 +223,7 @@
         let orders = self.pool.plan(now());
         let records = self.pool.take_records();
         let acks = self.pool.take_acks();
-        self.tell_given_up();
+        self.log_abandoned_tasks();
         if !records.is_empty() {
             self.write_progress(records).await?;
         }
@@ -235,9 +235,9 @@
         for order in orders {
             self.dispatch(order);
         }
-        self.look_at_vms();
-        self.say_cap_use();
-        self.report();
+        self.check_vms();
+        self.report_cap_use();
+        self.report_load();
         // Repairs and purges run after the orders are sent, and not while the store is slow: up to three appends of a
         // quarter of a second each would delay the orders of each step.
         if self.node.store.is_slow() {
@@ -248,17 +248,17 @@
     }
 
     /// Checks all VMs for changes that need not be handled at each step.
-    fn look_at_vms(&mut self) {
+    fn check_vms(&mut self) {
         let now = steady_ms();
-        if now.saturating_sub(self.looked_at) < LOOK_EVERY_MS {
+        if now.saturating_sub(self.vms_checked_at) < VM_CHECK_EVERY_MS {
             return;
         }
-        self.looked_at = now;
-        self.drop_links();
+        self.vms_checked_at = now;
+        self.close_unused_links();
         for link in self.links.values() {
-            link.watch(self.pool.watch(link.vm()));
+            link.set_watch(self.pool.watch(link.vm()));
         }
-        self.tell_load();
+        self.update_load_metrics();
     }
 
     fn dispatch(&mut self, order: Order) {
--- a/crates/scheduler/src/owner/progress.rs
+++ b/crates/scheduler/src/owner/progress.rs
@@ -9,19 +9,19 @@
 
 use super::Owner;
 use crate::clock::steady_ms;
-use crate::control::announce;
+use crate::control::announce_overflow;
 use crate::journal::{Fenced, PAUSE};
-use crate::pool_log::{FURTHER_PROGRESS, PROGRESS};
+use crate::pool_log::{OVERFLOW_PROGRESS, PROGRESS};
 
 /// The most jobs whose progress is copied back to the first partition in one step.
 const REPAIR_BATCH: usize = 200;
 
 /// The shortest time between two attempts to open or close the overflow partitions, in milliseconds: each attempt is
 /// an append to the partition of claims and may make other nodes retry theirs.
-const LANES_EVERY_MS: Ms = 300;
+const OVERFLOW_RETRY_MS: Ms = 300;
 /// How long the overflow partitions must have no writes before they are closed, in milliseconds, as an outage of the
 /// store may pause and resume.
-const LANES_QUIET_MS: Ms = 3_000;
+const OVERFLOW_IDLE_MS: Ms = 3_000;
 
 /// Numbers the owner's progress records and tracks which partitions hold them.
 #[derive(Debug)]
@@ -29,15 +29,15 @@
     next: Version,
     /// Jobs whose newest progress is in a fallback or overflow partition and must be copied to the first one, with
     /// that partition.
-    spilled: BTreeSet<(JobId, u32)>,
+    overflowed: BTreeSet<(JobId, u32)>,
     /// Jobs whose progress in a fallback or overflow partition is outdated and may be dropped, with that partition.
-    repaired: BTreeSet<(JobId, u32)>,
+    outdated: BTreeSet<(JobId, u32)>,
     /// Whether this owner or its predecessor announced that the overflow partitions may hold progress.
-    further_told: bool,
+    overflow_announced: bool,
     /// When the overflow partitions were last opened or written to.
-    further_at: Ms,
+    overflow_used_at: Ms,
     /// When opening or closing the overflow partitions was last attempted.
-    lanes_tried_at: Ms,
+    overflow_tried_at: Ms,
 }
 
 impl ProgressWriter {
@@ -46,11 +46,11 @@
     pub fn new(token: u64, overflowed: BTreeSet<(JobId, u32)>, overflow_announced: bool) -> Self {
         Self {
             next: Version { token, number: 0 },
-            spilled: overflowed,
-            repaired: BTreeSet::new(),
-            further_told: overflow_announced,
-            further_at: 0,
-            lanes_tried_at: 0,
+            overflowed,
+            outdated: BTreeSet::new(),
+            overflow_announced,
+            overflow_used_at: 0,
+            overflow_tried_at: 0,
         }
     }
 
@@ -60,38 +60,38 @@
     }
 
     /// Records to which partition the progress of some jobs was written.
-    fn note_written(&mut self, ids: impl Iterator<Item = JobId>, part: u32) {
-        if FURTHER_PROGRESS.contains(&part) {
-            self.further_at = steady_ms();
+    fn record_written(&mut self, ids: impl Iterator<Item = JobId>, part: u32) {
+        if OVERFLOW_PROGRESS.contains(&part) {
+            self.overflow_used_at = steady_ms();
         }
         for id in ids {
             if part != PROGRESS {
-                self.repaired.remove(&(id, part));
-                self.spilled.insert((id, part));
+                self.outdated.remove(&(id, part));
+                self.overflowed.insert((id, part));
                 continue;
             }
             let stale: Vec<(JobId, u32)> =
-                self.spilled.range((id, 0)..=(id, u32::MAX)).copied().collect();
+                self.overflowed.range((id, 0)..=(id, u32::MAX)).copied().collect();
             for place in stale {
-                self.spilled.remove(&place);
-                self.repaired.insert(place);
+                self.overflowed.remove(&place);
+                self.outdated.insert(place);
             }
         }
     }
 
     /// Returns whether the overflow partitions hold no progress and have had no writes for a while.
-    fn further_are_empty(&self) -> bool {
-        let mut places = self.spilled.iter().chain(&self.repaired);
-        let quiet = steady_ms().saturating_sub(self.further_at) >= LANES_QUIET_MS;
-        quiet && !places.any(|(_, part)| FURTHER_PROGRESS.contains(part))
+    fn overflow_is_empty(&self) -> bool {
+        let mut places = self.overflowed.iter().chain(&self.outdated);
+        let quiet = steady_ms().saturating_sub(self.overflow_used_at) >= OVERFLOW_IDLE_MS;
+        quiet && !places.any(|(_, part)| OVERFLOW_PROGRESS.contains(part))
     }
 
     /// Returns whether the overflow partitions may be opened or closed now, and if so records the attempt.
-    fn may_try_lanes(&mut self) -> bool {
+    fn may_try_overflow(&mut self) -> bool {
         let now = steady_ms();
-        let may = now.saturating_sub(self.lanes_tried_at) >= LANES_EVERY_MS;
+        let may = now.saturating_sub(self.overflow_tried_at) >= OVERFLOW_RETRY_MS;
         if may {
-            self.lanes_tried_at = now;
+            self.overflow_tried_at = now;
         }
         may
     }
@@ -131,10 +131,10 @@
             if let Some(place) = self.journal.try_append(&self.node, keyed).await? {
                 break place;
             }
-            self.open_further_lanes().await;
+            self.open_overflow_partitions().await;
             tokio::time::sleep(PAUSE).await;
         };
-        self.writer.note_written(batch.iter().map(|(id, ..)| *id), place.part);
+        self.writer.record_written(batch.iter().map(|(id, ..)| *id), place.part);
         if place.part != PROGRESS {
             counter!("thistle_spare_progress").increment(1);
             let (pool, part) = (&self.log.pool, place.part);
@@ -147,58 +147,59 @@
     /// Opens the overflow partitions because neither the first nor the fallback partition accepts progress. Without
     /// them a pool made no progress for 5.7 s at the start of its outage, and earned 0.37 of what its kind of request
     /// is due on such a day.
-    async fn open_further_lanes(&mut self) {
-        let is_open = self.journal.parts().any(|part| FURTHER_PROGRESS.contains(&part));
-        if is_open || !self.writer.may_try_lanes() {
+    async fn open_overflow_partitions(&mut self) {
+        let is_open = self.journal.parts().any(|part| OVERFLOW_PROGRESS.contains(&part));
+        if is_open || !self.writer.may_try_overflow() {
             return;
         }
-        if announce(&self.node, &self.log.pool, self.token, true).await {
-            self.writer.further_told = true;
-            self.writer.further_at = steady_ms();
-            self.journal.add_lanes(&FURTHER_PROGRESS);
+        if announce_overflow(&self.node, &self.log.pool, self.token, true).await {
+            self.writer.overflow_announced = true;
+            self.writer.overflow_used_at = steady_ms();
+            self.journal.add_lanes(&OVERFLOW_PROGRESS);
         }
     }
 
     /// Closes the overflow partitions once they hold no progress.
-    async fn close_further_lanes(&mut self) {
-        let done = self.writer.further_told && self.writer.further_are_empty();
-        if !done || !self.journal.first_takes_records() || !self.writer.may_try_lanes() {
+    async fn close_overflow_partitions(&mut self) {
+        let done = self.writer.overflow_announced && self.writer.overflow_is_empty();
+        if !done || !self.journal.first_takes_records() || !self.writer.may_try_overflow() {
             return;
         }
         // Stop writing to them before announcing that they are empty.
-        self.journal.close_lanes(&FURTHER_PROGRESS);
-        self.writer.further_told = !announce(&self.node, &self.log.pool, self.token, false).await;
+        self.journal.close_lanes(&OVERFLOW_PROGRESS);
+        self.writer.overflow_announced =
+            !announce_overflow(&self.node, &self.log.pool, self.token, false).await;
     }
 
     /// Copies progress from the fallback and overflow partitions to the first one once that accepts records, and
     /// drops the originals: other nodes read only the first partition.
     pub(super) async fn repair_progress(&mut self) -> Result<(), Fenced> {
-        self.close_further_lanes().await;
-        if !self.writer.spilled.is_empty() && self.journal.first_takes_records() {
-            let mut ids: Vec<JobId> = self.writer.spilled.iter().map(|&(id, _)| id).collect();
+        self.close_overflow_partitions().await;
+        if !self.writer.overflowed.is_empty() && self.journal.first_takes_records() {
+            let mut ids: Vec<JobId> = self.writer.overflowed.iter().map(|&(id, _)| id).collect();
             ids.dedup();
             ids.truncate(REPAIR_BATCH);
             let copies = self.known_progress(&ids);
             log::info!("progress step=repair pool={} jobs={}", self.log.pool, copies.len());
             // Progress of an unknown job was dropped together with its submission.
             let gone = ids.into_iter().filter(|id| !copies.iter().any(|(known, _)| known == id));
-            self.writer.note_written(gone, PROGRESS);
+            self.writer.record_written(gone, PROGRESS);
             self.write_progress(copies).await?;
         }
-        self.drop_repaired().await
+        self.drop_outdated().await
     }
 
     /// Drops progress in the fallback and overflow partitions that was copied to the first one.
-    async fn drop_repaired(&mut self) -> Result<(), Fenced> {
-        let mut parts: Vec<u32> = self.writer.repaired.iter().map(|&(_, part)| part).collect();
+    async fn drop_outdated(&mut self) -> Result<(), Fenced> {
+        let mut parts: Vec<u32> = self.writer.outdated.iter().map(|&(_, part)| part).collect();
         parts.sort_unstable();
         parts.dedup();
         for part in parts {
-            let outdated = self.writer.repaired.iter().filter(|(_, p)| *p == part);
+            let entries = self.writer.outdated.iter().filter(|(_, p)| *p == part);
             let drops: Vec<KeyedRecord> =
-                outdated.map(|&(id, _)| KeyedRecord::dropping(progress_key(id))).collect();
+                entries.map(|&(id, _)| KeyedRecord::dropping(progress_key(id))).collect();
             if self.journal.append_to_part(&self.node, part, &drops).await? {
-                self.writer.repaired.retain(|(_, p)| *p != part);
+                self.writer.outdated.retain(|(_, p)| *p != part);
             }
         }
         Ok(())
--- a/crates/scheduler/src/owner/purge.rs
+++ b/crates/scheduler/src/owner/purge.rs
@@ -7,7 +7,7 @@
 use super::Owner;
 use crate::clock::{now, steady_ms};
 use crate::journal::Fenced;
-use crate::pool_log::{LANES, SPARE};
+use crate::pool_log::{SPARE, SUBMISSION_PARTITIONS};
 
 /// How often settled jobs are checked for expired ones, in milliseconds.
 const PURGE_EVERY_MS: Ms = 5_000;
@@ -55,8 +55,8 @@
         let records: Vec<KeyedRecord> = old.iter().flat_map(drop_both).collect();
         // The first partition goes last: a node that reads the drop there may read the fallback partition later, and
         // must not find the job in it.
-        for part in LANES.into_iter().rev() {
-            if part == SPARE && !self.log.spare_was_used().await {
+        for part in SUBMISSION_PARTITIONS.into_iter().rev() {
+            if part == SPARE && !self.log.fallback_was_used().await {
                 continue;
             }
             let guard = Guard::Always;
--- a/crates/scheduler/src/owner/quota.rs
+++ b/crates/scheduler/src/owner/quota.rs
@@ -16,36 +16,36 @@
 
 /// The shortest time between two reports of cap use, in milliseconds: a share moves within about two reports, and a
 /// pool's demand changes with each task.
-const SAY_EVERY_MS: Ms = 40;
+const REPORT_EVERY_MS: Ms = 40;
 /// Pause before a failed read of the records is retried.
-const READ_AGAIN: Duration = Duration::from_millis(100);
+const READ_RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// The shortest time between two log lines about workspaces held back by their caps, in milliseconds.
-const TELL_EVERY_MS: Ms = 1_000;
+const LOG_EVERY_MS: Ms = 1_000;
 
 /// An owner's state of the caps of workspaces.
 #[derive(Debug, Default)]
 pub(super) struct Quota {
     /// Whether this owner has started to read the records.
-    asked: bool,
+    requested: bool,
     /// Whether the records were read; changes to them are applied from then on.
     read: bool,
     /// The number of reports made.
-    count: u64,
-    said_at: Ms,
-    told_at: Ms,
-    under_way: Arc<AtomicBool>,
+    report_count: u64,
+    reported_at: Ms,
+    logged_at: Ms,
+    in_flight: Arc<AtomicBool>,
 }
 
 impl Owner {
     /// Applies the workspaces of the current configuration, and starts reading the records of their caps once there
     /// are any: one call for each change of a pool's owner.
-    pub(super) fn take_caps(&mut self) {
+    pub(super) fn apply_workspaces(&mut self) {
         let Some(catalog) = self.node.catalog.borrow().clone() else { return };
         self.pool.set_workspaces(catalog.version, catalog.workspaces.all());
-        if self.quota.asked || catalog.workspaces.all().is_empty() {
+        if self.quota.requested || catalog.workspaces.all().is_empty() {
             return;
         }
-        self.quota.asked = true;
+        self.quota.requested = true;
         let (node, tx) = (self.node.clone(), self.tx.clone());
         tokio::spawn(async move {
             while let Err(e) = read_lent(&node).await {
@@ -53,7 +53,7 @@
                 if tx.is_closed() {
                     return;
                 }
-                tokio::time::sleep(READ_AGAIN).await;
+                tokio::time::sleep(READ_RETRY_PAUSE).await;
             }
             // The owner may have ended, and then needs no event.
             let _ = tx.send(Event::LentRead);
@@ -61,13 +61,13 @@
     }
 
     /// Handles the end of the first read of the records by this owner.
-    pub(super) fn lent_read(&mut self) {
+    pub(super) fn handle_lent_read(&mut self) {
         self.quota.read = true;
-        self.take_lent();
+        self.apply_lent_shares();
     }
 
     /// Applies the lent shares of caps.
-    pub(super) fn take_lent(&mut self) {
+    pub(super) fn apply_lent_shares(&mut self) {
         if self.quota.read {
             let table = self.node.lent.borrow().clone();
             self.pool.set_lent(table.as_of, table.lent.values());
@@ -75,39 +75,39 @@
     }
 
     /// Reports the use of workspaces that need larger shares or whose shares have changed.
-    pub(super) fn say_cap_use(&mut self) {
+    pub(super) fn report_cap_use(&mut self) {
         let now = steady_ms();
-        let quiet = now.saturating_sub(self.quota.said_at) < SAY_EVERY_MS;
-        if !self.quota.read || quiet || self.quota.under_way.load(Ordering::Relaxed) {
+        let quiet = now.saturating_sub(self.quota.reported_at) < REPORT_EVERY_MS;
+        if !self.quota.read || quiet || self.quota.in_flight.load(Ordering::Relaxed) {
             return;
         }
-        self.quota.said_at = now;
-        self.tell_held(now);
-        let reports = self.pool.say_cap_use(self.token, &mut self.quota.count);
+        self.quota.reported_at = now;
+        self.log_held_workspaces(now);
+        let reports = self.pool.say_cap_use(self.token, &mut self.quota.report_count);
         if reports.is_empty() {
             return;
         }
-        self.quota.under_way.store(true, Ordering::Relaxed);
+        self.quota.in_flight.store(true, Ordering::Relaxed);
         let records: Vec<_> = reports.iter().map(use_record).collect();
-        let (node, tx, under_way) =
-            (self.node.clone(), self.tx.clone(), self.quota.under_way.clone());
+        let (node, tx, in_flight) =
+            (self.node.clone(), self.tx.clone(), self.quota.in_flight.clone());
         tokio::spawn(async move {
             let result = node.store.append(TOPIC, USES, Guard::Always, &records).await;
             node.standing.note(result.is_ok());
             if let Err(e) = result {
                 log::info!("caps step=use-not-written count={} error=\"{e}\"", records.len());
-                let _ = tx.send(Event::CapUseNotSaid);
+                let _ = tx.send(Event::CapUseNotWritten);
             }
-            under_way.store(false, Ordering::Relaxed);
+            in_flight.store(false, Ordering::Relaxed);
         });
     }
 
     /// Logs which workspaces are held back by their caps, with the cap, the lent share and the use of each.
-    fn tell_held(&mut self, now: Ms) {
-        if now.saturating_sub(self.quota.told_at) < TELL_EVERY_MS {
+    fn log_held_workspaces(&mut self, now: Ms) {
+        if now.saturating_sub(self.quota.logged_at) < LOG_EVERY_MS {
             return;
         }
-        self.quota.told_at = now;
+        self.quota.logged_at = now;
         for Held { workspace, cap, share, used, number } in self.pool.held_by_caps() {
             log::info!(
                 "caps step=held workspace={workspace} pool={} cap_cpu={} cap_mem_mb={} lent_cpu={} lent_mem_mb={} \
--- a/crates/scheduler/src/owner/report.rs
+++ b/crates/scheduler/src/owner/report.rs
@@ -16,34 +16,34 @@
 /// The shortest time between two reports, in milliseconds, if a VM has become empty or the pool needs many more VMs.
 /// These intervals, together with following the store's records only on the nodes that need them, cut calls to the
 /// store from 365 to 280 a second on a calm day of 49 VMs and nine nodes.
-const AT_ONCE_MS: Ms = 50;
+const URGENT_INTERVAL_MS: Ms = 50;
 /// The shortest time, in milliseconds, if VMs have become idle or busy, or the need has changed.
-const EVERY_MS: Ms = 250;
+const CHANGE_INTERVAL_MS: Ms = 250;
 /// The shortest time, in milliseconds, if only the work on the pool's VMs has changed.
-const SELDOM_MS: Ms = 1_000;
+const WORK_INTERVAL_MS: Ms = 1_000;
 /// A need that has grown by one part in this many is reported with the shortest interval.
-const JUMP_PART: u64 = 8;
+const JUMP_DIVISOR: u64 = 8;
 /// The unit to which needs are rounded up, in thousandths of a core: smaller changes are not reported.
-const CORE: u64 = 1_000;
+const NEED_UNIT: u64 = 1_000;
 
 /// The last report and when it was sent.
 #[derive(Debug, Default)]
 pub(super) struct Reporter {
     last: PoolReport,
     at: Ms,
-    under_way: Arc<AtomicBool>,
+    in_flight: Arc<AtomicBool>,
 }
 
 impl Owner {
     /// Reports the pool's load, if it has changed.
-    pub(super) fn report(&mut self) {
+    pub(super) fn report_load(&mut self) {
         let waited = steady_ms().saturating_sub(self.reporter.at);
-        if waited < AT_ONCE_MS || self.reporter.under_way.load(Ordering::Relaxed) {
+        if waited < URGENT_INTERVAL_MS || self.reporter.in_flight.load(Ordering::Relaxed) {
             return;
         }
-        let demand = self.pool.demand(self.lead(), now());
+        let demand = self.pool.demand(self.lead_time_ms(), now());
         let report = self.make_report(demand);
-        if waited < pause_before(&self.reporter.last, &report) {
+        if waited < report_interval(&self.reporter.last, &report) {
             return;
         }
         log::info!(
@@ -58,9 +58,9 @@
         );
         self.reporter.at = steady_ms();
         self.reporter.last = report.clone();
-        self.reporter.under_way.store(true, Ordering::Relaxed);
+        self.reporter.in_flight.store(true, Ordering::Relaxed);
         let (node, pool) = (self.node.clone(), self.log.pool.clone());
-        let under_way = self.reporter.under_way.clone();
+        let in_flight = self.reporter.in_flight.clone();
         tokio::spawn(async move {
             let record = KeyedRecord::new(pool_key(&pool), to_json(&report));
             let result = node.store.append(TOPIC, REPORTS, Guard::Always, &[record]).await;
@@ -69,12 +69,12 @@
                 // The next report replaces this one.
                 log::debug!("report step=failed pool={pool} error=\"{e}\"");
             }
-            under_way.store(false, Ordering::Relaxed);
+            in_flight.store(false, Ordering::Relaxed);
         });
     }
 
     /// Returns how far ahead the need is computed, in milliseconds.
-    fn lead(&self) -> Ms {
+    fn lead_time_ms(&self) -> Ms {
         match self.node.settings.policy.need.lead_ms {
             0 => 0,
             usual => self.node.fleet.borrow().lead_ms().unwrap_or(usual),
@@ -88,8 +88,8 @@
         PoolReport {
             waiting_cpu: load.waiting_cpu,
             used_cpu: load.used_cpu,
-            soon_cpu: demand.in_time().next_multiple_of(CORE),
-            late_cpu: demand.late.next_multiple_of(CORE),
+            soon_cpu: demand.in_time().next_multiple_of(NEED_UNIT),
+            late_cpu: demand.late.next_multiple_of(NEED_UNIT),
             cpu: load.cpu,
             vms: load.vms,
             spread: load.spread,
@@ -101,20 +101,21 @@
 }
 
 /// Returns how long after the last report the next one is due, by how they differ.
-fn pause_before(last: &PoolReport, next: &PoolReport) -> Ms {
-    let jumped = next.soon_cpu > last.soon_cpu + (last.soon_cpu / JUMP_PART).max(vm_cpu(next));
+fn report_interval(last: &PoolReport, next: &PoolReport) -> Ms {
+    let jumped =
+        next.soon_cpu > last.soon_cpu + (last.soon_cpu / JUMP_DIVISOR).max(average_vm_cpu(next));
     if jumped || next.emptied != last.emptied {
-        AT_ONCE_MS
+        URGENT_INTERVAL_MS
     } else if next.idle != last.idle || next.vms != last.vms || next.soon_cpu != last.soon_cpu {
-        EVERY_MS
+        CHANGE_INTERVAL_MS
     } else if next == last {
         Ms::MAX
     } else {
-        SELDOM_MS
+        WORK_INTERVAL_MS
     }
 }
 
 /// Returns the average CPU capacity of the pool's VMs, in thousandths of a core.
-fn vm_cpu(report: &PoolReport) -> u64 {
+fn average_vm_cpu(report: &PoolReport) -> u64 {
     report.cpu / u64::from(report.vms.max(1))
 }
--- a/crates/scheduler/src/owner/start.rs
+++ b/crates/scheduler/src/owner/start.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc::unbounded_channel;
 
 use super::advisor::Advisor;
-use super::incarnation_times::Lives;
+use super::incarnation_times::IncarnationTimes;
 use super::progress::ProgressWriter;
 use super::quota::Quota;
 use super::report::Reporter;
@@ -18,10 +18,10 @@
 use crate::journal::{Fenced, Journal};
 use crate::locks::lock;
 use crate::node::Node;
-use crate::pool_log::{FURTHER_PROGRESS, PROGRESS, PoolLog, SPARE_PROGRESS};
+use crate::pool_log::{OVERFLOW_PROGRESS, PROGRESS, PoolLog, SPARE_PROGRESS};
 
 /// How long a new owner waits for the list of VMs: a page of 540 VMs takes 0.1 s over 20 Mbit/s.
-const LISTED_WITHIN: Duration = Duration::from_millis(1_000);
+const VM_LIST_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Owns a pool until another node takes it over or the task is aborted.
 pub async fn run(node: Arc<Node>, log: Arc<PoolLog>, token: u64) {
@@ -31,12 +31,12 @@
     // No task can start without the VM list. An outage may affect its partition alone, so the owner then continues
     // without it and still reports on jobs. The wait runs in parallel with the reads: each call to a slow store takes
     // a quarter of a second.
-    let (journal, ()) = tokio::join!(open_and_read(&node, &log, token), until_listed(&node));
+    let (journal, ()) = tokio::join!(fence_and_read(&node, &log, token), wait_for_vm_list(&node));
     let Ok(journal) = journal else {
         log::warn!("owner pool={pool_name} step=fenced token={token}");
         return;
     };
-    let overflowed = log.spilled();
+    let overflowed = log.overflowed_progress();
     let overflow_announced = lock(&node.ownership).has_further_lanes(&log.pool);
     let policy = node.settings.policy;
     let advisor = Advisor::start(&node, tx.clone());
@@ -50,17 +50,17 @@
         links: HashMap::new(),
         tokens: LinkTokens::new(token),
         losses: Arc::default(),
-        lives: Lives::default(),
+        incarnation_times: IncarnationTimes::default(),
         orphans: HashMap::new(),
         tx: tx.clone(),
         purged_at: steady_ms(),
         reporter: Reporter::default(),
         advisor,
         quota: Quota::default(),
-        looked_at: 0,
+        vms_checked_at: 0,
     };
-    owner.take_caps();
-    owner.adopt();
+    owner.apply_workspaces();
+    owner.adopt_jobs();
     let load = owner.pool.load(now());
     log::info!(
         "owner pool={pool_name} step=took-over token={token} jobs={} placed={} took_ms={}",
@@ -75,24 +75,24 @@
 }
 
 /// Waits until the VM list was read, but at most for `VM_LIST_TIMEOUT`.
-async fn until_listed(node: &Node) {
+async fn wait_for_vm_list(node: &Node) {
     let mut listed = node.vms_listed.subscribe();
     let wait = async {
         // The sender lives as long as the node.
         let _ = listed.wait_for(|&listed| listed).await;
     };
-    if tokio::time::timeout(LISTED_WITHIN, wait).await.is_err() {
-        log::info!("owner step=vms-not-listed waited_ms={}", LISTED_WITHIN.as_millis());
+    if tokio::time::timeout(VM_LIST_TIMEOUT, wait).await.is_err() {
+        log::info!("owner step=vms-not-listed waited_ms={}", VM_LIST_TIMEOUT.as_millis());
     }
 }
 
 /// Fences the previous owner from the pool's progress and reads all records of the pool.
-async fn open_and_read(node: &Node, log: &PoolLog, token: u64) -> Result<Journal, Fenced> {
+async fn fence_and_read(node: &Node, log: &PoolLog, token: u64) -> Result<Journal, Fenced> {
     // This node read all announcements of the previous owner before it could claim the pool.
     let overflow = lock(&node.ownership).has_further_lanes(&log.pool);
     let mut parts = vec![PROGRESS, SPARE_PROGRESS];
     if overflow {
-        parts.extend(FURTHER_PROGRESS);
+        parts.extend(OVERFLOW_PROGRESS);
     }
     let journal = Journal::open(node, &log.topic, &parts, token).await?;
     // The previous owner is fenced and can write no further records.
@@ -106,7 +106,7 @@
 
 impl Owner {
     /// Adopts all jobs and subscribes to changes.
-    fn adopt(&mut self) {
+    fn adopt_jobs(&mut self) {
         let log = self.log.clone();
         self.pool.taken_over(now());
         let jobs = log.connect_owner(Some(self.tx.clone()));
--- a/crates/scheduler/src/owner/telemetry.rs
+++ b/crates/scheduler/src/owner/telemetry.rs
@@ -9,7 +9,7 @@
 
 impl Owner {
     /// Logs the tasks that were abandoned because VMs crashed under them.
-    pub(super) fn tell_given_up(&mut self) {
+    pub(super) fn log_abandoned_tasks(&mut self) {
         for GivenUp { task, harm } in self.pool.take_given_up() {
             let Harm { crashes, at_start, alone, .. } = harm;
             log::warn!(
@@ -19,7 +19,7 @@
         }
     }
 
-    pub(super) fn tell_load(&self) {
+    pub(super) fn update_load_metrics(&self) {
         let Load { waiting, placed, jobs, vms, used_cpu, cpu, .. } = self.pool.load(now());
         let pool = self.log.pool.to_string();
         gauge!("thistle_pool_tasks_waiting", "pool" => pool.clone()).set(f64::from(waiting));
@@ -40,7 +40,7 @@
 }
 
 /// Logs runs that a VM turns out not to have, and ends of runs that were abandoned before, whose work may be done twice.
-pub(super) fn log_report_news(vm: &VmLife, changes: &ReportNews) {
+pub(super) fn log_report_changes(vm: &VmLife, changes: &ReportNews) {
     for run in &changes.not_listed {
         log::info!("run step=not-listed run={run} vm={vm}");
     }
--- a/crates/scheduler/src/owner/vms.rs
+++ b/crates/scheduler/src/owner/vms.rs
@@ -15,10 +15,10 @@
 
 impl Owner {
     /// Applies the current VM list.
-    pub(super) fn list_vms(&mut self, table: &VmTable) {
-        let table = &*self.name_lives(table);
+    pub(super) fn apply_vm_list(&mut self, table: &VmTable) {
+        let table = &*self.name_incarnations(table);
         let listed = self.pool.vm_summaries();
-        self.lives.take_in(table, |id| listed.iter().any(|vm| vm.id == *id));
+        self.incarnation_times.record_list(table, |id| listed.iter().any(|vm| vm.id == *id));
         let pool = self.log.pool.clone();
         for facts in table.values().filter(|f| f.pool == pool) {
             if self.pool.list_vm(facts.clone()) {
@@ -28,33 +28,34 @@
             match self.links.get(facts.id.id()) {
                 Some(link) if *link.vm() == facts.id => (),
                 // The VM itself reports whether its previous incarnation has ended.
-                Some(link) if !link.is_over() => link.ask_at_once(),
+                Some(link) if !link.is_over() => link.poll_now(),
                 Some(_) | None => self.open_link(facts),
             }
         }
         for vm in listed {
-            if is_listed(table, &vm.id).is_some_and(|f| f.pool == self.log.pool) {
+            if listed_entry(table, &vm.id).is_some_and(|f| f.pool == self.log.pool) {
                 continue;
             }
             if self.pool.unlist_vm(&vm.id) {
                 log::info!("vm step=unlisted vm={} name={} pool={}", vm.id, vm.name, self.log.pool);
             }
-            self.note_if_reborn(&vm, table);
+            self.report_if_superseded(&vm, table);
         }
         // A VM that became unresponsive while it ran a task may be listed again in another pool.
         for (vm, name) in self.pool.silent_losses() {
             // The leftover entry of an earlier incarnation is no evidence.
-            let successor =
-                |f: &VmFacts| *f.name == *name && f.id != vm && !self.lives.is_later(&vm, &f.id);
+            let successor = |f: &VmFacts| {
+                *f.name == *name && f.id != vm && !self.incarnation_times.is_later(&vm, &f.id)
+            };
             if !name.is_empty() && table.values().any(|f| successor(f)) {
-                self.tell_replaced(&vm);
+                self.report_replaced(&vm);
             }
         }
-        self.watch_orphans();
+        self.record_orphans();
     }
 
     /// Fills in, for entries without a start time, the incarnation that has answered on the VM's link.
-    fn name_lives<'a>(&self, table: &'a VmTable) -> Cow<'a, VmTable> {
+    fn name_incarnations<'a>(&self, table: &'a VmTable) -> Cow<'a, VmTable> {
         let answered = |facts: &VmFacts| {
             let current = self.links.get(facts.id.id()).map(Link::vm);
             current.filter(|current| facts.id.born().is_none() && current.born().is_some()).cloned()
@@ -88,38 +89,39 @@
     }
 
     /// Checks whether a later incarnation of a VM that has stopped answering is listed already.
-    pub(super) fn look_for_successor(&self, id: &VmLife) {
+    pub(super) fn check_for_successor(&self, id: &VmLife) {
         let listed = self.node.vms.borrow().clone();
-        let table = self.name_lives(&listed);
+        let table = self.name_incarnations(&listed);
         if let Some(vm) = self.pool.vm_summaries().into_iter().find(|vm| vm.id == *id)
-            && is_listed(&table, id).is_none()
+            && listed_entry(&table, id).is_none()
         {
-            self.note_if_reborn(&vm, &table);
+            self.report_if_superseded(&vm, &table);
         }
     }
 
     /// Reports an unlisted incarnation as lost if a later one of its VM is listed. An incarnation that still answers
     /// is not gone, whatever an entry for its VM states. The entry of an earlier incarnation, which remains for a
     /// while after its end, is no evidence about this one.
-    fn note_if_reborn(&self, vm: &VmSummary, table: &VmTable) {
+    fn report_if_superseded(&self, vm: &VmSummary, table: &VmTable) {
         if vm.reachable && self.link(&vm.id).is_some_and(|link| !link.is_over()) {
             return;
         }
-        let is_later_successor =
-            |facts: &&Arc<VmFacts>| is_reborn(facts, vm) && self.lives.is_later(&facts.id, &vm.id);
+        let is_later_successor = |facts: &&Arc<VmFacts>| {
+            is_successor(facts, vm) && self.incarnation_times.is_later(&facts.id, &vm.id)
+        };
         match table.values().find(is_later_successor) {
             Some(facts) if facts.id.is_other_life_of(&vm.id) => {
-                self.tell_restarted(&vm.id, &facts.id);
+                self.report_restarted(&vm.id, &facts.id);
             }
-            Some(_) => self.tell_replaced(&vm.id),
+            Some(_) => self.report_replaced(&vm.id),
             None => (),
         }
     }
 
     /// Queues an event that a VM has restarted under its ID.
-    fn tell_restarted(&self, vm: &VmLife, next: &VmLife) {
+    fn report_restarted(&self, vm: &VmLife, next: &VmLife) {
         if let Some(link) = self.link(vm) {
-            link.end_with(next);
+            link.report_restart(next);
             return;
         }
         // There is no link to send the event.
@@ -128,7 +130,7 @@
     }
 
     /// Handles the restart of a VM under its ID and opens a link to the next incarnation.
-    pub(super) fn take_restart(&mut self, previous: &VmLife, next: &VmLife) {
+    pub(super) fn handle_restart(&mut self, previous: &VmLife, next: &VmLife) {
         let lost = self.pool.vm_restarted(previous, next, now());
         log::info!("vm step=restarted vm={previous} life={next} runs={}", lost.len());
         self.log_lost(previous, VmLoss::Replaced, lost);
@@ -141,14 +143,14 @@
         if table.get(next.id()).is_some_and(|listed| listed.id.born().is_none()) {
             // The VM's entries have no start time, so none will name this incarnation.
             self.pool.unlist_vm(previous);
-            self.list_vms(&table);
+            self.apply_vm_list(&table);
         }
     }
 
     /// Queues an event that another incarnation has replaced a VM.
-    fn tell_replaced(&self, vm: &VmLife) {
+    fn report_replaced(&self, vm: &VmLife) {
         if let Some(link) = self.link(vm) {
-            link.lose(VmLoss::Replaced);
+            link.report_loss(VmLoss::Replaced);
             return;
         }
         // There is no link to send the event.
@@ -156,8 +158,8 @@
     }
 
     /// Records VMs that have runs but no link: their runs count until the lease has ended.
-    fn watch_orphans(&mut self) {
-        let over_at = steady_ms() + lease_bound(self.node.task_lease());
+    fn record_orphans(&mut self) {
+        let over_at = steady_ms() + max_lease_duration(self.node.task_lease());
         for vm in self.pool.unlisted_with_runs() {
             if self.link(&vm).is_none() {
                 self.orphans.entry(vm).or_insert(over_at);
@@ -166,7 +168,7 @@
     }
 
     /// Handles VMs without a link as lost once their lease has ended.
-    pub(super) fn drop_orphans(&mut self) {
+    pub(super) fn expire_orphans(&mut self) {
         let now = now();
         let over: Vec<VmLife> = self
             .orphans
@@ -212,7 +214,7 @@
     }
 
     /// Closes the links to VMs that are not listed and have no runs.
-    pub(super) fn drop_links(&mut self) {
+    pub(super) fn close_unused_links(&mut self) {
         let known: HashSet<VmLife> = self.pool.vm_summaries().into_iter().map(|vm| vm.id).collect();
         self.links.retain(|_, link| known.contains(link.vm()));
     }
@@ -233,17 +235,17 @@
 }
 
 /// Returns the entry of a VM's ID if it names this incarnation.
-fn is_listed<'a>(table: &'a VmTable, vm: &VmLife) -> Option<&'a Arc<VmFacts>> {
+fn listed_entry<'a>(table: &'a VmTable, vm: &VmLife) -> Option<&'a Arc<VmFacts>> {
     table.get(vm.id()).filter(|facts| facts.id == *vm)
 }
 
-fn is_reborn(facts: &VmFacts, previous: &VmSummary) -> bool {
+fn is_successor(facts: &VmFacts, previous: &VmSummary) -> bool {
     let same_name = !previous.name.is_empty() && facts.name == previous.name;
     (same_name || facts.id.id() == previous.id.id()) && facts.id != previous.id
 }
 
 /// Returns after how long a lease that was given no later than now has certainly ended.
-fn lease_bound(length: Ms) -> Ms {
+fn max_lease_duration(length: Ms) -> Ms {
     let lease = TaskLease::new(length, 0);
     (length..).find(|&at| lease.is_over(at)).unwrap_or(length)
 }
--- a/crates/scheduler/src/pool_log/mod.rs
+++ b/crates/scheduler/src/pool_log/mod.rs
@@ -21,7 +21,7 @@
 use crate::owner::Event;
 use crate::read_failures::ReadFailures;
 use crate::submit::{Submission, start_submitter};
-use submission_partitions::Lane;
+use submission_partitions::PartitionState;
 
 /// The partition to which any node appends submissions and cancellations.
 pub const SUBMISSIONS: u32 = 0;
@@ -34,9 +34,9 @@
 pub const SPARE_PROGRESS: u32 = 3;
 /// The overflow partitions, to which progress is appended while neither of the two accepts it; an owner announces
 /// this before.
-pub const FURTHER_PROGRESS: [u32; 2] = [5, 7];
+pub const OVERFLOW_PROGRESS: [u32; 2] = [5, 7];
 /// The partitions of submissions, in the order in which they are tried.
-pub const LANES: [u32; 2] = [SUBMISSIONS, SPARE];
+pub const SUBMISSION_PARTITIONS: [u32; 2] = [SUBMISSIONS, SPARE];
 /// How old the last read of the fallback partition may be when a caller's request is answered, in milliseconds: half
 /// of the time within which each node has to show a job.
 pub const SPARE_AGE_MS: Ms = 1_500;
@@ -66,17 +66,17 @@
     jobs: Mutex<JobLog>,
     cursors: [tokio::sync::Mutex<Cursor>; 6],
     /// The jobs whose progress was read from a fallback or overflow partition, with that partition.
-    spilled: Mutex<BTreeSet<(JobId, u32)>>,
+    overflowed: Mutex<BTreeSet<(JobId, u32)>>,
     /// The channel that sends changes to the owner on this node.
     owner: Mutex<Option<UnboundedSender<Event>>>,
     owned: Owned,
     /// Whether this node follows the pool's records without owning it, and has caught up once.
-    reading_on: AtomicBool,
+    is_following: AtomicBool,
     /// Whether the pool is known to have had an owner.
     had_owner: AtomicBool,
-    lanes: [Lane; LANES.len()],
+    partition_states: [PartitionState; SUBMISSION_PARTITIONS.len()],
     /// Whether the last read failed.
-    in_trouble: AtomicBool,
+    last_read_failed: AtomicBool,
     submitter: UnboundedSender<Submission>,
     /// The number of jobs read so far, for metrics.
     pub submitted: AtomicU64,
@@ -91,19 +91,19 @@
             topic: topic_of(pool),
             jobs: Mutex::default(),
             cursors: Default::default(),
-            spilled: Mutex::default(),
+            overflowed: Mutex::default(),
             owner: Mutex::default(),
             owned: Owned::default(),
-            reading_on: AtomicBool::new(false),
+            is_following: AtomicBool::new(false),
             had_owner: AtomicBool::new(false),
-            lanes: Default::default(),
-            in_trouble: AtomicBool::new(false),
+            partition_states: Default::default(),
+            last_read_failed: AtomicBool::new(false),
             submitter,
             submitted: AtomicU64::new(0),
         });
         tokio::spawn(start_submitter(node.clone(), log.clone(), rx));
-        tokio::spawn(read::read_on(node.clone(), log.clone()));
-        tokio::spawn(read::read_spare_on(node.clone(), log.clone()));
+        tokio::spawn(read::follow_records(node.clone(), log.clone()));
+        tokio::spawn(read::follow_fallback(node.clone(), log.clone()));
         log
     }
 
@@ -114,7 +114,7 @@
 
     /// Returns whether this node follows the pool's records, as its owner or as a standby.
     pub fn is_read_here(&self) -> bool {
-        self.is_owned() || self.reading_on.load(Ordering::Relaxed)
+        self.is_owned() || self.is_following.load(Ordering::Relaxed)
     }
 
     /// Returns whether the owner runs on this node, so that new progress is known immediately.
@@ -144,22 +144,22 @@
             SPARE => &self.cursors[1],
             PROGRESS => &self.cursors[2],
             SPARE_PROGRESS => &self.cursors[3],
-            part if part == FURTHER_PROGRESS[0] => &self.cursors[4],
+            part if part == OVERFLOW_PROGRESS[0] => &self.cursors[4],
             _ => &self.cursors[5],
         }
     }
 
     /// Returns whether the fallback partition holds or has held any record, or was not read yet.
-    pub async fn spare_was_used(&self) -> bool {
+    pub async fn fallback_was_used(&self) -> bool {
         self.cursor(SPARE).lock().await.next.is_none_or(|next| next > 0)
     }
 
     /// Records which jobs have progress in a fallback or overflow partition.
-    fn note_spilled(&self, part: u32, records: &[Stored]) {
-        if part != SPARE_PROGRESS && !FURTHER_PROGRESS.contains(&part) {
+    fn record_overflowed(&self, part: u32, records: &[Stored]) {
+        if part != SPARE_PROGRESS && !OVERFLOW_PROGRESS.contains(&part) {
             return;
         }
-        let mut overflowed = lock(&self.spilled);
+        let mut overflowed = lock(&self.overflowed);
         for Stored { record, .. } in records {
             let Some(id) = job_of_progress_key(&record.key) else { continue };
             if record.value().is_some() {
@@ -171,20 +171,20 @@
     }
 
     /// Returns the jobs with progress in a fallback or overflow partition, with that partition, for a new owner.
-    pub fn spilled(&self) -> BTreeSet<(JobId, u32)> {
-        lock(&self.spilled).clone()
+    pub fn overflowed_progress(&self) -> BTreeSet<(JobId, u32)> {
+        lock(&self.overflowed).clone()
     }
 
     fn apply(&self, part: u32, records: &[Stored]) {
         let mut jobs = self.jobs();
         for Stored { offset, record } in records {
-            self.apply_one(&mut jobs, part, *offset, record);
+            self.apply_record(&mut jobs, part, *offset, record);
         }
     }
 
     /// Applies the newest record of each key of a partition. Jobs without a record there were dropped.
     fn reload(&self, part: u32, records: &[Stored]) {
-        if LANES.contains(&part) {
+        if SUBMISSION_PARTITIONS.contains(&part) {
             let newest = records.iter().filter(|stored| stored.record.value().is_some());
             let kept = newest.filter_map(|stored| job_of_submit_key(&stored.record.key)).collect();
             self.jobs().reloaded(part, &kept);
@@ -192,9 +192,9 @@
         self.apply(part, records);
     }
 
-    fn apply_one(&self, jobs: &mut JobLog, part: u32, offset: u64, record: &KeyedRecord) {
+    fn apply_record(&self, jobs: &mut JobLog, part: u32, offset: u64, record: &KeyedRecord) {
         match jobs.apply_from(part, &record.key, record.value()) {
-            Ok(Some(change)) => self.pass_on(change),
+            Ok(Some(change)) => self.notify_owner(change),
             Ok(None) => (),
             Err(e) => {
                 log::error!("jobs step=unreadable pool={} offset={offset} key={}", self.pool, e.0);
@@ -202,7 +202,7 @@
         }
     }
 
-    fn pass_on(&self, change: LogChange) {
+    fn notify_owner(&self, change: LogChange) {
         if matches!(change, LogChange::Submitted(_)) {
             self.submitted.fetch_add(1, Ordering::Relaxed);
         }
@@ -227,7 +227,7 @@
             cursor.next = Some(end);
             let mut jobs = self.jobs();
             for (offset, record) in (offset..).zip(records) {
-                self.apply_one(&mut jobs, part, offset, record);
+                self.apply_record(&mut jobs, part, offset, record);
             }
             return;
         }
--- a/crates/scheduler/src/pool_log/read.rs
+++ b/crates/scheduler/src/pool_log/read.rs
@@ -7,24 +7,24 @@
 use thistle_platform::{ReadError, StoreError};
 use thistle_schedule::Ms;
 
-use super::{Cursor, FURTHER_PROGRESS, PROGRESS, PoolLog, SPARE, SPARE_PROGRESS, SUBMISSIONS};
+use super::{Cursor, OVERFLOW_PROGRESS, PROGRESS, PoolLog, SPARE, SPARE_PROGRESS, SUBMISSIONS};
 use crate::clock::steady_ms;
 use crate::node::Node;
 
 /// How often a standby reads new records of a pool, so that it has few left to read when it takes the pool over.
 /// Records that callers request are read on request.
-const READ_EVERY: Duration = Duration::from_millis(4_000);
+const STANDBY_READ_EVERY: Duration = Duration::from_millis(4_000);
 /// The age of the last complete read up to which a partition is read on from there, in milliseconds. After a longer
 /// time, the newest record of each key is smaller than the records since, as each progress record is written whole.
-const READ_ON_WITHIN_MS: Ms = 10_000;
+const MAX_RESUME_AGE_MS: Ms = 10_000;
 /// How long the owner's read waits for submissions. An append that is in flight when the read arrives does not end
 /// the wait, so this is the longest delay of its job.
-const WAIT: Duration = Duration::from_millis(250);
+const SUBMISSIONS_WAIT: Duration = Duration::from_millis(250);
 /// Pause after a failure.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// How often the owner reads the fallback partition while the first one answers, and otherwise.
-const SPARE_EVERY: Duration = Duration::from_millis(1_000);
-const SPARE_EVERY_IN_TROUBLE: Duration = Duration::from_millis(150);
+const FALLBACK_EVERY: Duration = Duration::from_millis(1_000);
+const FALLBACK_EVERY_AFTER_FAILURE: Duration = Duration::from_millis(150);
 
 impl PoolLog {
     /// Reads a partition until all records that the store had at `since` are applied.
@@ -51,10 +51,10 @@
         cursor: &mut Cursor,
         began: Ms,
     ) -> Result<(), StoreError> {
-        let is_old = began.saturating_sub(cursor.read_at) > READ_ON_WITHIN_MS;
+        let is_old = began.saturating_sub(cursor.read_at) > MAX_RESUME_AGE_MS;
         let Some(from) = cursor.next.filter(|_| !is_old || cursor.read_at == 0) else {
             let newest = node.store.newest(&self.topic, part).await?;
-            self.note_spilled(part, &newest.records);
+            self.record_overflowed(part, &newest.records);
             self.reload(part, &newest.records);
             (cursor.next, cursor.read_at) = (Some(newest.end), 0);
             return Ok(());
@@ -63,7 +63,7 @@
             Ok(batch) => {
                 let next = from + batch.records.len() as u64;
                 let reached_end = next >= batch.end;
-                self.note_spilled(part, &batch.records);
+                self.record_overflowed(part, &batch.records);
                 self.apply(part, &batch.records);
                 cursor.next = Some(next);
                 if reached_end {
@@ -81,7 +81,7 @@
     }
 
     /// Reads new records for a standby.
-    async fn read_on_once(&self, node: &Node) -> Result<(), StoreError> {
+    async fn read_new_records(&self, node: &Node) -> Result<(), StoreError> {
         let since = steady_ms();
         self.catch_up(node, SUBMISSIONS, since).await?;
         self.catch_up(node, PROGRESS, since).await
@@ -94,7 +94,7 @@
             return self.catch_up(node, SUBMISSIONS, began).await;
         };
         // The cursor is not locked during the wait, so that reads for callers can continue.
-        let batch = match node.store.read(&self.topic, SUBMISSIONS, from, WAIT).await {
+        let batch = match node.store.read(&self.topic, SUBMISSIONS, from, SUBMISSIONS_WAIT).await {
             Ok(batch) => batch,
             Err(ReadError::Dropped) => {
                 self.cursor(SUBMISSIONS).lock().await.next = None;
@@ -124,7 +124,7 @@
     /// them have started.
     pub async fn read_all(&self, node: &Node, since: Ms, overflow: bool) -> Result<(), StoreError> {
         if overflow {
-            let parts = FURTHER_PROGRESS.map(|part| self.catch_up(node, part, since));
+            let parts = OVERFLOW_PROGRESS.map(|part| self.catch_up(node, part, since));
             futures::future::try_join_all(parts).await?;
         }
         let (submissions, progress, fallback_progress, fallback) = tokio::join!(
@@ -146,47 +146,48 @@
 }
 
 /// Follows a pool's records on its owner and on the few standbys. Other nodes do not follow them.
-pub(super) async fn read_on(node: Arc<Node>, log: Arc<PoolLog>) {
+pub(super) async fn follow_records(node: Arc<Node>, log: Arc<PoolLog>) {
     loop {
         // A node that cannot receive heartbeats keeps its current role.
         let reads = node.reads(&log.pool).unwrap_or_else(|| log.is_read_here());
         if !log.is_owned() && !reads {
-            log.reading_on.store(false, Ordering::Relaxed);
-            log.owned.wait_unless_owned(about(READ_EVERY)).await;
+            log.is_following.store(false, Ordering::Relaxed);
+            log.owned.wait_unless_owned(jittered(STANDBY_READ_EVERY)).await;
             continue;
         }
         let owned = log.is_owned();
         let result = match owned {
             true => log.wait_for_submissions(&node).await,
-            false => log.read_on_once(&node).await,
+            false => log.read_new_records(&node).await,
         };
-        log.in_trouble.store(result.is_err(), Ordering::Relaxed);
+        log.last_read_failed.store(result.is_err(), Ordering::Relaxed);
         match result {
             Ok(()) if owned => node.standing.note(true),
             Ok(()) => {
-                log.reading_on.store(true, Ordering::Relaxed);
-                log.owned.wait_unless_owned(about(READ_EVERY)).await;
+                log.is_following.store(true, Ordering::Relaxed);
+                log.owned.wait_unless_owned(jittered(STANDBY_READ_EVERY)).await;
             }
             Err(e) => {
                 node.standing.note(false);
                 log::debug!("jobs step=read-failed pool={} error=\"{e}\"", log.pool);
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
     }
 }
 
 /// Returns a random duration between half of a pause and all of it, so that nodes started together do not read at the same time.
-fn about(pause: Duration) -> Duration {
+fn jittered(pause: Duration) -> Duration {
     pause.mul_f64(rand::random_range(0.5..1.0))
 }
 
 /// Reads the fallback partition of submissions for the owner. Other nodes read it when a caller requests a job that
 /// they do not know.
-pub(super) async fn read_spare_on(node: Arc<Node>, log: Arc<PoolLog>) {
+pub(super) async fn follow_fallback(node: Arc<Node>, log: Arc<PoolLog>) {
     loop {
-        let has_failed = log.in_trouble.load(Ordering::Relaxed);
-        tokio::time::sleep(if has_failed { SPARE_EVERY_IN_TROUBLE } else { SPARE_EVERY }).await;
+        let has_failed = log.last_read_failed.load(Ordering::Relaxed);
+        tokio::time::sleep(if has_failed { FALLBACK_EVERY_AFTER_FAILURE } else { FALLBACK_EVERY })
+            .await;
         if !log.is_owned() {
             continue;
         }
--- a/crates/scheduler/src/pool_log/submission_partitions.rs
+++ b/crates/scheduler/src/pool_log/submission_partitions.rs
@@ -9,44 +9,44 @@
 use crate::node::Node;
 
 /// Pause before an unresponsive partition is probed again: a probe is one small read.
-const ASK_PAUSE: Duration = Duration::from_millis(250);
+const PROBE_PAUSE: Duration = Duration::from_millis(250);
 /// How long a submission waits for the probe of a partition that has left an append unanswered; a store that takes
 /// longer counts as slow. If only an answer was lost, the probe is answered in 4 ms. In an outage callers are refused
 /// after this time.
-const ASKED_WITHIN: Duration = Duration::from_millis(60);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// The state of a partition of submissions.
 #[derive(Debug, Default)]
-pub(super) struct Lane {
+pub(super) struct PartitionState {
     /// Whether the partition has left an append unanswered and has not answered since.
-    suspect: watch::Sender<bool>,
+    unresponsive: watch::Sender<bool>,
 }
 
 impl PoolLog {
     /// Records that a partition did not answer an append of submissions, and probes it until it answers. The probes
     /// run in a task of their own: made by callers, they held up one caller in each half second for 0.8 s.
     pub fn suspect(self: &Arc<Self>, node: &Arc<Node>, part: u32) {
-        if self.lane(part).suspect.send_replace(true) {
+        if self.partition_state(part).unresponsive.send_replace(true) {
             return;
         }
         let (node, log) = (node.clone(), self.clone());
         tokio::spawn(async move {
             while let Err(e) = node.store.probe(&log.topic, part).await {
                 log::info!("submit step=no-answer pool={} part={part} error=\"{e}\"", log.pool);
-                tokio::time::sleep(ASK_PAUSE).await;
+                tokio::time::sleep(PROBE_PAUSE).await;
             }
-            log.lane(part).suspect.send_replace(false);
+            log.partition_state(part).unresponsive.send_replace(false);
         });
     }
 
     /// Returns whether submissions may be appended to a partition.
     pub async fn may_append(&self, part: u32) -> bool {
-        let mut suspect = self.lane(part).suspect.subscribe();
-        let cleared = suspect.wait_for(|&suspect| !suspect);
-        tokio::time::timeout(ASKED_WITHIN, cleared).await.is_ok_and(|cleared| cleared.is_ok())
+        let mut unresponsive = self.partition_state(part).unresponsive.subscribe();
+        let cleared = unresponsive.wait_for(|&unresponsive| !unresponsive);
+        tokio::time::timeout(PROBE_TIMEOUT, cleared).await.is_ok_and(|cleared| cleared.is_ok())
     }
 
-    fn lane(&self, part: u32) -> &Lane {
-        &self.lanes[usize::from(part == SPARE)]
+    fn partition_state(&self, part: u32) -> &PartitionState {
+        &self.partition_states[usize::from(part == SPARE)]
     }
 }
