--- a/crates/scheduler/src/owner/link/orders.rs
+++ b/crates/scheduler/src/owner/link/orders.rs
@@ -157,12 +157,8 @@
             }
             Ok(StartAnswer::Started) => return Some(StartResult::Started),
             Ok(StartAnswer::NoRoom) if !maybe_arrived => return Some(StartResult::NoRoom),
-            Err(OrderError::Unhealthy(_)) if !maybe_arrived => {
-                return Some(StartResult::Unhealthy);
-            }
-            Err(OrderError::NotSent(_)) if !maybe_arrived => {
-                return Some(StartResult::Unhealthy);
-            }
+            Err(OrderError::Unhealthy(_)) if !maybe_arrived => return Some(StartResult::Unhealthy),
+            Err(OrderError::NotSent(_)) if !maybe_arrived => return Some(StartResult::Unhealthy),
             Ok(answer) => {
                 log::info!("start step=refused run={} vm={} answer={answer:?}", order.run, link.vm);
                 return Some(refused);
