--- a/crates/scheduler/src/access.rs
+++ b/crates/scheduler/src/access.rs
@@ -1,21 +1,21 @@
-//! Who calls: the workspace that a request's key names.
+//! Authentication of callers: the workspace that a request's API key belongs to.
 
 use hyper::header::HeaderMap;
 use thistle_platform::KEY_HEADER;
 use thistle_schedule::{Caller, Catalog, KeySecret, Queue};
 
-/// Why a call is not let in, by its key.
+/// Why a request is denied because of its API key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
-    /// There is none.
+    /// The request has no key.
     Missing,
-    /// There are several, or it is no text.
+    /// The request has several keys, or its key is not text.
     Unreadable,
-    /// It names no workspace of the configuration in force, or more than one.
+    /// The key belongs to no workspace of the configuration in force, or to more than one.
     Unknown,
 }
 
-/// Returns on whose behalf a call to a queue is made.
+/// Returns the caller of a request to a queue: the queue and, unless the queue is open, the workspace of the key.
 pub fn caller_of(
     catalog: &Catalog,
     queue: &Queue,
--- a/crates/scheduler/src/append.rs
+++ b/crates/scheduler/src/append.rs
@@ -1,12 +1,14 @@
-//! Appending submissions to the first partition that takes them.
+//! Appends submissions to the first partition of a pool that accepts them.
 //!
-//! Load pattern: one partition of a pool, or both, leave appends unanswered while jobs go on coming. Asked one after the other,
-//! 0.6 s each, they hold each caller for 1.2 s; the spare one is asked beside the first once the store has answered other
-//! calls meanwhile, so that a job is kept up to 0.45 s sooner. Records in two partitions do no harm: they are folded by job.
+//! One or both of a pool's partitions may leave appends unanswered while jobs keep arriving. Tried one after the other, at 0.6 s
+//! each, they would hold every caller for 1.2 s. The fallback partition is therefore tried in parallel with the first one after
+//! the store has answered other calls in the meantime, which stores a job up to 0.45 s sooner. Records in both partitions are
+//! harmless because they are folded by job.
 //!
-//! Load pattern: the store turns slow as a turn of load begins. 97 nodes with 200 jobs a second append each job by itself, and each
-//! partition's queue is full for seconds (it refuses what would wait for more than two). Whoever finds it slow hands over to the
-//! pool's owner, and does not try the spare partition; the owner asks both, of which the spare one is free.
+//! The store may also turn slow when load rises. If 97 nodes with 200 jobs per second append each job by itself, the queue of
+//! each partition is full for seconds; a partition refuses appends that would wait for more than two seconds. A node that finds
+//! the store slow forwards its submissions to the pool's owner and does not try the fallback partition. The owner tries both
+//! partitions, and the fallback partition is free for it.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -22,53 +24,55 @@
 use crate::pool_log::{PoolLog, SPARE, SUBMISSIONS};
 use crate::written::Written;
 
-/// Pause between two tries.
+/// Pause between two attempts.
 const PAUSE: Duration = Duration::from_millis(50);
-/// How long a submission that the store surely has not taken is tried again, in milliseconds. The
-/// caller is told to come back sooner than it would be by waiting out an outage.
+/// How long a submission that the store certainly has not written is retried, in milliseconds. The caller
+/// is told to retry earlier than if the node waited for an outage to end.
 const TRY_FOR_MS: Ms = 400;
-/// How long a submission that the store may have taken is tried again, in milliseconds: sending it
-/// once more is harmless and may tell what became of it.
+/// How long a submission that the store may have written is retried, in milliseconds: sending it again is
+/// harmless and may reveal the outcome.
 const ASK_FOR_MS: Ms = 1_000;
-/// How long the first partition may take before the spare one may be asked beside it: more than twice what counts as slow.
+/// How long an append to the first partition may take before the fallback partition may be tried in parallel: more than
+/// twice the time from which the store counts as slow.
 const UNUSUAL: Duration = Duration::from_millis(150);
-/// After what time of it other calls that are answered fast tell that the store is not slow: those answered before may have been sent
-/// before it turned slow.
+/// How long after the start of an append fast answers to other calls show that the store is not slow: calls answered earlier
+/// may have been sent before the store turned slow.
 const SETTLED: Duration = Duration::from_millis(100);
-/// How often it is looked whether other calls were answered meanwhile.
+/// How often the number of fast answers to other calls is checked.
 const LOOK_EVERY: Duration = Duration::from_millis(25);
 
-/// Who appends.
+/// The role in which a node appends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum By {
-    /// The pool's owner, or a node that knows of none: for all that come.
+    /// The pool's owner, or a node that knows of no owner; it appends the records of all nodes that forward to it.
     Owner,
-    /// Another node, which may hand over to the owner while the store is slow.
+    /// Another node, which may forward to the owner while the store is slow.
     Other,
 }
 
-/// What came of appending.
+/// The result of appending records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// This became of the records.
+    /// The write outcome of the records.
     Known(Written),
-    /// The store is slow, and it is the pool's owner's to append them.
+    /// The store is slow, and the records should be forwarded to the pool's owner.
     OwnersTurn {
-        /// They may be written already; doing it twice is harmless.
+        /// Whether the records may already be written; writing them twice is harmless.
         may_be_written: bool,
     },
 }
 
-/// What came of asking both partitions.
+/// The result of one attempt to append to the first or the fallback partition.
 enum Round {
-    /// Neither was asked: both have left appends unanswered.
+    /// No append was sent, because both partitions have left earlier appends unanswered.
     NotSent,
-    /// Nothing is known to be taken, and the store has turned out slow.
+    /// The records are not known to be written, and the store is slow.
     Slow(Written),
+    /// An append was sent, with this outcome.
     Asked(Written),
 }
 
-/// Appends to the first partition that takes the records, for a limited time after `since`.
+/// Appends to the first partition that accepts the records, retrying for a limited time after `since`.
 pub async fn append(
     node: &Arc<Node>,
     log: &Arc<PoolLog>,
@@ -81,7 +85,7 @@
         let round_at = steady_ms();
         match ask_both(node, log, records, since, by).await {
             Round::NotSent if !may_be_written => {
-                // What is never sent can be refused truthfully, and the caller may try again.
+                // Records that were never sent are certainly not written, so the caller may safely retry.
                 log::info!("submit step=not-sent pool={} reason=no-partition-answers", log.pool);
                 return Outcome::Known(Written::NotKept);
             }
@@ -95,8 +99,8 @@
         }
         let waited = steady_ms().saturating_sub(since);
         match may_be_written {
-            // The whole store is silent, or this node's way to it: the caller is told 0.4 s sooner. Once calls go through another
-            // node it is asked again.
+            // The whole store, or this node's path to it, is unresponsive: the caller gets its reply 0.4 s sooner. Once calls
+            // go through another node, the append is retried.
             true if node.store.detour().is_none()
                 && !node.standing.view().has_answered_since(round_at) =>
             {
@@ -135,8 +139,8 @@
         let slow = by == By::Other && node.store.is_slow();
         let ask_spare = match written {
             Written::Kept => false,
-            // The spare partition's queue is left to the owner: 32 nodes that asked it when their time was up filled it for two
-            // seconds, and of 250 jobs that came meanwhile 29 were kept.
+            // The fallback partition's queue is left to the owner. If 32 nodes try it when their appends time out, its queue
+            // stays full for two seconds, and only 29 of 250 jobs that arrive meanwhile are stored.
             Written::NotKept | Written::Unknown if slow => return Round::Slow(written),
             Written::NotKept => true,
             Written::Unknown => node.standing.view().has_answered_since(sent_at),
@@ -156,7 +160,7 @@
     };
     if written == Written::Kept {
         if matches!(other, Either::Right(_)) && !node.store.is_slow() {
-            // The first one has not answered: it is asked before it gets another submission.
+            // The first partition has not answered: it must answer a probe before it gets another submission.
             log.suspect(node, SUBMISSIONS);
         }
         return Round::Asked(written);
@@ -164,8 +168,8 @@
     Round::Asked(either(written, other.await))
 }
 
-/// Ends when an append that began with this has taken unusually long though the store answers other calls as fast as
-/// ever.
+/// Completes when an append that started together with this future has taken unusually long although the store still
+/// answers other calls fast.
 async fn is_odd(node: &Node) {
     tokio::time::sleep(SETTLED).await;
     let before = node.store.quick_answers();
@@ -175,7 +179,7 @@
     }
 }
 
-/// Returns what became of records that went to two partitions.
+/// Combines the outcomes of appending the same records to two partitions.
 fn either(one: Written, other: Written) -> Written {
     match (one, other) {
         (Written::Kept, _) | (_, Written::Kept) => Written::Kept,
--- a/crates/scheduler/src/ask.rs
+++ b/crates/scheduler/src/ask.rs
@@ -1,7 +1,7 @@
-//! Asking the nodes that read a pool's records, for one that does not.
+//! Queries to the nodes that follow a pool's records, sent by a node that does not follow them.
 //!
-//! Load pattern: 97 nodes are asked for states of jobs at random. Each that looked itself read the whole pool first, and then
-//! what had come since at each question. The owner knows without reading.
+//! Callers ask any of 97 nodes for the states of jobs. A node that searched by itself would read the whole pool first, and
+//! then the newer records at each request. The pool's owner can reply without reading.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,11 +15,11 @@
 use crate::node::Node;
 use crate::question::{PATH, Question, Told};
 
-/// How long a node may take to answer: one read of the store, for a job that it does not know yet, and the way. A silent one
-/// must leave time for the next before callers give up after some 3 s.
+/// How long a node may take to reply: one read of the store, for a job that the node does not know yet, and the network time.
+/// An unresponsive node must leave time to query the next one before callers time out after about 3 s.
 const TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Asks the owner of the question's pool, and if it does not know, others that read the pool.
+/// Queries the owner of the pool, and if the owner cannot reply, other nodes that follow the pool's records.
 pub async fn ask(node: &Node, question: &Question) -> Told {
     let pool = question.pool();
     let owner = lock(&node.ownership).relay_of_owner(pool);
@@ -49,5 +49,5 @@
     if answer.status != StatusCode::OK.as_u16() {
         return Err(format!("{addr} answered with status {}", answer.status));
     }
-    postcard::from_bytes(&answer.body).map_err(|e| format!("{addr} sent no answer: {e}"))
+    postcard::from_bytes(&answer.body).map_err(|e| format!("{addr} sent an invalid reply: {e}"))
 }
--- a/crates/scheduler/src/callers.rs
+++ b/crates/scheduler/src/callers.rs
@@ -1,4 +1,4 @@
-//! The HTTP server for callers: submit a job, ask its state, cancel it, count a queue.
+//! The HTTP server for callers: submit a job, get its state, cancel it, count the pending jobs of a queue.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -29,9 +29,9 @@
 use crate::submit::Submission;
 use crate::written::Written;
 
-/// Largest headers before a configuration says otherwise, in bytes.
+/// The largest size of request headers until a configuration is known, in bytes.
 const HEADER_BYTES: usize = 16 * 1024;
-/// The least buffer that the HTTP library takes.
+/// The smallest buffer size that the HTTP library accepts, in bytes.
 const MIN_BUFFER: usize = 8 * 1024;
 
 /// Serves callers until the task is dropped.
@@ -43,7 +43,7 @@
 }
 
 async fn serve(node: Arc<Node>, stream: TcpStream) {
-    // Small answers go out at once; a connection on which this fails still works.
+    // Sends small replies without delay; the connection still works if this fails.
     let _ = stream.set_nodelay(true);
     let limits = node.catalog.borrow().as_ref().map(|c| c.limits);
     let header_bytes = limits.map_or(HEADER_BYTES, |l| l.header_bytes);
@@ -53,8 +53,8 @@
         async move { Ok::<_, Infallible>(respond(&node, req).await) }
     });
     let mut closing = node.closing.subscribe();
-    // Told to shut down, the library closes a connection on which it has read nothing. A caller that comes
-    // late gets an answer on it all the same, and then it is closed.
+    // On a graceful shutdown the library closes a connection from which it has read nothing. A caller that connects
+    // while the node is closing connections still gets one reply; then its connection is closed.
     let comes_late = *closing.borrow_and_update();
     let conn = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
@@ -64,16 +64,16 @@
         .serve_connection(TokioIo::new(stream), respond);
     tokio::pin!(conn);
     if comes_late {
-        // A caller that goes away is no fault.
+        // A disconnect by the caller is not an error.
         let _ = conn.await;
         return;
     }
-    // A caller that goes away is no fault.
+    // A disconnect by the caller is not an error.
     tokio::select! {
         _ = &mut conn => return,
         _ = closing.wait_for(|&close| close) => (),
     }
-    // The request under way is answered; then the connection is closed.
+    // The request in progress is answered before the connection is closed.
     conn.as_mut().graceful_shutdown();
     let _ = conn.await;
 }
@@ -81,7 +81,7 @@
 async fn respond(node: &Arc<Node>, req: Request<Incoming>) -> Reply {
     let mut reply = answer(node, req).await;
     if *node.stopping.borrow() {
-        // The caller's next request goes to another node.
+        // The caller's next request opens a new connection, which the balancer sends to another node.
         reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     reply
@@ -133,13 +133,13 @@
 fn host(req: &Request<Incoming>) -> String {
     let header = req.headers().get(HOST).and_then(|h| h.to_str().ok());
     let host = header.or_else(|| req.uri().host()).unwrap_or_default();
-    // A port after the name does not count.
+    // The port, if any, is ignored.
     host.split(':').next().unwrap_or_default().to_owned()
 }
 
-/// A call that was let in.
+/// An authenticated request.
 struct Call<'a> {
-    /// The configuration that it was judged by.
+    /// The configuration against which the request was authenticated.
     catalog: &'a Catalog,
     queue: &'a Queue,
     caller: Caller,
@@ -191,7 +191,7 @@
     spec.accepted_ms = wall_ms();
     spec.workspace = caller.workspace.clone().unwrap_or_default();
     spec.admitted_by = catalog.version;
-    // A copy of a job that is kept is not kept twice.
+    // A job that is already stored is not stored again.
     if let Some(log) = find(node, id) {
         let theirs =
             log.jobs().get(id).and_then(|e| e.spec.clone()).is_none_or(|s| caller.may_see(&s));
@@ -227,7 +227,7 @@
     answer_written(written)
 }
 
-/// Returns the step, if any, whose tasks work only together and ask for more than their workspace may ever run.
+/// Returns the index of the first gang step that demands more than its workspace's cap allows.
 fn too_wide(catalog: &Catalog, workspace: &str, spec: &JobSpec) -> Option<usize> {
     let cap = catalog.workspaces.get(workspace)?.cap;
     let never_fits = |step: &Step| step.gang && !within(step.demand.times(step.count), cap, cap);
@@ -247,14 +247,14 @@
 async fn write(log: &PoolLog, record: KeyedRecord) -> Written {
     let (done, told) = oneshot::channel();
     log.submit(Submission { record, at: steady_ms(), handed_over: false, done });
-    // Without an answer the append may be under way.
+    // Without an outcome, the append may still be in progress.
     told.await.unwrap_or(Written::Unknown)
 }
 
 async fn cancel(node: &Arc<Node>, call: &Call<'_>, id: JobId) -> Reply {
     let Call { queue, caller, .. } = call;
     let found = look_up(node, queue, id, caller).await;
-    // An unknown job is cancelled too: its submission may still be on the way to the store.
+    // An unknown job is cancelled too: its submission may still be on its way to the store.
     let (pool, state) = match &found {
         Found::Here(pool, state) => (pool, Some(*state)),
         Found::NotTheirs(_) => {
--- a/crates/scheduler/src/cmd/check_settings.rs
+++ b/crates/scheduler/src/cmd/check_settings.rs
@@ -7,6 +7,6 @@
 /// Checks the settings file.
 pub fn run(path: &Path) -> Result<(), RunError> {
     thistle_settings::load::<SchedulerSettings>(path)?;
-    println!("{}: the settings are right", path.display());
+    println!("{}: the settings are valid", path.display());
     Ok(())
 }
--- a/crates/scheduler/src/cmd/show.rs
+++ b/crates/scheduler/src/cmd/show.rs
@@ -4,7 +4,7 @@
 
 use thistle_settings::{RunError, SchedulerSettings};
 
-/// Prints what the store holds, as text or JSON; `job` is a job to show as well.
+/// Prints the state in the store as text or JSON, with the job of ID `job` if there is one.
 pub fn run(path: &Path, job: Option<&str>, json: bool) -> Result<(), RunError> {
     let settings: SchedulerSettings = thistle_settings::load(path)?;
     let runtime =
--- a/crates/scheduler/src/flags.rs
+++ b/crates/scheduler/src/flags.rs
@@ -3,14 +3,14 @@
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Takes jobs, schedules the pools that it owns, and maintains VMs.
+    /// Accepts jobs, schedules the pools that this node owns, and maintains VMs.
     cmd scheduler {
         /// Runs the scheduler.
         cmd run {
             /// The settings file.
             required settings: PathBuf
         }
-        /// Shows what the store holds: configuration, pools with owners and VMs, waves, a job.
+        /// Shows the state in the store: configuration, pools with owners and VMs, waves, a job.
         cmd show {
             /// The settings file of any node.
             required settings: PathBuf
@@ -19,7 +19,7 @@
             /// Prints JSON.
             optional --json
         }
-        /// Checks a settings file and does nothing else.
+        /// Checks a settings file without starting the scheduler.
         cmd check-settings {
             /// The settings file.
             required settings: PathBuf
--- a/crates/scheduler/src/follow.rs
+++ b/crates/scheduler/src/follow.rs
@@ -1,4 +1,4 @@
-//! Following a partition of a keyed topic.
+//! Readers that follow a partition of a keyed topic.
 
 use std::time::Duration;
 
@@ -9,26 +9,25 @@
 use crate::node::Node;
 use crate::read_failures::ReadFailures;
 
-/// How long a read waits for records. Longer costs fewer calls; while a link is cut silently, the
-/// node is deaf for this long after it has healed.
+/// How long a read waits for records. A longer wait needs fewer calls, but after a link that dropped packets silently
+/// has recovered, the node still receives nothing for up to this time.
 const WAIT: Duration = Duration::from_millis(800);
-/// How long the first read after news waits. A read that arrives while an append is under way is
-/// not woken by it (seen in plays: the store answers only when the wait is over), and appends
-/// come in bursts.
+/// How long the first read after new records waits. A read that arrives while an append is in progress is not woken by that
+/// append (the store replies only when the wait is over), and appends come in bursts.
 const WAIT_AFTER_NEWS: Duration = Duration::from_millis(25);
-/// Pause after a failure.
+/// Pause after a failed read.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// What was read.
+/// The records that a read returned.
 pub enum News {
-    /// The newest record of each key: what is not in it is gone.
+    /// The newest record of each key; keys that are absent no longer exist.
     Reloaded(Vec<Stored>),
-    /// Records since the last ones.
+    /// The records after the previous read.
     Records(Vec<Stored>),
 }
 
 impl News {
-    /// Returns whether there are no records.
+    /// Returns whether the read returned no records.
     pub fn is_empty(&self) -> bool {
         match self {
             Self::Reloaded(records) | Self::Records(records) => records.is_empty(),
@@ -45,23 +44,23 @@
 }
 
 impl Tail {
-    /// Makes a reader that starts with the newest record of each key.
+    /// Creates a reader that starts with the newest record of each key.
     pub fn new(topic: impl Into<String>, part: u32) -> Self {
         Self { topic: topic.into(), part, next: None, read_at: None }
     }
 
-    /// Returns the offset of the next record.
+    /// Returns the offset of the next record to read.
     pub const fn next_offset(&self) -> Option<u64> {
         self.next
     }
 
-    /// Returns when the newest read was sent that reached the end of the partition: all that the store had taken by then
-    /// is known.
+    /// Returns when the latest read that reached the end of the partition was sent: all records that the store had written
+    /// by then are known.
     pub const fn read_at(&self) -> Option<Ms> {
         self.read_at
     }
 
-    /// Reads what is new, waiting for it up to `wait`.
+    /// Reads the new records, waiting for them for up to `wait`.
     pub async fn read(&mut self, store: &Store, wait: Duration) -> Result<News, StoreError> {
         let Some(from) = self.next else {
             let newest = store.newest(&self.topic, self.part).await?;
@@ -88,19 +87,19 @@
     }
 }
 
-/// How soon a partition is read on after an answer.
+/// How soon the next read of a partition follows after a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pace {
-    /// At once.
+    /// Immediately.
     AtOnce,
-    /// After a pause, so that records are read together.
+    /// After a pause, so that records are read in batches.
     Bundled,
 }
 
-/// Pause of an owner between two reads of bundled records: each VM sends a heartbeat every second
-/// or two, and reading them one by one made half of all calls to the store.
+/// Pause of an owner between two batched reads: each VM sends a heartbeat every one or two seconds, and reading the
+/// heartbeats one by one would make up half of all calls to the store.
 const OWNER_PAUSE: Duration = Duration::from_millis(150);
-/// The same while no VM is on its way to another pool or back from maintenance, so that none is waited for.
+/// The same pause while no VM is moving to another pool or in maintenance, so that no VM's heartbeat is awaited.
 const CALM_OWNER_PAUSE: Duration = Duration::from_millis(400);
 
 async fn rest(node: &Node, pace: Pace) {
@@ -113,8 +112,8 @@
     }
 }
 
-/// Follows a partition until the task is dropped, handing on what is read, and how far.
-/// `pace` tells how soon it reads on.
+/// Follows a partition until the future is dropped, and calls `apply` with the records of each read and the reader.
+/// `pace` sets the pause between two reads.
 pub async fn follow(node: &Node, mut tail: Tail, pace: Pace, mut apply: impl FnMut(News, &Tail)) {
     let mut wait = Duration::ZERO;
     let mut failures = ReadFailures::default();
@@ -137,9 +136,9 @@
     }
 }
 
-/// Follows a partition for as long as this node owns something, each time from the newest record of each key,
-/// and has what was read forgotten afterwards. Of 97 nodes six own something; the others read and logged what 540 VMs tell
-/// of themselves, and each record of the fleet, for nothing: 209 thousand of a calm day's log lines.
+/// Follows a partition while this node owns a pool or the fleet, each time starting with the newest record of each key, and
+/// calls `forget` when the node no longer owns anything. Of 97 nodes only six own something; if the others also followed the
+/// entries of 540 VMs and the fleet's records, they would write 209 thousand needless log lines on a calm day.
 pub async fn follow_while_owning(
     node: &Node,
     (topic, part): (&str, u32),
--- a/crates/scheduler/src/hand_over.rs
+++ b/crates/scheduler/src/hand_over.rs
@@ -1,9 +1,8 @@
-//! Handing submissions to the pool's owner while the store is slow.
+//! Forwards submissions to the pool's owner while the store is slow.
 //!
-//! A partition does one append after the other. When each takes a quarter of a second, appends of
-//! many nodes wait for each other for longer than callers do; the owner appends what all have in one.
-//! With 32 nodes and a store sixty times as slow for 4.4 s, 1.5% of a day's requests were not served in place of
-//! 8.4% (one play each).
+//! A partition executes appends one at a time. If each append takes a quarter of a second, the appends of many nodes queue for
+//! longer than callers wait; the owner combines the records of all nodes in one append. With 32 nodes and a store that is sixty
+//! times slower than usual for 4.4 s, 1.5% of a day's requests fail with forwarding and 8.4% without it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,14 +21,14 @@
 use crate::submit::Submission;
 use crate::written::{Written, encode_outcomes, read_outcomes};
 
-/// What the path of a hand-over starts with; the pool's name follows.
+/// The prefix of the path for forwarded submissions; the pool's name follows.
 pub const PATH: &str = "/submissions/";
-/// How long the owner may take: it appends at once what has come while its last append was under
-/// way, so two appends of the slowest store, and as much again.
+/// How long the owner may take to reply. The owner appends in one call all records that arrived during its previous append,
+/// so this covers two appends of the slowest store, doubled as a margin.
 const TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Hands records to the pool's owner and returns what became of each; none if nothing was handed
-/// over.
+/// Forwards records to the pool's owner and returns the write outcome of each record, or `None` if the owner did not
+/// accept them.
 pub async fn to_owner(node: &Node, log: &PoolLog, records: &[KeyedRecord]) -> Option<Vec<Written>> {
     let addr = lock(&node.ownership).relay_of_owner(&log.pool)?;
     let sent: Vec<(&str, &[u8])> = records.iter().map(|r| (&*r.key, &*r.value)).collect();
@@ -45,7 +44,7 @@
     let answer = HttpClient::new(addr, 0).call(call.with_bytes(body.into())).await;
     let count = records.len();
     match answer {
-        // It has taken nothing.
+        // The owner has accepted no record.
         Ok(answer) if answer.status != StatusCode::OK.as_u16() => None,
         Ok(answer) => {
             counter!("thistle_handed_over").increment(count as u64);
@@ -63,8 +62,8 @@
     }
 }
 
-/// Appends what another node hands over, and returns what became of each record; none if nothing was
-/// taken.
+/// Appends the records that another node forwards and returns the encoded write outcome of each record, or `None` if the
+/// records are rejected.
 pub async fn take(node: &Arc<Node>, pool: &str, body: &Bytes) -> Option<Vec<u8>> {
     let records: Vec<(String, Vec<u8>)> = postcard::from_bytes(body)
         .inspect_err(|e| log::error!("submit step=not-taken pool={pool} error=\"{e}\""))
--- a/crates/scheduler/src/journal.rs
+++ b/crates/scheduler/src/journal.rs
@@ -1,4 +1,4 @@
-//! Records that only an owner appends: once each, and only while nobody else owns.
+//! Appends the records that only an owner may write: each once, and only while no other node is the owner.
 
 use std::time::Duration;
 
@@ -9,17 +9,16 @@
 use crate::clock::steady_ms;
 use crate::node::Node;
 
-/// Pause before an append is tried again.
+/// Pause before an append is retried.
 pub const PAUSE: Duration = Duration::from_millis(30);
-/// How long a partition that has not taken an append is left alone while another one takes them, in
-/// milliseconds.
+/// The first backoff of a partition that did not accept an append while another partition accepts appends, in milliseconds.
 const LEAVE_ALONE_MS: Ms = 400;
 
-/// How often that time doubles at most, up to 3.2 s: each try of a partition that says nothing holds all else up for as long as
-/// an append may take.
+/// How often that backoff doubles at most, up to 3.2 s: each attempt on an unresponsive partition delays all other appends by
+/// the timeout of an append.
 const MOST_LANE_DOUBLINGS: u32 = 3;
 
-/// Another node owns what the records are about.
+/// Another node has taken over the ownership under which the records are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fenced;
 
@@ -30,11 +29,11 @@
     pub part: u32,
     /// The offset of the first record.
     pub offset: u64,
-    /// The partition's end.
+    /// The end of the partition after the append.
     pub end: u64,
 }
 
-/// Writes to one partition under a token, and to others while that one does not take it.
+/// A writer that appends to one partition under a token, and to others while that partition does not accept appends.
 pub struct Journal {
     topic: String,
     lanes: Vec<Lane>,
@@ -43,19 +42,19 @@
 
 struct Lane {
     part: u32,
-    /// The number of the next append.
+    /// The sequence number of the next append.
     sequence: u64,
-    /// What was sent as number `sequence` and not answered: it may be there, or come yet. Nothing
-    /// else may be sent under that number, as the store would take it for a copy.
+    /// The records that were sent under `sequence` and not answered: they may be written, or be written later. No other
+    /// records may be sent under that number, because the store would treat them as a duplicate.
     unanswered: Option<Vec<KeyedRecord>>,
-    /// It is not tried before this if another one is left.
+    /// The partition is not tried before this time unless no other open partition may be tried.
     again_at: Ms,
-    /// Tries in a row that have failed.
+    /// The number of consecutive failed attempts.
     failures: u32,
-    /// Writers with lower epochs are shut out of it.
+    /// Whether writers with lower epochs are fenced off from the partition.
     fenced: bool,
-    /// It is written to. One that is not any more keeps its numbering: the store takes a number that it has seen of this epoch
-    /// for a copy, and would not keep what is sent under it.
+    /// Whether the partition is written to. A closed partition keeps its sequence number: the store treats a number that it
+    /// has seen in this epoch as a duplicate and would not store the records sent under it.
     open: bool,
 }
 
@@ -73,14 +72,14 @@
     }
 }
 
-/// What came of one try.
+/// The result of one attempt to append.
 enum Tried {
     Done(Place),
     Failed,
 }
 
 impl Journal {
-    /// Shuts out all writers with lower tokens. The first partition is the one to write to.
+    /// Opens the partitions and fences off all writers with lower tokens. The first partition is the preferred one.
     pub async fn open(node: &Node, topic: &str, parts: &[u32], token: u64) -> Result<Self, Fenced> {
         let lanes = parts.iter().map(|&part| Lane::new(part)).collect();
         let mut journal = Self { topic: topic.to_owned(), lanes, epoch: token };
@@ -90,10 +89,10 @@
         Ok(journal)
     }
 
-    /// Appends records to the first partition that takes them.
+    /// Appends records to the first partition that accepts them.
     ///
-    /// An append without an answer may be there twice, in two partitions, or come late: the records
-    /// must tell by themselves which is newer.
+    /// An unanswered append may be written twice, in two partitions, or be written late. The records themselves must
+    /// therefore show which of them is newer.
     pub async fn append(&mut self, node: &Node, records: &[KeyedRecord]) -> Result<Place, Fenced> {
         if self.lanes.len() == 1 {
             return self.append_to(node, 0, records).await;
@@ -106,7 +105,7 @@
         }
     }
 
-    /// Tries each partition once that is to be tried now; returns where the records went, if anywhere.
+    /// Tries each partition that is due once; returns where the records were appended, if anywhere.
     pub async fn try_append(
         &mut self,
         node: &Node,
@@ -126,12 +125,12 @@
         Ok(None)
     }
 
-    /// Returns the partitions that it writes to.
+    /// Returns the partitions that are written to.
     pub fn parts(&self) -> impl Iterator<Item = u32> {
         self.lanes.iter().filter(|lane| lane.open).map(|lane| lane.part)
     }
 
-    /// Writes to further partitions too, each once lower writers are shut out of it.
+    /// Adds partitions to write to. Each is written to only after writers with lower epochs are fenced off from it.
     pub fn add_lanes(&mut self, parts: &[u32]) {
         for &part in parts {
             match self.lanes.iter_mut().find(|lane| lane.part == part) {
@@ -141,14 +140,14 @@
         }
     }
 
-    /// Writes to some partitions no more. What one of them has left unanswered stands elsewhere too.
+    /// Stops writing to some partitions. Their unanswered records are also written to another partition.
     pub fn close_lanes(&mut self, parts: &[u32]) {
         for lane in self.lanes.iter_mut().filter(|lane| parts.contains(&lane.part)) {
             lane.open = false;
         }
     }
 
-    /// Tries once to append records to one partition; returns whether it took them.
+    /// Tries once to append records to one partition; returns whether the partition accepted them.
     pub async fn append_to_part(
         &mut self,
         node: &Node,
@@ -162,13 +161,13 @@
         Ok(matches!(self.try_once(node, lane, records).await?, Tried::Done(_)))
     }
 
-    /// Returns whether the first partition is tried now.
+    /// Returns whether the first partition is not in backoff.
     pub fn first_takes_records(&self) -> bool {
         self.lanes.first().is_some_and(|lane| lane.again_at <= steady_ms())
     }
 
-    /// Appends records to one partition, however long that takes. An append without an answer is
-    /// sent again under the same number, and so done once.
+    /// Appends records to one partition and retries without a time limit. An unanswered append is sent again under the
+    /// same sequence number, so it is written only once.
     async fn append_to(
         &mut self,
         node: &Node,
@@ -183,7 +182,7 @@
         }
     }
 
-    /// Tries one partition: first what it has left unanswered, then the records.
+    /// Tries one partition: first fences it if necessary, then sends its unanswered records, then the new records.
     async fn try_once(
         &mut self,
         node: &Node,
@@ -212,7 +211,7 @@
     }
 }
 
-/// Shuts writers with lower epochs out of a partition, however long that takes.
+/// Fences writers with lower epochs off from a partition and retries without a time limit.
 async fn fence(node: &Node, topic: &str, epoch: u64, lane: &mut Lane) -> Result<(), Fenced> {
     while let Tried::Failed = send(node, topic, epoch, lane, &[]).await? {
         tokio::time::sleep(PAUSE).await;
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,10 +1,10 @@
-//! The job scheduler's daemon: takes callers' jobs, keeps them in the platform's store, schedules
+//! The job scheduler daemon: accepts callers' jobs, keeps them in the platform's store, schedules
 //! the pools that this node owns, and maintains VMs.
 //!
-//! All that nodes agree on goes through the store; they talk to each other only to pass calls to
-//! the store on for one that it turns away, and to ask for what one that does not read a pool's
-//! records is asked by callers. Lock order: a pool log's cursors, then its jobs, then the node's
-//! tables; no lock but a cursor's is held across an await.
+//! Nodes coordinate only through the store. They call each other directly only to forward store calls
+//! for a node that the store turns away, to forward submissions to a pool's owner, and to query the
+//! jobs of a pool whose records they do not follow. Lock order: a pool log's cursors, then its jobs,
+//! then the node's tables; no lock but a cursor's is held across an await.
 
 mod access;
 mod append;
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -1,4 +1,4 @@
-//! The configuration, the operator's other requests and the VMs, as the store tells them.
+//! Follows the configuration, the operator's other requests and the list of VMs in the store.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::follow::{News, Pace, Tail, follow, follow_while_owning};
 use crate::node::{Node, VmTable};
 
-/// Follows the operator's configuration, waves of maintenance and evacuated halls.
+/// Follows the operator's configuration, maintenance waves and hall evacuations.
 pub async fn follow_config(node: Arc<Node>) {
     let cx = node.clone();
     follow(&node, Tail::new(config::TOPIC, 0), Pace::AtOnce, move |news, tail| {
@@ -32,7 +32,7 @@
                 take_hall(&cx, hall, &stored);
             }
         }
-        // Only now is all that was read in force.
+        // All records of this read are applied at this point, not earlier.
         cx.note_operator_read(tail.read_at());
     })
     .await;
@@ -101,7 +101,7 @@
     });
 }
 
-/// Takes in the evacuations that there are: those that are not among the newest records were withdrawn.
+/// Ends the evacuations that are not among the newest records: the operator has withdrawn them.
 fn take_all_halls(node: &Node, records: &[Stored]) {
     let asked = |hall: &str| {
         let of_hall = |s: &&Stored| config::hall_of_key(&s.record.key) == Some(hall);
@@ -117,11 +117,11 @@
     });
 }
 
-/// Takes in that the operator asks to evacuate a hall, or takes it back. One that is not known is kept in mind all the
-/// same: its VMs may be listed later.
+/// Applies the operator's request to evacuate a hall or to end its evacuation. The request is kept even if the hall is
+/// unknown, because VMs of the hall may be listed later.
 fn take_hall(node: &Node, hall: &str, stored: &Stored) {
     if hall.is_empty() {
-        log::error!("hall step=unreadable offset={} error=\"no hall is named\"", stored.offset);
+        log::error!("hall step=unreadable offset={} error=\"the key contains no hall name\"", stored.offset);
         return;
     }
     let asked = stored.record.value().is_some();
@@ -140,7 +140,7 @@
     });
 }
 
-/// Follows the VM incarnations that the store lists.
+/// Follows the list of VM incarnations in the store.
 pub async fn follow_vms(node: Arc<Node>) {
     let mut unreadable = Unreadable::default();
     let apply = |news| {
@@ -169,10 +169,10 @@
     follow_while_owning(&node, (listing::TOPIC, 0), Pace::Bundled, apply, forget).await;
 }
 
-/// How many IDs of entries that cannot be read are kept in mind; of more no line is written, and all are counted.
+/// How many IDs of unreadable entries are remembered. Further unreadable entries are counted but not logged.
 const MOST_UNREADABLE: usize = 1_000;
 
-/// The IDs of entries that cannot be read, so that each is told once.
+/// The IDs of unreadable entries, so that each is logged only once.
 #[derive(Default)]
 struct Unreadable(HashSet<String>);
 
@@ -203,7 +203,7 @@
         }
         Err(e) => {
             unreadable.tell(id, stored.offset, &e.0);
-            // What runs there goes on, but it is not to be used.
+            // Tasks that run on the VM continue, but the VM gets no new tasks.
             if let Some(known) = table.get_mut(id) {
                 *known = Arc::new(VmFacts { unreadable: true, ..VmFacts::clone(known) });
             }
--- a/crates/scheduler/src/look_up.rs
+++ b/crates/scheduler/src/look_up.rs
@@ -1,4 +1,4 @@
-//! Finding a job: in the records that this node reads, or through a node that reads them.
+//! Finds jobs in the records that this node follows, or through a node that follows them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,36 +12,37 @@
 use crate::pool_log::{PROGRESS, PoolLog, SPARE, SPARE_AGE_MS, SUBMISSIONS};
 use crate::question::{Question, Told};
 
-/// How long a job is looked for once a pool's records could not be read, in milliseconds: one read that is not
-/// answered. With a silent store and eight partitions to read it was 6 s, past callers' deadlines.
+/// How long the search for a job continues after a pool's records could not be read, in milliseconds: the time of one
+/// unanswered read. With an unresponsive store and eight partitions, a search without this limit takes 6 s and exceeds
+/// callers' deadlines.
 const LOOK_UP_MS: Ms = 800;
-/// How old the count of a queue's jobs may be, in milliseconds: callers may be told one that is two
-/// seconds old.
+/// How old the count of a queue's pending jobs may be when it is read, in milliseconds: callers may get a count that is up to
+/// two seconds old.
 const PENDING_AGE_MS: Ms = 1_500;
 
-/// How long a node that has just come to own a pool may read it before questions about its jobs are refused: most take 0.1 s,
-/// and those who ask through another node are to be answered before that one gives up (0.7 s).
+/// How long a request for a job waits while this node, as the pool's new owner, still reads the pool's records. Most takeovers
+/// take 0.1 s, and a query from another node must be answered before its timeout of 0.7 s.
 const TAKEOVER: Duration = Duration::from_millis(500);
 
-/// Where a job is.
+/// The result of the search for a job.
 pub enum Found {
-    /// In this pool, in this state.
+    /// The job is in this pool and has this state.
     Here(Arc<str>, JobState),
-    /// In this pool, and another workspace's.
+    /// The job is in this pool but belongs to another workspace.
     NotTheirs(Arc<str>),
-    /// In none, by all that the store had when it was asked for.
+    /// No pool has the job, according to all records that the store had when the search began.
     Nowhere,
-    /// In none that could be read.
+    /// No pool that could be read has the job.
     NotRead,
 }
 
-/// Returns the log of the pool that has a job, as far as this node has read.
+/// Returns the log of the pool that contains a job, as far as this node has read.
 pub fn find(node: &Node, id: JobId) -> Option<Arc<PoolLog>> {
     let has = |log: &Arc<PoolLog>| log.jobs().get(id).is_some_and(|e| e.spec.is_some());
     node.pool_logs().into_iter().find(has)
 }
 
-/// Returns what is known of a job, if it was submitted.
+/// Returns the reply about a job if its submission is known.
 fn known(log: &PoolLog, id: JobId, caller: &Caller) -> Option<Told> {
     let jobs = log.jobs();
     let entry = jobs.get(id)?;
@@ -60,7 +61,7 @@
     }
 }
 
-/// Looks for a job, first in its queue's pool of today.
+/// Searches all pools for a job, starting with the pool that its queue currently uses.
 pub async fn look_up(node: &Arc<Node>, queue: &Queue, id: JobId, caller: &Caller) -> Found {
     if let Some(log) = find(node, id) {
         return in_pool(node, &log, id, caller).await;
@@ -70,7 +71,7 @@
     logs.sort_by_key(|log| log.pool != queue.pool);
     let mut all_read = true;
     for log in logs {
-        // Each pool that is not read takes its time, and what was not read is not known.
+        // Each failed read takes its full timeout, and a pool that was not read may have the job.
         if !all_read && steady_ms().saturating_sub(since) >= LOOK_UP_MS {
             return Found::NotRead;
         }
@@ -84,7 +85,7 @@
 }
 
 async fn in_pool(node: &Node, log: &Arc<PoolLog>, id: JobId, caller: &Caller) -> Found {
-    // What is settled stays so, whoever reads on.
+    // A settled state is final, so it needs no newer records.
     let settled = known(log, id, caller).filter(|&told| is_settled(told));
     let told = match settled {
         Some(told) => told,
@@ -102,11 +103,11 @@
     }
 }
 
-/// Reads on until what the store has now is known of a job.
+/// Reads until all records that the store had at the call are known for a job, and returns the job's state.
 async fn state_here(node: &Node, log: &PoolLog, id: JobId, caller: &Caller) -> Told {
     let since = steady_ms();
     let mut all_read = true;
-    // The job may be in either partition of its pool.
+    // The job may be in the first or the fallback partition of its pool.
     for (part, age) in [(SUBMISSIONS, 0), (SPARE, SPARE_AGE_MS)] {
         if known(log, id, caller).is_some() {
             break;
@@ -117,9 +118,9 @@
         }
     }
     if known(log, id, caller).is_some_and(|told| !is_settled(told)) && !log.is_owned() {
-        // A state that is some moments old is better than none.
+        // A slightly stale state is better than none.
         if let Err(e) = log.catch_up(node, PROGRESS, since).await {
-            log::debug!("state id={id} step=old error=\"{e}\"");
+            log::debug!("state id={id} step=stale error=\"{e}\"");
         }
     }
     match known(log, id, caller) {
@@ -129,7 +130,7 @@
     }
 }
 
-/// Counts the jobs of a queue that have not begun; none if that cannot be known now.
+/// Returns the number of jobs of a queue that have not started, or `None` if the number is currently unavailable.
 pub async fn pending(node: &Node, queue: &Queue) -> Option<u64> {
     let log = node.pool_log_of(&queue.pool)?;
     let told = match is_read_here(node, &log).await {
@@ -147,7 +148,7 @@
 
 async fn pending_here(node: &Node, log: &PoolLog, queue: &str) -> Told {
     let since = steady_ms().saturating_sub(PENDING_AGE_MS);
-    // An owner that is cut off may not know of the newest jobs.
+    // An owner whose lease has expired may not know the newest jobs.
     let current = log.is_owned() && node.lease_valid();
     for part in [SUBMISSIONS, PROGRESS, SPARE] {
         if current {
@@ -161,7 +162,7 @@
     Told::Pending(log.jobs().pending(queue) as u64)
 }
 
-/// Answers another node's question; none if it cannot be read.
+/// Returns the encoded reply to another node's query, or `None` if the query cannot be decoded.
 pub async fn answer(node: &Node, body: &[u8]) -> Option<Vec<u8>> {
     let question: Question = postcard::from_bytes(body)
         .inspect_err(|e| log::error!("ask step=unreadable error=\"{e}\""))
@@ -183,8 +184,8 @@
     }
 }
 
-/// Returns whether this node has once known of an owner of each pool, itself or another. One that is lost later is
-/// replaced within seconds: no reason to send all callers elsewhere.
+/// Returns whether this node has at some time known an owner of each pool, itself or another node. An owner that fails
+/// later is replaced within seconds, which is no reason to send all callers to other nodes.
 pub fn can_answer(node: &Node) -> bool {
     let has_owner = |log: &Arc<PoolLog>| {
         let ownership = lock(&node.ownership);
@@ -196,7 +197,7 @@
     node.pool_logs().iter().all(has_owner)
 }
 
-/// Returns whether this node reads a pool's records; one that has just come to own it soon will have.
+/// Returns whether this node follows a pool's records, after a short wait if the node has only just become the owner.
 async fn is_read_here(node: &Node, log: &PoolLog) -> bool {
     if !log.is_read_here() && lock(&node.ownership).my_token(&log.pool).is_some() {
         log.wait_until_owned(TAKEOVER).await;
--- a/crates/scheduler/src/main.rs
+++ b/crates/scheduler/src/main.rs
@@ -1,4 +1,4 @@
-//! `thistle-scheduler`: the program on every entry VM of the prepared platform.
+//! `thistle-scheduler`: the scheduler program, which runs on every entry VM of the platform.
 
 mod cmd;
 mod flags;
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a node share.
+//! The state that all tasks of a node share.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,64 +20,64 @@
 use crate::pool_log::PoolLog;
 use crate::standing::StoreStanding;
 
-/// Longest lease that is given to tasks, in milliseconds: long enough for a pool to change hands
-/// without losing work, short enough that tasks of a VM that is cut off start elsewhere soon.
+/// The longest lease of a task, in milliseconds: long enough for a pool to change its owner without losing work, and short
+/// enough that the tasks of a disconnected VM soon start elsewhere.
 const TASK_LEASE_MS: Ms = 6_000;
 
-/// VMs by ID, each in the life that the store lists.
+/// VMs by ID, each in the incarnation that the store lists.
 pub type VmTable = HashMap<Arc<str>, Arc<VmFacts>>;
 
-/// What all tasks of a node share.
+/// The state that all tasks of a node share.
 pub struct Node {
-    /// Its settings.
+    /// The node's settings.
     pub settings: SchedulerSettings,
-    /// Its name and this life of it.
+    /// The node's name and current incarnation.
     pub me: NodeLife,
-    /// How fast it computes; see [`crate::speed`].
+    /// The node's computing speed; see [`crate::speed`].
     pub speed: u32,
     /// The platform's store.
     pub store: Store,
-    /// With what keys of workspaces are hashed.
+    /// The secret with which API keys of workspaces are hashed.
     pub secret: KeySecret,
-    /// How the store stands with this node.
+    /// The health of the store as seen by this node.
     pub standing: StoreStanding,
-    /// Other nodes.
+    /// The HTTP clients of other nodes.
     pub peers: Peers,
     /// The configuration in force.
     pub catalog: watch::Sender<Option<Arc<Catalog>>>,
-    /// The VMs; none are known while this node owns nothing.
+    /// The listed VMs; empty while this node owns nothing.
     pub vms: watch::Sender<Arc<VmTable>>,
-    /// The VMs were read since this node came to own something.
+    /// Whether the list of VMs has been read since this node began to own something.
     pub vms_listed: watch::Sender<bool>,
-    /// Which VMs are worked on; none while this node owns nothing.
+    /// Which VMs are in maintenance or moving; empty while this node owns nothing.
     pub fleet: watch::Sender<Arc<FleetRecord>>,
-    /// How caps of workspaces are lent, as far as this node has read.
+    /// How the caps of workspaces are split between pools, as far as this node has read.
     pub lent: watch::Sender<Arc<LentTable>>,
-    /// The waves that the operator asks for.
+    /// The maintenance waves that the operator has requested.
     pub waves: watch::Sender<Vec<WaveRequest>>,
-    /// The data halls that are evacuated.
+    /// The data halls and which of them are evacuated.
     pub halls: watch::Sender<Arc<Halls>>,
-    /// When the newest read was sent that reached the end of the operator's requests; 0 before the first.
+    /// When the latest read that reached the end of the operator's requests was sent; 0 before the first one.
     operator_read_at: AtomicU64,
-    /// Owners and members.
+    /// The owners of pools and of the fleet, and the member nodes.
     pub ownership: Mutex<Ownership>,
-    /// How far the claims were read.
+    /// The offset up to which the claims have been read.
     pub claims_end: ClaimsEnd,
     /// Wakes the task that starts and stops owners.
     pub ownership_changed: tokio::sync::Notify,
     pools: Mutex<HashMap<Arc<str>, Arc<PoolLog>>>,
-    /// Until when this node may act as owner.
+    /// The time until which this node may act as owner, by the steady clock in milliseconds.
     lease_until: AtomicU64,
-    /// It owns a pool or the fleet.
+    /// Whether this node owns a pool or the fleet.
     pub owning: Owned,
-    /// This node is about to stop: it takes no new connections and owns nothing.
+    /// Whether this node is stopping: it gives up what it owns and reports that it is not ready for new connections.
     pub stopping: watch::Sender<bool>,
-    /// Connections are closed once the request under way on each is answered.
+    /// Whether open connections are closed once the request in progress on each is answered.
     pub closing: watch::Sender<bool>,
 }
 
 impl Node {
-    /// Makes a node that knows nothing yet.
+    /// Creates a node that has not read anything yet.
     pub fn new(settings: SchedulerSettings) -> Self {
         let me = NodeLife { name: settings.name.clone(), life: rand::random() };
         Self {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Returns a pool's log, making it when it is first asked for.
+    /// Returns a pool's log, creating it at the first call.
     pub fn pool_log(self: &Arc<Self>, pool: &Arc<str>) -> Arc<PoolLog> {
         let mut pools = lock(&self.pools);
         if let Some(log) = pools.get(pool) {
@@ -118,16 +118,16 @@
         log
     }
 
-    /// Returns the log of a pool that is known.
+    /// Returns the log of a pool if the pool is known.
     pub fn pool_log_of(&self, pool: &str) -> Option<Arc<PoolLog>> {
         lock(&self.pools).get(pool).cloned()
     }
 
-    /// Returns whether this node is to read a pool's records though it does not own it.
-    /// None while it does not hear the other nodes.
+    /// Returns whether this node should follow a pool's records although it does not own the pool, or `None` while it
+    /// receives nothing from the other nodes.
     pub fn reads(&self, pool: &str) -> Option<bool> {
         if self.settings.relay_listen.is_none() {
-            // Where nodes answer no questions, each must know by itself.
+            // Without a relay, nodes cannot query each other, so each node follows all pools.
             return Some(true);
         }
         lock(&self.ownership).reads(pool, steady_ms())
@@ -138,12 +138,12 @@
         lock(&self.pools).values().cloned().collect()
     }
 
-    /// Takes in that all of the operator's requests are in force that the store had taken when a read was sent.
+    /// Records that all of the operator's requests that the store had when a read was sent are applied.
     pub fn note_operator_read(&self, sent_at: Option<Ms>) {
         self.operator_read_at.fetch_max(sent_at.unwrap_or(0), Ordering::Relaxed);
     }
 
-    /// Returns whether this node knows well enough which data halls are evacuated to start tasks.
+    /// Returns whether this node's knowledge of evacuated data halls is recent enough to start tasks.
     pub fn halls_known(&self) -> bool {
         let read_at = self.operator_read_at.load(Ordering::Relaxed);
         let within = self.settings.evacuate_within.map(|span| span.0.as_millis());
@@ -151,28 +151,29 @@
         halls::is_known((read_at > 0).then_some(read_at), within, steady_ms())
     }
 
-    /// Returns whether this node may act as owner now.
+    /// Returns whether this node may currently act as owner.
     pub fn lease_valid(&self) -> bool {
         steady_ms() < self.lease_until.load(Ordering::Relaxed)
     }
 
-    /// Returns whether this node may act as owner of a shard now, under a token.
+    /// Returns whether this node may currently act as owner of a shard under a token.
     pub fn may_act(&self, shard: &str, token: u64) -> bool {
-        // The right to act comes back before the task of an owner that was replaced meanwhile has ended.
+        // The lease may become valid again before the task of an owner that was replaced in the meantime has ended.
         self.lease_valid() && lock(&self.ownership).my_token(shard) == Some(token)
     }
 
-    /// Takes in that the store took a heartbeat which was sent at `sent_at`, while this node may act or has read all claims since.
+    /// Extends the lease after the store has written a heartbeat that was sent at `sent_at`, if this node may act as owner or has
+    /// read all claims since.
     pub fn renew_lease(&self, sent_at: Ms) {
         self.lease_until.fetch_max(sent_at + OWNER_LEASE_MS, Ordering::Relaxed);
     }
 
-    /// Ends the right to act as owner.
+    /// Ends the lease under which this node acts as owner.
     pub fn end_lease(&self) {
         self.lease_until.store(0, Ordering::Relaxed);
     }
 
-    /// Returns the longest lease given to tasks, in milliseconds.
+    /// Returns the longest lease of a task, in milliseconds.
     pub fn task_lease(&self) -> Ms {
         let max = self.settings.max_task_lease.0.as_millis();
         u64::try_from(max).map_or(TASK_LEASE_MS, |max| max.min(TASK_LEASE_MS))
--- a/crates/scheduler/src/overview.rs
+++ b/crates/scheduler/src/overview.rs
@@ -1,4 +1,4 @@
-//! What the store holds of the system, for operators: read with no node's help.
+//! An overview of the system for operators, read directly from the store without the help of any node.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -17,21 +17,21 @@
 use crate::fleet_owner::{FLEET, POOL_PREFIX, RECORD, REPORTS, take_row};
 use crate::pool_log::{PROGRESS, SPARE, SPARE_PROGRESS, SUBMISSIONS, topic_of};
 
-/// What the store holds.
+/// The state of the system in the store.
 #[derive(Debug, Serialize)]
 pub struct Overview {
     /// The version of the configuration in force.
     version: u64,
     pools: BTreeMap<String, PoolView>,
-    /// Who owns the fleet: waves and moves.
+    /// The owner of the fleet, which runs waves and moves VMs.
     fleet_owner: Option<OwnerView>,
-    /// VMs that are worked on and why, and how far waves are.
+    /// VMs in maintenance or moving, with the reason, and the progress of waves.
     fleet: FleetRecord,
-    /// The job that was asked for, if it is known.
+    /// The requested job, if it is known.
     job: Option<JobView>,
-    /// Workspaces with caps: how these are lent, and what pools last said.
+    /// Workspaces with caps: how each cap is split, and the use that pools last reported.
     workspaces: BTreeMap<String, WorkspaceView>,
-    /// Entries of VMs that cannot be read, and why; they name no VM.
+    /// Why entries of VMs cannot be read; the VMs of these entries are unknown.
     unreadable: Vec<String>,
 }
 
@@ -41,7 +41,7 @@
     owner: Option<OwnerView>,
     vms: Vec<String>,
     queues: Vec<String>,
-    /// What its owner reported last.
+    /// The last report of the pool's owner.
     load: Option<PoolReport>,
 }
 
@@ -66,16 +66,16 @@
     id: String,
     pool: String,
     queue: String,
-    /// Whose it is, empty if no workspace's.
+    /// The workspace of the job; empty if it has none.
     workspace: String,
     state: String,
-    /// Tasks that are not as they were at first, and where each stands.
+    /// Tasks that have left their initial state, with their current state.
     tasks: Vec<String>,
-    /// Tasks under which VMs were lost, and what that tells.
+    /// Tasks under which VMs were lost, with their crash history and verdict.
     harms: Vec<String>,
 }
 
-/// Reads what the store holds; `job` is the ID of a job to look for.
+/// Reads the state of the system from the store; `job` is the ID of a job to find.
 pub async fn overview(store: SocketAddr, job: Option<&str>) -> Result<Overview, StoreError> {
     let store = Store::new(store);
     let mut overview = Overview {
@@ -171,8 +171,8 @@
             let name = lent.workspace.clone();
             self.workspaces.entry(name).or_default().lent = Some(lent);
         }
-        for said in read_all::<CapUse>(store, USES, USE_PREFIX).await? {
-            self.workspaces.entry(said.workspace.clone()).or_default().uses.push(said);
+        for reported in read_all::<CapUse>(store, USES, USE_PREFIX).await? {
+            self.workspaces.entry(reported.workspace.clone()).or_default().uses.push(reported);
         }
         Ok(())
     }
@@ -194,8 +194,8 @@
                 let unclear: Vec<&str> =
                     h.harm.unclear.iter().map(|loss| loss.vm.as_str()).collect();
                 format!(
-                    "{name} VMs that crashed under it: {crashes}, right after its start: {at_start}, alone there: {alone}, \
-                     not known yet: {unclear:?}, verdict {:?}",
+                    "{name} VMs that crashed under it: {crashes}, soon after its start: {at_start}, of these with no other job's \
+                     task: {alone}, unclear losses: {unclear:?}, verdict {:?}",
                     h.harm.verdict()
                 )
             };
@@ -223,7 +223,7 @@
     }
 }
 
-/// Reads the newest record of each key of a partition of the caps' records.
+/// Reads the newest record of each key from a partition with records about caps.
 async fn read_all<T: serde::de::DeserializeOwned>(
     store: &Store,
     part: u32,
@@ -250,9 +250,9 @@
         match view.uses.iter().find(|said| said.pool == share.pool) {
             Some(said) => {
                 let (used, wanted) = (said.used.cpu, said.wanted.cpu);
-                writeln!(f, "; said by split {}: uses {used} cpu, wants {wanted}", said.number)?;
+                writeln!(f, "; reported for split {}: uses {used} cpu, wants {wanted}", said.number)?;
             }
-            None => writeln!(f, "; said nothing")?,
+            None => writeln!(f, "; no report")?,
         }
     }
     Ok(())
@@ -264,9 +264,9 @@
 
 fn write_owner(f: &mut fmt::Formatter<'_>, owner: Option<&OwnerView>) -> fmt::Result {
     match owner {
-        Some(owner) if owner.released => writeln!(f, "  given up by {}", owner.node),
+        Some(owner) if owner.released => writeln!(f, "  released by {}", owner.node),
         Some(owner) => writeln!(f, "  owned by {} token {}", owner.node, owner.token),
-        None => writeln!(f, "  without an owner"),
+        None => writeln!(f, "  no owner"),
     }
 }
 
--- a/crates/scheduler/src/owned.rs
+++ b/crates/scheduler/src/owned.rs
@@ -1,10 +1,10 @@
-//! Whether something is owned by this node, and waiting that ends when it comes to be.
+//! A flag that tells whether this node owns something, and waits that end when the flag changes.
 
 use std::time::Duration;
 
 use tokio::sync::watch;
 
-/// Whether something is owned by this node.
+/// A flag that tells whether this node owns something.
 #[derive(Debug)]
 pub struct Owned(watch::Sender<bool>);
 
@@ -15,27 +15,27 @@
 }
 
 impl Owned {
-    /// Returns whether it is owned.
+    /// Returns whether this node is the owner.
     pub fn get(&self) -> bool {
         *self.0.borrow()
     }
 
-    /// Sets whether it is owned, and wakes those who wait if it is now.
+    /// Sets whether this node is the owner, and wakes the waiting tasks if the value has changed.
     pub fn set(&self, owned: bool) {
         self.0.send_if_modified(|was| std::mem::replace(was, owned) != owned);
     }
 
-    /// Waits until it is owned, or is not.
+    /// Waits until the flag has the value `owned`.
     pub async fn wait_for(&self, owned: bool) {
-        // The sender lives as long as this.
+        // The wait cannot fail, because the sender lives as long as `self`.
         let _ = self.0.subscribe().wait_for(|&now| now == owned).await;
     }
 
-    /// Waits for `pause`, or until it is owned: an owner that slept on would hear of cancels and new
-    /// jobs up to a pause late.
+    /// Waits for `pause` or until this node is the owner. An owner that waited for the whole pause would receive cancels and
+    /// new jobs late by up to that pause.
     pub async fn wait_unless_owned(&self, pause: Duration) {
         let mut owned = self.0.subscribe();
-        // Either way the pause is over.
+        // Both results end the pause.
         let _ = tokio::time::timeout(pause, owned.wait_for(|&owned| owned)).await;
     }
 }
--- a/crates/scheduler/src/peers.rs
+++ b/crates/scheduler/src/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to other nodes.
+//! HTTP clients for other nodes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,19 +8,20 @@
 
 use crate::locks::lock;
 
-/// Connections kept open to one node: questions about jobs are short, and few are under way at once.
+/// The number of idle connections kept open to one node: queries about jobs are short, and few run at the same time.
 const IDLE_EACH: usize = 2;
-/// Nodes to which connections are kept: owners of pools are few, and those of before are forgotten with the rest.
+/// The number of nodes whose clients are kept. Pools have few owners; when the limit is reached, all clients are dropped,
+/// including those of previous owners.
 const MOST_NODES: usize = 64;
 
-/// Clients of other nodes, by address.
+/// The clients of other nodes, by address.
 #[derive(Debug, Default)]
 pub struct Peers {
     clients: Mutex<HashMap<SocketAddr, Arc<HttpClient>>>,
 }
 
 impl Peers {
-    /// Returns the client of a node.
+    /// Returns the client of a node, creating it at the first call.
     pub fn client(&self, addr: SocketAddr) -> Arc<HttpClient> {
         let mut clients = lock(&self.clients);
         if clients.len() >= MOST_NODES && !clients.contains_key(&addr) {
--- a/crates/scheduler/src/question.rs
+++ b/crates/scheduler/src/question.rs
@@ -1,34 +1,34 @@
-//! What one node asks another about a pool's jobs, and what it is told.
+//! Queries between nodes about a pool's jobs, and the replies.
 
 use serde::{Deserialize, Serialize};
 use thistle_schedule::{Caller, JobId, JobState};
 
-/// The path of questions.
+/// The path of queries.
 pub const PATH: &str = "/questions";
 
-/// What a node asks another one.
+/// A query from one node to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Question {
-    /// How far a job is.
+    /// Requests the state of a job.
     State {
-        /// The pool that may have it.
+        /// The pool that may contain the job.
         pool: String,
-        /// The job.
+        /// The job's ID.
         id: JobId,
-        /// Who asks.
+        /// The caller who requests the state.
         caller: Caller,
     },
-    /// How many jobs of a queue have not begun.
+    /// Requests the number of jobs of a queue that have not started.
     Pending {
         /// The queue's pool.
         pool: String,
-        /// The queue.
+        /// The queue's name.
         queue: String,
     },
 }
 
 impl Question {
-    /// Returns the pool that it is about.
+    /// Returns the pool that the query is about.
     pub fn pool(&self) -> &str {
         match self {
             Self::State { pool, .. } | Self::Pending { pool, .. } => pool,
@@ -36,17 +36,17 @@
     }
 }
 
-/// What it is told.
+/// The reply to a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Told {
     /// The job's state.
     State(JobState),
-    /// The pool has no such job, by all that the store had when the question came.
+    /// The pool has no such job, according to all records that the store had when the query arrived.
     NoSuchJob,
-    /// There is such a job, which is another workspace's.
+    /// The job exists but belongs to another workspace.
     NotTheirs,
-    /// So many have not begun.
+    /// The number of jobs of the queue that have not started.
     Pending(u64),
-    /// The node does not read this pool, or cannot now.
+    /// The node does not follow this pool's records, or currently cannot read them.
     NotRead,
 }
--- a/crates/scheduler/src/read_failures.rs
+++ b/crates/scheduler/src/read_failures.rs
@@ -1,5 +1,5 @@
-//! Failed reads of a partition, told once and when they end: a partition that one node cannot read shows in no
-//! other line.
+//! Logs when reads of a partition begin to fail and when they succeed again. No other log line shows a partition that
+//! only one node cannot read.
 
 use metrics::counter;
 use thistle_platform::StoreError;
@@ -7,7 +7,7 @@
 
 use crate::clock::steady_ms;
 
-/// Failed reads of one partition in a row.
+/// The consecutive failed reads of one partition.
 #[derive(Debug, Default)]
 pub struct ReadFailures {
     count: u32,
@@ -15,7 +15,7 @@
 }
 
 impl ReadFailures {
-    /// Takes in that a read from an offset on failed.
+    /// Records a failed read that started at an offset.
     pub fn add(&mut self, topic: &str, part: u32, from: Option<u64>, e: &StoreError) {
         counter!("thistle_failed_reads", "topic" => topic.to_owned()).increment(1);
         if self.count == 0 {
@@ -25,7 +25,7 @@
         self.count += 1;
     }
 
-    /// Takes in that a read was answered.
+    /// Records a successful read.
     pub fn end(&mut self, topic: &str, part: u32) {
         if self.count == 0 {
             return;
--- a/crates/scheduler/src/readiness.rs
+++ b/crates/scheduler/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Telling the balancer whether this node takes new connections.
+//! The readiness endpoint, which tells the balancer whether this node accepts new connections.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::look_up;
 use crate::node::Node;
 
-/// Answers the balancer until the task is dropped.
+/// Serves the balancer's readiness checks until the future is dropped.
 pub async fn run(node: Arc<Node>, listener: TcpListener) {
     thistle_wire::serve::accept(listener, move |stream| {
         let node = node.clone();
@@ -25,7 +25,7 @@
                 *reply.status_mut() = status;
                 async move { Ok::<_, Infallible>(reply) }
             });
-            // A balancer that goes away asks again.
+            // If the connection fails, the balancer repeats its check.
             let _ =
                 thistle_wire::serve::http().serve_connection(TokioIo::new(stream), service).await;
         });
@@ -40,8 +40,8 @@
     if is_ready(node) { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }
 }
 
-/// A node takes connections when it knows the configuration and of whom to ask for each pool's jobs, and is in
-/// touch with the store.
+/// Returns whether this node accepts connections: it has a configuration, has known an owner of each pool to query about
+/// jobs, has recent replies from the store, and is not stopping.
 fn is_ready(node: &Node) -> bool {
     let known = node.catalog.borrow().is_some();
     known && node.standing.in_touch() && !*node.stopping.borrow() && look_up::can_answer(node)
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -1,5 +1,5 @@
-//! Passing calls to the store on for nodes that it turns away, taking submissions that they hand over,
-//! answering their questions, and watching whether the store turns this one away.
+//! The HTTP server for other nodes: forwards store calls for nodes that the store turns away, accepts forwarded submissions
+//! and answers queries. Also watches whether the store turns this node away.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -20,21 +20,21 @@
 use crate::request_body;
 use crate::{hand_over, look_up, question};
 
-/// How often the store is asked itself while calls go through another node.
+/// How often the direct route to the store is probed while calls go through another node.
 const ASK_EVERY: Duration = Duration::from_millis(250);
 
-/// Passes calls on until the task is dropped.
+/// Serves other nodes until the future is dropped.
 pub async fn run(node: Arc<Node>, listener: TcpListener) {
     thistle_wire::serve::accept(listener, move |stream| {
         let node = node.clone();
-        // Small answers go out at once; a connection on which this fails still works.
+        // Sends small replies without delay; the connection still works if this fails.
         let _ = stream.set_nodelay(true);
         tokio::spawn(async move {
             let respond = service_fn(|req: Request<Incoming>| {
                 let node = node.clone();
                 async move { Ok::<_, Infallible>(pass_on(&node, req).await) }
             });
-            // A node that goes away asks another.
+            // If the connection fails, the other node uses another relay.
             let _ =
                 thistle_wire::serve::http().serve_connection(TokioIo::new(stream), respond).await;
         });
@@ -42,8 +42,8 @@
     .await;
 }
 
-/// An answer goes on as it comes: over a link of 10 Mbit/s a node that read a megabyte whole first would begin after
-/// 0.8 s, when the one that asked has given up.
+/// A reply whose body is streamed as it arrives. Over a link of 10 Mbit/s, a node that first read a whole megabyte would
+/// begin to reply after 0.8 s, when the requesting node's call has already timed out.
 type Passed = Response<Either<Full<Bytes>, Incoming>>;
 
 async fn pass_on(node: &Arc<Node>, req: Request<Incoming>) -> Passed {
@@ -70,7 +70,7 @@
         Ok(body) => {
             let call = PassedOn { method, path: path.clone(), body };
             match node.store.pass_on(call).await {
-                // The store's own answer of this status says nothing of what was done.
+                // A reply with this status from the store itself does not show whether the call was executed.
                 Ok(Some(answer)) if answer.status == NOT_PASSED_ON => {
                     log::info!("relay step=not-answered path={path} status={NOT_PASSED_ON}");
                     reply(NOT_ANSWERED, Either::Left(Full::default()))
@@ -98,8 +98,8 @@
     reply
 }
 
-/// Asks the store itself while calls go through another node, so that they go directly again soon;
-/// tells when that changes.
+/// Probes the direct route to the store while calls go through another node, so that calls soon go directly again.
+/// Logs each change of the route.
 pub async fn watch(node: Arc<Node>) {
     let mut before = None;
     loop {
--- a/crates/scheduler/src/reply.rs
+++ b/crates/scheduler/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! HTTP replies to callers.
 
 use std::time::Duration;
 
@@ -9,24 +9,24 @@
 use thistle_platform::body;
 use thistle_schedule::progress::JobState;
 
-/// An answer.
+/// An HTTP reply.
 pub type Reply = Response<Full<Bytes>>;
 
-/// In how many seconds a caller is told to come back: an outage of the store lasts seconds, and
-/// another node may be in touch with it at once.
+/// The number of seconds after which a caller should retry: an outage of the store lasts for seconds, and another node may
+/// reach the store immediately.
 const RETRY_AFTER_S: &str = "1";
 
-/// The job is kept, or its cancel is.
+/// The job or its cancel is stored.
 pub fn accepted() -> Reply {
     json(StatusCode::OK, b"{}".to_vec())
 }
 
-/// A job's state.
+/// The state of a job.
 pub fn state(state: JobState) -> Reply {
     json(StatusCode::OK, body::encode_state(state))
 }
 
-/// How many jobs of a queue have not begun.
+/// The number of jobs of a queue that have not started.
 pub fn pending(count: u64) -> Reply {
     json(StatusCode::OK, body::encode_pending(count))
 }
@@ -36,22 +36,22 @@
     error(StatusCode::GONE, "there is no such job")
 }
 
-/// The caller's key names no workspace.
+/// The request has no valid key of a workspace.
 pub fn no_key() -> Reply {
     error(StatusCode::UNAUTHORIZED, "send a valid key of your workspace in the header Api-Key")
 }
 
-/// The ID is another job's.
+/// The ID belongs to a job of another workspace.
 pub fn id_taken() -> Reply {
     error(StatusCode::CONFLICT, "this ID is taken: choose another")
 }
 
-/// There is no such queue.
+/// No queue has this host and path.
 pub fn no_such_queue() -> Reply {
     error(StatusCode::NOT_FOUND, "there is no queue at this host and path")
 }
 
-/// The request makes no sense.
+/// The request is invalid.
 pub fn bad_request(remedy: &str) -> Reply {
     error(StatusCode::BAD_REQUEST, remedy)
 }
@@ -61,25 +61,25 @@
     error(StatusCode::PAYLOAD_TOO_LARGE, &format!("send at most {limit} bytes"))
 }
 
-/// The body has stopped coming; nothing was taken.
+/// The body stalled, and nothing was accepted.
 pub fn too_slow(within: Duration) -> Reply {
     let remedy = format!("send each part of the body within {} ms", within.as_millis());
     error(StatusCode::REQUEST_TIMEOUT, &remedy)
 }
 
-/// The method is not known.
+/// The method is not supported.
 pub fn wrong_method() -> Reply {
     error(StatusCode::METHOD_NOT_ALLOWED, "use POST, GET or DELETE")
 }
 
-/// Nothing was taken; the caller may come back.
+/// Nothing was accepted; the caller may retry.
 pub fn not_taken(why: &str) -> Reply {
     let mut reply = error(StatusCode::SERVICE_UNAVAILABLE, why);
     reply.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_S));
     reply
 }
 
-/// It is not known whether it was taken; the caller may send the same again.
+/// Whether the request was accepted is unknown; the caller may send it again.
 pub fn unknown() -> Reply {
     error(StatusCode::GATEWAY_TIMEOUT, "it may have been taken: send the same ID again")
 }
--- a/crates/scheduler/src/request_body.rs
+++ b/crates/scheduler/src/request_body.rs
@@ -1,4 +1,4 @@
-//! Reading the body of a request whose sender may fall silent.
+//! Reads request bodies whose senders may stall.
 
 use std::time::Duration;
 
@@ -6,19 +6,19 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
 
-/// Why a body was not read.
+/// Why a body could not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is larger than it may be.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// Nothing of it came for too long.
+    /// The body stalled: no part of it arrived within this time.
     Silent(Duration),
-    /// The connection broke.
+    /// The connection failed.
     Broken(String),
 }
 
-/// Reads a body of at most `limit` bytes. Without a time limit 400 senders that fell silent amid a body held 400
-/// descriptors for good; `within` holds for each part, so that a slow link may take its time.
+/// Reads a body of at most `limit` bytes. Each part of the body must arrive within `within`, so that a slow link may still
+/// send a large body. Without this timeout, 400 senders that stall in the middle of a body hold 400 file descriptors forever.
 pub async fn read(body: Incoming, limit: usize, within: Duration) -> Result<Bytes, BodyError> {
     let mut incoming = Limited::new(body, limit);
     let mut body = Vec::new();
@@ -29,7 +29,7 @@
             Err(_) => return Err(BodyError::Silent(within)),
         };
         match frame {
-            // Trailers say nothing that is of use here.
+            // Trailers are ignored.
             Ok(frame) => body.extend_from_slice(frame.data_ref().map_or(&[], Bytes::as_ref)),
             Err(e) if e.is::<LengthLimitError>() => return Err(BodyError::TooLarge),
             Err(e) => return Err(BodyError::Broken(e.to_string())),
--- a/crates/scheduler/src/run.rs
+++ b/crates/scheduler/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting a node and stopping it.
+//! Starts and stops a node.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,18 +13,18 @@
 use crate::node::Node;
 use crate::{callers, control, listing, readiness, relay, stats};
 
-/// Bounds of the buckets of answer times, in seconds.
+/// The bucket bounds of the response time histograms, in seconds.
 const SECONDS: [f64; 9] = [0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 3.0];
-/// How often samples are folded together.
+/// How often the samples of histograms are aggregated.
 const UPKEEP_EVERY: Duration = Duration::from_secs(5);
-/// How long a node that stops goes on answering new connections, until the balancer has noticed.
+/// How long a stopping node still serves new connections, until the balancer has noticed that the node is not ready.
 const STOP_NOTICE: Duration = Duration::from_millis(2_500);
-/// How long requests that are under way when connections are closed may take.
+/// How long requests that are in progress when connections are closed may take.
 const LAST_ANSWERS: Duration = Duration::from_millis(1_500);
-/// How long the last log lines may take.
+/// How long writing the last log lines may take.
 const LAST_LINES: Duration = Duration::from_millis(20);
 
-/// Runs a node until it is told to stop and its callers are answered.
+/// Runs a node until it receives SIGTERM and has answered the remaining requests.
 pub async fn run(settings: SchedulerSettings) -> Result<(), RunError> {
     let handle = PrometheusBuilder::new()
         .set_buckets(&SECONDS)
@@ -65,7 +65,7 @@
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            // All that can change while it runs comes from the store.
+            // Everything that can change at run time comes from the store.
             _ = reload.recv() => log::info!("node name={} step=reload nothing=changed", node.me.name),
         }
     }
@@ -82,7 +82,7 @@
     }
 }
 
-/// Folds the samples of histograms together, which would pile up between two scrapes.
+/// Aggregates the samples of histograms regularly, because they would accumulate between two scrapes.
 async fn upkeep(handle: PrometheusHandle) {
     loop {
         tokio::time::sleep(UPKEEP_EVERY).await;
@@ -90,7 +90,7 @@
     }
 }
 
-/// Gives pools up, turns new connections away, and answers those that are open.
+/// Gives up pools, tells the balancer to send no new connections, and answers the requests on open connections.
 async fn stop(node: &Node) {
     log::info!("node name={} step=stop", node.me.name);
     let began = steady_ms();
@@ -100,6 +100,6 @@
     node.closing.send_replace(true);
     tokio::time::sleep(LAST_ANSWERS.min(grace / 4)).await;
     log::info!("node name={} step=stopped took_ms={}", node.me.name, steady_ms() - began);
-    // The thread that writes log lines gets a moment.
+    // Leaves the log writer thread time to write the last lines.
     tokio::time::sleep(LAST_LINES).await;
 }
--- a/crates/scheduler/src/speed.rs
+++ b/crates/scheduler/src/speed.rs
@@ -1,17 +1,17 @@
-//! How fast this node computes, so that owners run where there is room for them.
+//! Measures the computing speed of this node, so that owners run on nodes with enough CPU.
 //!
-//! Settings tell what a node was promised; what it gets is measured once, at its start.
+//! The settings contain the CPU share that a node should get. The speed that it actually gets is measured once, at its start.
 
 use std::time::Instant;
 
 use thistle_model::rendezvous::weight;
 
-/// Bytes that are hashed in one round.
+/// The number of bytes that one round hashes.
 const BLOCK: usize = 4_096;
-/// Rounds: about a millisecond on a whole core.
+/// The number of rounds, which take about a millisecond on a whole core.
 const ROUNDS: u64 = 2_000;
 
-/// Returns how many rounds this node does in a second, in hundreds.
+/// Returns the number of rounds per second that this node computes, in hundreds.
 pub fn measure() -> u32 {
     let block = [7; BLOCK];
     let began = Instant::now();
--- a/crates/scheduler/src/standing.rs
+++ b/crates/scheduler/src/standing.rs
@@ -1,4 +1,4 @@
-//! How the store stands with this node: when it last answered.
+//! The health of the store as seen by this node: when the store last answered.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
@@ -7,11 +7,11 @@
 
 use crate::clock::steady_ms;
 
-/// Within what time VMs whose entries lapsed in an outage of the store are listed again, in
-/// milliseconds: the users' two seconds, and a margin for reading the list.
+/// How long it takes until VMs whose entries expired in an outage of the store are listed again, in milliseconds: the
+/// specified two seconds, and a margin for reading the list.
 const LISTED_AGAIN_MS: Ms = 2_500;
 
-/// How the store stands with this node.
+/// The health of the store as seen by this node.
 #[derive(Debug, Default)]
 pub struct StoreStanding {
     answered_at: AtomicU64,
@@ -20,7 +20,7 @@
 }
 
 impl StoreStanding {
-    /// Takes in whether the store answered a call.
+    /// Records whether the store answered a call.
     pub fn note(&self, answered: bool) {
         if answered {
             self.answered_at.store(steady_ms(), Ordering::Relaxed);
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Returns what is known of its answers.
+    /// Returns when the store last answered and last failed to answer.
     pub fn view(&self) -> StoreView {
         StoreView {
             answered_at: self.answered_at.load(Ordering::Relaxed),
@@ -44,13 +44,13 @@
         }
     }
 
-    /// Returns whether it answered lately.
+    /// Returns whether the store has answered recently.
     pub fn in_touch(&self) -> bool {
         self.view().in_touch(steady_ms())
     }
 
-    /// Returns whether it has answered all calls for as long as VMs may need to be listed again
-    /// after an outage.
+    /// Returns whether the list of VMs is complete: the store has answered all calls for at least the time in which VMs are
+    /// listed again after an outage.
     pub fn listing_is_sound(&self) -> bool {
         self.view().sound_for(LISTED_AGAIN_MS, steady_ms())
     }
--- a/crates/scheduler/src/stats.rs
+++ b/crates/scheduler/src/stats.rs
@@ -1,4 +1,4 @@
-//! Metrics of a node.
+//! The metrics of a node.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -8,7 +8,7 @@
 
 use crate::node::Node;
 
-/// Takes the figures and returns them as text.
+/// Updates the gauges and returns all metrics as text.
 pub fn render(node: &Arc<Node>, handle: &PrometheusHandle) -> String {
     let version = node.catalog.borrow().as_ref().map_or(0, |c| c.version);
     gauge!("thistle_config_version").set(version as f64);
--- a/crates/scheduler/src/submit.rs
+++ b/crates/scheduler/src/submit.rs
@@ -1,4 +1,4 @@
-//! Writing submissions and cancels to the store, many in one append.
+//! Writes submissions and cancels to the store in batches.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,28 +17,29 @@
 use crate::turns::Turns;
 use crate::written::Written;
 
-/// How long a submission waits for its turn at most, in milliseconds: while the store is silent those before
-/// it take a second each, and a caller that is told sooner can still come back.
+/// How long a submission waits in the queue at most, in milliseconds: while the store is unresponsive, each earlier append
+/// takes a second, and a caller that gets an early reply can still retry.
 const TURN_WITHIN_MS: Ms = 1_000;
-/// Appends under way at once: one that waits for the store does not hold up the next.
+/// The number of concurrent appends, so that an append that waits for the store does not block the next one.
 const APPENDS_AT_ONCE: usize = 4;
-/// The same of an owner beside a slow store: each takes all that has come meanwhile, and the next begins as one is half-way.
+/// The same for an owner while the store is slow: each append contains all records that have arrived in the meantime, and
+/// the next append starts about halfway through the previous one.
 const SLOW_APPENDS_AT_ONCE: usize = 2;
 
-/// A record to write, and who is told.
+/// A record to write, and the channel for its outcome.
 #[derive(Debug)]
 pub struct Submission {
     /// The record.
     pub record: KeyedRecord,
-    /// When it arrived, by the steady clock.
+    /// When the record arrived, by the steady clock.
     pub at: Ms,
-    /// Another node has handed it over, so that it is appended here.
+    /// Whether another node has forwarded the record; this node then appends it and does not forward it again.
     pub handed_over: bool,
-    /// Who is told.
+    /// Receives the write outcome.
     pub done: oneshot::Sender<Written>,
 }
 
-/// Appends what comes until the pool's log is dropped.
+/// Appends submissions in batches until the pool's log is dropped.
 pub async fn start_submitter(
     node: Arc<Node>,
     log: Arc<PoolLog>,
@@ -54,15 +55,15 @@
                 None => return,
             },
         };
-        // A slow store gets few appends from here, each with all that has come meanwhile. What
-        // is handed to the pool's owner waits for others there.
+        // A slow store gets only a few appends from this node, each with all records that have arrived in the meantime.
+        // Records that are forwarded to the pool's owner are batched there.
         let slow =
             node.store.is_slow() && lock(&node.ownership).relay_of_owner(&log.pool).is_none();
         let waited = steady_ms().saturating_sub(first.at);
         let most = Duration::from_millis(TURN_WITHIN_MS.saturating_sub(waited));
         let Some(turn) = turns.take(slow, most).await else {
             log::info!("submit step=no-turn pool={} waited_ms={TURN_WITHIN_MS}", log.pool);
-            // It was never sent, and a caller that has gone away is not told.
+            // The record was never sent. The receiver is gone if the caller has disconnected.
             let _ = first.done.send(Written::NotKept);
             continue;
         };
@@ -94,12 +95,12 @@
         false => write_own(node, log, &records, oldest).await,
     };
     for ((_, done), written) in waiting.into_iter().zip(written) {
-        // A caller that has gone away is not told.
+        // The receiver is gone if the caller has disconnected.
         let _ = done.send(written);
     }
 }
 
-/// Appends what this node's callers have sent, or hands it to the pool's owner while the store is slow.
+/// Appends the records of this node's callers, or forwards them to the pool's owner while the store is slow.
 async fn write_own(
     node: &Arc<Node>,
     log: &Arc<PoolLog>,
@@ -134,7 +135,7 @@
 ) -> Vec<Written> {
     let written = match append(node, log, records, oldest, By::Owner).await {
         Outcome::Known(written) => written,
-        // An owner is told of no other to append for it.
+        // Unreachable for an owner, which never forwards to another node.
         Outcome::OwnersTurn { may_be_written: true } => Written::Unknown,
         Outcome::OwnersTurn { may_be_written: false } => Written::NotKept,
     };
--- a/crates/scheduler/src/turns.rs
+++ b/crates/scheduler/src/turns.rs
@@ -1,29 +1,29 @@
-//! Taking turns, for no longer than one that waits may be held.
+//! Limits the number of concurrent operations, with a maximum waiting time.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Turns that a few may have at once, and others for those who come beside a slow store: they do not wait for those of before, which
-/// such a store holds up for seconds.
+/// A limit on concurrent operations, with separate permits for operations that start while the store is slow. These
+/// operations do not wait for earlier ones, which a slow store delays for seconds.
 #[derive(Clone, Debug)]
 pub struct Turns {
     usual: Arc<Semaphore>,
     slow: Arc<Semaphore>,
 }
 
-/// A turn; it ends when this is dropped.
+/// A permit, which is released when it is dropped.
 #[derive(Debug)]
 pub struct Turn(#[expect(dead_code, reason = "held until it is dropped")] OwnedSemaphorePermit);
 
 impl Turns {
-    /// Makes turns that so many may have at once, usually and beside a slow store.
+    /// Creates a limit of `usual` concurrent operations, and of `slow` operations while the store is slow.
     pub fn new(usual: usize, slow: usize) -> Self {
         Self { usual: Arc::new(Semaphore::new(usual)), slow: Arc::new(Semaphore::new(slow)) }
     }
 
-    /// Waits for a turn; none if that takes longer than `most`.
+    /// Waits for a permit; returns `None` if that takes longer than `most`.
     pub async fn take(&self, slow: bool, most: Duration) -> Option<Turn> {
         let turns = if slow { &self.slow } else { &self.usual };
         let turn = tokio::time::timeout(most, turns.clone().acquire_owned()).await;
--- a/crates/scheduler/src/written.rs
+++ b/crates/scheduler/src/written.rs
@@ -1,20 +1,20 @@
-//! What became of a submission or a cancel, also as one node tells it to another.
+//! The write outcome of a submission or a cancel, and its encoding between nodes.
 
 use serde::{Deserialize, Serialize};
 
-/// What became of a submission or a cancel.
+/// The write outcome of a submission or a cancel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Written {
-    /// The store has it.
+    /// The store has written the record.
     Kept,
-    /// The store surely does not have it and will not get it.
+    /// The store has not written the record and will not write it later.
     NotKept,
-    /// The store may have it.
+    /// The store may have written the record, or may still write it.
     Unknown,
 }
 
 impl Written {
-    /// Returns what is to be told of records that an earlier append may have written.
+    /// Returns the outcome of records that an earlier append may already have written.
     #[must_use]
     pub const fn though_it_may_be_there(self) -> Self {
         match self {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Reads what became of `count` records. What was not told, or cannot be read, may be written.
+/// Decodes the outcomes of `count` records. If outcomes are missing or cannot be decoded, all records count as `Unknown`.
 pub fn read_outcomes(body: &[u8], count: usize) -> Vec<Written> {
     match postcard::from_bytes::<Vec<Written>>(body) {
         Ok(written) if written.len() == count => return written,
@@ -36,11 +36,11 @@
     vec![Written::Unknown; count]
 }
 
-/// Encodes what became of records that were handed over.
+/// Encodes the outcomes of forwarded records.
 pub fn encode_outcomes(written: &[Written]) -> Vec<u8> {
     postcard::to_stdvec(written).unwrap_or_else(|e| {
-        // Without a body the other node takes them for unknown; told as not taken, they might be kept all the
-        // same.
+        // The other node treats an empty body as unknown outcomes. `NotKept` would be wrong, because the records may
+        // have been written.
         log::error!("submit step=outcomes-not-encoded count={} error=\"{e}\"", written.len());
         Vec::new()
     })
