--- a/crates/scheduler/src/append.rs
+++ b/crates/scheduler/src/append.rs
@@ -132,12 +132,11 @@
     }
     let sent_at = steady_ms();
     let mut first = pin!(to(SUBMISSIONS));
-    let ask_both_now = by == By::Owner && node.store.is_slow();
-    if !ask_both_now
-        && let Either::Left((written, _)) = select(&mut first, pin!(is_odd(node))).await
+    let in_parallel = by == By::Owner && node.store.is_slow();
+    if !in_parallel && let Either::Left((written, _)) = select(&mut first, pin!(is_odd(node))).await
     {
         let slow = by == By::Other && node.store.is_slow();
-        let ask_spare = match written {
+        let try_fallback = match written {
             Written::Kept => false,
             // The fallback partition's queue is left to the owner. If 32 nodes try it when their appends time out, its queue
             // stays full for two seconds, and only 29 of 250 jobs that arrive meanwhile are stored.
@@ -145,7 +144,7 @@
             Written::NotKept => true,
             Written::Unknown => node.standing.view().has_answered_since(sent_at),
         };
-        return match ask_spare && log.may_append(SPARE).await {
+        return match try_fallback && log.may_append(SPARE).await {
             true => Round::Asked(either(written, to(SPARE).await)),
             false => Round::Asked(written),
         };
@@ -153,8 +152,8 @@
     if !log.may_append(SPARE).await {
         return Round::Asked(first.await);
     }
-    let spare = pin!(to(SPARE));
-    let (written, other) = match select(first, spare).await {
+    let fallback = pin!(to(SPARE));
+    let (written, other) = match select(first, fallback).await {
         Either::Left((written, other)) => (written, Either::Left(other)),
         Either::Right((written, other)) => (written, Either::Right(other)),
     };
--- a/crates/scheduler/src/callers.rs
+++ b/crates/scheduler/src/callers.rs
@@ -21,7 +21,7 @@
 
 use crate::access::caller_of;
 use crate::clock::steady_ms;
-use crate::look_up::{self, Found, find, look_up};
+use crate::find_job::{self, Found, find, look_up};
 use crate::node::Node;
 use crate::pool_log::PoolLog;
 use crate::reply::{self, Reply};
@@ -55,15 +55,15 @@
     let mut closing = node.closing.subscribe();
     // On a graceful shutdown the library closes a connection from which it has read nothing. A caller that connects
     // while the node is closing connections still gets one reply; then its connection is closed.
-    let comes_late = *closing.borrow_and_update();
+    let is_closing = *closing.borrow_and_update();
     let conn = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(idle)
         .max_buf_size(header_bytes.max(MIN_BUFFER))
-        .keep_alive(!comes_late)
+        .keep_alive(!is_closing)
         .serve_connection(TokioIo::new(stream), respond);
     tokio::pin!(conn);
-    if comes_late {
+    if is_closing {
         // A disconnect by the caller is not an error.
         let _ = conn.await;
         return;
@@ -88,7 +88,7 @@
 }
 
 async fn answer(node: &Arc<Node>, req: Request<Incoming>) -> Reply {
-    let began = steady_ms();
+    let started_at = steady_ms();
     let Some(catalog) = node.catalog.borrow().clone() else {
         return reply::not_taken("this node has no configuration yet: ask another, or come back");
     };
@@ -121,7 +121,7 @@
     };
     let status = reply.status().as_u16().to_string();
     counter!("thistle_requests", "status" => status).increment(1);
-    histogram!("thistle_request_seconds").record(seconds(steady_ms().saturating_sub(began)));
+    histogram!("thistle_request_seconds").record(seconds(steady_ms().saturating_sub(started_at)));
     reply
 }
 
@@ -195,10 +195,10 @@
     if let Some(log) = find(node, id) {
         let theirs =
             log.jobs().get(id).and_then(|e| e.spec.clone()).is_none_or(|s| caller.may_see(&s));
-        log::info!("accept id={id} queue={} step=copy theirs={theirs}", queue.name);
+        log::info!("accept id={id} queue={} step=duplicate theirs={theirs}", queue.name);
         return if theirs { reply::accepted() } else { reply::id_taken() };
     }
-    let began = steady_ms();
+    let started_at = steady_ms();
     let record = KeyedRecord::new(submit_key(id), encode_spec(&spec));
     let written = if node.standing.view().takes_submissions(steady_ms()) {
         write(&node.pool_log(&queue.pool), record).await
@@ -219,7 +219,7 @@
         spec.steps.iter().any(|s| s.tail_target_ms > 0),
         spec.steps.iter().any(|s| s.gang),
         spec.times(),
-        steady_ms().saturating_sub(began),
+        steady_ms().saturating_sub(started_at),
     );
     let workspace = catalog.workspaces.metric_name(&spec.workspace).to_owned();
     let outcome = format!("{written:?}");
@@ -245,10 +245,10 @@
 }
 
 async fn write(log: &PoolLog, record: KeyedRecord) -> Written {
-    let (done, told) = oneshot::channel();
+    let (done, outcome) = oneshot::channel();
     log.submit(Submission { record, at: steady_ms(), handed_over: false, done });
     // Without an outcome, the append may still be in progress.
-    told.await.unwrap_or(Written::Unknown)
+    outcome.await.unwrap_or(Written::Unknown)
 }
 
 async fn cancel(node: &Arc<Node>, call: &Call<'_>, id: JobId) -> Reply {
@@ -297,7 +297,7 @@
 }
 
 async fn pending(node: &Arc<Node>, queue: &Queue) -> Reply {
-    match look_up::pending(node, queue).await {
+    match find_job::pending(node, queue).await {
         Some(count) => reply::pending(count),
         None => {
             log::info!("pending queue={} step=not-read", queue.name);
--- a/crates/scheduler/src/look_up.rs
+++ b/crates/scheduler/src/find_job.rs
@@ -5,12 +5,12 @@
 
 use thistle_schedule::{Caller, JobId, JobState, Ms, Queue};
 
-use crate::ask::ask;
 use crate::clock::steady_ms;
 use crate::locks::lock;
 use crate::node::Node;
 use crate::pool_log::{PROGRESS, PoolLog, SPARE, SPARE_AGE_MS, SUBMISSIONS};
-use crate::question::{Question, Told};
+use crate::query::{Question, Told};
+use crate::query_peers::ask;
 
 /// How long the search for a job continues after a pool's records could not be read, in milliseconds: the time of one
 /// unanswered read. With an unresponsive store and eight partitions, a search without this limit takes 6 s and exceeds
@@ -53,8 +53,8 @@
     entry.state().map(Told::State)
 }
 
-const fn is_settled(told: Told) -> bool {
-    match told {
+const fn is_settled(reply: Told) -> bool {
+    match reply {
         Told::State(state) => state.is_final(),
         Told::NotTheirs => true,
         Told::NoSuchJob | Told::Pending(_) | Told::NotRead => false,
@@ -86,16 +86,16 @@
 
 async fn in_pool(node: &Node, log: &Arc<PoolLog>, id: JobId, caller: &Caller) -> Found {
     // A settled state is final, so it needs no newer records.
-    let settled = known(log, id, caller).filter(|&told| is_settled(told));
-    let told = match settled {
-        Some(told) => told,
+    let settled = known(log, id, caller).filter(|&reply| is_settled(reply));
+    let reply = match settled {
+        Some(reply) => reply,
         None if is_read_here(node, log).await => state_here(node, log, id, caller).await,
         None => {
             let (pool, caller) = (log.pool.to_string(), caller.clone());
             ask(node, &Question::State { pool, id, caller }).await
         }
     };
-    match told {
+    match reply {
         Told::State(state) => Found::Here(log.pool.clone(), state),
         Told::NotTheirs => Found::NotTheirs(log.pool.clone()),
         Told::NoSuchJob => Found::Nowhere,
@@ -117,14 +117,14 @@
             all_read = false;
         }
     }
-    if known(log, id, caller).is_some_and(|told| !is_settled(told)) && !log.is_owned() {
+    if known(log, id, caller).is_some_and(|reply| !is_settled(reply)) && !log.is_owned() {
         // A slightly stale state is better than none.
         if let Err(e) = log.catch_up(node, PROGRESS, since).await {
             log::debug!("state id={id} step=stale error=\"{e}\"");
         }
     }
     match known(log, id, caller) {
-        Some(told) => told,
+        Some(reply) => reply,
         None if all_read => Told::NoSuchJob,
         None => Told::NotRead,
     }
@@ -133,14 +133,14 @@
 /// Returns the number of jobs of a queue that have not started, or `None` if the number is currently unavailable.
 pub async fn pending(node: &Node, queue: &Queue) -> Option<u64> {
     let log = node.pool_log_of(&queue.pool)?;
-    let told = match is_read_here(node, &log).await {
+    let reply = match is_read_here(node, &log).await {
         true => pending_here(node, &log, &queue.name).await,
         false => {
             let (pool, queue) = (log.pool.to_string(), queue.name.to_string());
             ask(node, &Question::Pending { pool, queue }).await
         }
     };
-    match told {
+    match reply {
         Told::Pending(count) => Some(count),
         Told::State(_) | Told::NotTheirs | Told::NoSuchJob | Told::NotRead => None,
     }
@@ -164,21 +164,21 @@
 
 /// Returns the encoded reply to another node's query, or `None` if the query cannot be decoded.
 pub async fn answer(node: &Node, body: &[u8]) -> Option<Vec<u8>> {
-    let question: Question = postcard::from_bytes(body)
+    let query: Question = postcard::from_bytes(body)
         .inspect_err(|e| log::error!("ask step=unreadable error=\"{e}\""))
         .ok()?;
-    let told = tell(node, &question).await;
-    postcard::to_stdvec(&told)
+    let reply = tell(node, &query).await;
+    postcard::to_stdvec(&reply)
         .inspect_err(|e| log::error!("ask step=not-encoded error=\"{e}\""))
         .ok()
 }
 
-async fn tell(node: &Node, question: &Question) -> Told {
-    let Some(log) = node.pool_log_of(question.pool()) else { return Told::NotRead };
+async fn tell(node: &Node, query: &Question) -> Told {
+    let Some(log) = node.pool_log_of(query.pool()) else { return Told::NotRead };
     if !is_read_here(node, &log).await {
         return Told::NotRead;
     }
-    match question {
+    match query {
         Question::State { id, caller, .. } => state_here(node, &log, *id, caller).await,
         Question::Pending { queue, .. } => pending_here(node, &log, queue).await,
     }
--- a/crates/scheduler/src/follow.rs
+++ b/crates/scheduler/src/follow.rs
@@ -106,8 +106,8 @@
     match pace {
         Pace::AtOnce => (),
         Pace::Bundled => {
-            let calm = node.fleet.borrow().work.is_empty();
-            tokio::time::sleep(if calm { CALM_OWNER_PAUSE } else { OWNER_PAUSE }).await;
+            let quiet = node.fleet.borrow().work.is_empty();
+            tokio::time::sleep(if quiet { CALM_OWNER_PAUSE } else { OWNER_PAUSE }).await;
         }
     }
 }
@@ -119,11 +119,11 @@
     let mut failures = ReadFailures::default();
     loop {
         match tail.read(&node.store, wait).await {
-            Ok(news) => {
+            Ok(records) => {
                 node.standing.note(true);
                 failures.end(&tail.topic, tail.part);
-                wait = if news.is_empty() { WAIT } else { WAIT_AFTER_NEWS };
-                apply(news, &tail);
+                wait = if records.is_empty() { WAIT } else { WAIT_AFTER_NEWS };
+                apply(records, &tail);
                 rest(node, pace).await;
             }
             Err(e) => {
@@ -150,7 +150,7 @@
         node.owning.wait_for(true).await;
         let tail = Tail::new(topic, part);
         tokio::select! {
-            () = follow(node, tail, pace, |news, _| apply(news)) => (),
+            () = follow(node, tail, pace, |records, _| apply(records)) => (),
             () = node.owning.wait_for(false) => (),
         }
         forget();
--- a/crates/scheduler/src/hand_over.rs
+++ b/crates/scheduler/src/forward.rs
@@ -66,22 +66,22 @@
 /// records are rejected.
 pub async fn take(node: &Arc<Node>, pool: &str, body: &Bytes) -> Option<Vec<u8>> {
     let records: Vec<(String, Vec<u8>)> = postcard::from_bytes(body)
-        .inspect_err(|e| log::error!("submit step=not-taken pool={pool} error=\"{e}\""))
+        .inspect_err(|e| log::error!("submit step=rejected pool={pool} error=\"{e}\""))
         .ok()?;
     let Some(log) = node.pool_log_of(pool) else {
-        log::info!("submit step=not-taken pool={pool} reason=unknown-pool");
+        log::info!("submit step=rejected pool={pool} reason=unknown-pool");
         return None;
     };
     let mut waiting = Vec::with_capacity(records.len());
     for (key, value) in records {
-        let (done, told) = oneshot::channel();
+        let (done, outcome) = oneshot::channel();
         let record = KeyedRecord::new(key, value);
         log.submit(Submission { record, at: steady_ms(), handed_over: true, done });
-        waiting.push(told);
+        waiting.push(outcome);
     }
     let mut written = Vec::with_capacity(waiting.len());
-    for told in waiting {
-        written.push(told.await.unwrap_or(Written::Unknown));
+    for outcome in waiting {
+        written.push(outcome.await.unwrap_or(Written::Unknown));
     }
     Some(encode_outcomes(&written))
 }
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -62,8 +62,8 @@
         catalog.workspaces.all().len(),
         catalog.workspaces.keys(),
     );
-    for doubt in catalog.workspaces.doubts() {
-        log::error!("config step=doubtful version={} reason=\"{doubt}\"", catalog.version);
+    for problem in catalog.workspaces.doubts() {
+        log::error!("config step=doubtful version={} reason=\"{problem}\"", catalog.version);
     }
     catalog.workspaces.follow(before.as_ref().map(|b| &b.workspaces), catalog.version);
     let catalog = Arc::new(catalog);
@@ -90,7 +90,7 @@
             return false;
         }
         log::info!(
-            "wave wave={} step=asked vms={} cap={} duration_ms={}",
+            "wave wave={} step=requested vms={} cap={} duration_ms={}",
             request.wave,
             request.vms.len(),
             request.cap,
@@ -103,17 +103,17 @@
 
 /// Ends the evacuations that are not among the newest records: the operator has withdrawn them.
 fn take_all_halls(node: &Node, records: &[Stored]) {
-    let asked = |hall: &str| {
+    let is_requested = |hall: &str| {
         let of_hall = |s: &&Stored| config::hall_of_key(&s.record.key) == Some(hall);
         records.iter().find(of_hall).is_some_and(|s| s.record.value().is_some())
     };
     node.halls.send_if_modified(|halls| {
-        let over: Vec<_> = halls.evacuated().filter(|e| !asked(&e.hall)).collect();
-        for Evacuation { hall, since } in &over {
+        let withdrawn: Vec<_> = halls.evacuated().filter(|e| !is_requested(&e.hall)).collect();
+        for Evacuation { hall, since } in &withdrawn {
             log::info!("hall hall={hall} step=taken-back since={since} reason=not-listed");
             Arc::make_mut(halls).take_back(hall);
         }
-        !over.is_empty()
+        !withdrawn.is_empty()
     });
 }
 
@@ -121,18 +121,21 @@
 /// unknown, because VMs of the hall may be listed later.
 fn take_hall(node: &Node, hall: &str, stored: &Stored) {
     if hall.is_empty() {
-        log::error!("hall step=unreadable offset={} error=\"the key contains no hall name\"", stored.offset);
+        log::error!(
+            "hall step=unreadable offset={} error=\"the key contains no hall name\"",
+            stored.offset
+        );
         return;
     }
-    let asked = stored.record.value().is_some();
+    let requested = stored.record.value().is_some();
     node.halls.send_if_modified(|halls| {
-        if asked != halls.takes_work(hall) {
+        if requested != halls.takes_work(hall) {
             return false;
         }
-        let step = if asked { "evacuated" } else { "taken-back" };
+        let step = if requested { "evacuated" } else { "taken-back" };
         log::info!("hall hall={hall} step={step} offset={}", stored.offset);
         let halls: &mut Halls = Arc::make_mut(halls);
-        match asked {
+        match requested {
             true => halls.evacuate(Evacuation { hall: hall.into(), since: stored.offset }),
             false => _ = halls.take_back(hall),
         }
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -18,7 +18,7 @@
 use crate::owned::Owned;
 use crate::peers::Peers;
 use crate::pool_log::PoolLog;
-use crate::standing::StoreStanding;
+use crate::store_health::StoreStanding;
 
 /// The longest lease of a task, in milliseconds: long enough for a pool to change its owner without losing work, and short
 /// enough that the tasks of a disconnected VM soon start elsewhere.
--- a/crates/scheduler/src/overview.rs
+++ b/crates/scheduler/src/overview.rs
@@ -155,8 +155,8 @@
 
     async fn read_fleet(&mut self, store: &Store) -> Result<(), StoreError> {
         for stored in store.newest(TOPIC, RECORD).await?.records {
-            let taken = take_row(&mut self.fleet, &stored);
-            taken.map_err(|e| StoreError::Malformed(e.to_string()))?;
+            let applied = take_row(&mut self.fleet, &stored);
+            applied.map_err(|e| StoreError::Malformed(e.to_string()))?;
         }
         for stored in store.newest(TOPIC, REPORTS).await?.records {
             let Some(pool) = stored.record.key.strip_prefix(POOL_PREFIX) else { continue };
@@ -247,10 +247,14 @@
     )?;
     for share in &lent.shares {
         write!(f, "  pool {} lent {} cpu, {} MB", share.pool, share.room.cpu, share.room.mem_mb)?;
-        match view.uses.iter().find(|said| said.pool == share.pool) {
-            Some(said) => {
-                let (used, wanted) = (said.used.cpu, said.wanted.cpu);
-                writeln!(f, "; reported for split {}: uses {used} cpu, wants {wanted}", said.number)?;
+        match view.uses.iter().find(|reported| reported.pool == share.pool) {
+            Some(reported) => {
+                let (used, wanted) = (reported.used.cpu, reported.wanted.cpu);
+                writeln!(
+                    f,
+                    "; reported for split {}: uses {used} cpu, wants {wanted}",
+                    reported.number
+                )?;
             }
             None => writeln!(f, "; no report")?,
         }
--- a/crates/scheduler/src/readiness.rs
+++ b/crates/scheduler/src/readiness.rs
@@ -11,7 +11,7 @@
 use thistle_platform::READINESS_PATH;
 use tokio::net::TcpListener;
 
-use crate::look_up;
+use crate::find_job;
 use crate::node::Node;
 
 /// Serves the balancer's readiness checks until the future is dropped.
@@ -44,5 +44,5 @@
 /// jobs, has recent replies from the store, and is not stopping.
 fn is_ready(node: &Node) -> bool {
     let known = node.catalog.borrow().is_some();
-    known && node.standing.in_touch() && !*node.stopping.borrow() && look_up::can_answer(node)
+    known && node.standing.in_touch() && !*node.stopping.borrow() && find_job::can_answer(node)
 }
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -18,7 +18,7 @@
 
 use crate::node::Node;
 use crate::request_body;
-use crate::{hand_over, look_up, question};
+use crate::{find_job, forward, query};
 
 /// How often the direct route to the store is probed while calls go through another node.
 const ASK_EVERY: Duration = Duration::from_millis(250);
@@ -53,18 +53,18 @@
         request_body::read(req.into_body(), node.settings.max_append_bytes, HEADER_TIMEOUT).await;
     let reply = match body {
         Err(e) => {
-            log::info!("relay step=not-passed-on path={path} reason=\"{e:?}\"");
+            log::info!("relay step=not-forwarded path={path} reason=\"{e:?}\"");
             not_passed_on()
         }
-        Ok(body) if path.starts_with(hand_over::PATH) => {
-            let pool = &path[hand_over::PATH.len()..];
-            match hand_over::take(node, pool, &body).await {
+        Ok(body) if path.starts_with(forward::PATH) => {
+            let pool = &path[forward::PATH.len()..];
+            match forward::take(node, pool, &body).await {
                 Some(written) => reply(StatusCode::OK.as_u16(), Either::Left(written.into())),
                 None => not_passed_on(),
             }
         }
-        Ok(body) if path == question::PATH => match look_up::answer(node, &body).await {
-            Some(told) => reply(StatusCode::OK.as_u16(), Either::Left(told.into())),
+        Ok(body) if path == query::PATH => match find_job::answer(node, &body).await {
+            Some(answer) => reply(StatusCode::OK.as_u16(), Either::Left(answer.into())),
             None => not_passed_on(),
         },
         Ok(body) => {
@@ -101,16 +101,16 @@
 /// Probes the direct route to the store while calls go through another node, so that calls soon go directly again.
 /// Logs each change of the route.
 pub async fn watch(node: Arc<Node>) {
-    let mut before = None;
+    let mut previous = None;
     loop {
         tokio::time::sleep(ASK_EVERY).await;
         let detour = node.store.detour();
-        if detour != before {
+        if detour != previous {
             match detour {
                 Some(peer) => log::warn!("store step=turned-away through={peer}"),
                 None => log::info!("store step=direct-again"),
             }
-            before = detour;
+            previous = detour;
         }
         if detour.is_some() {
             node.store.ask_directly().await;
--- a/crates/scheduler/src/run.rs
+++ b/crates/scheduler/src/run.rs
@@ -93,13 +93,13 @@
 /// Gives up pools, tells the balancer to send no new connections, and answers the requests on open connections.
 async fn stop(node: &Node) {
     log::info!("node name={} step=stop", node.me.name);
-    let began = steady_ms();
+    let started_at = steady_ms();
     node.stopping.send_replace(true);
     let grace = node.settings.stop_grace.0;
     tokio::time::sleep(STOP_NOTICE.min(grace / 2)).await;
     node.closing.send_replace(true);
     tokio::time::sleep(LAST_ANSWERS.min(grace / 4)).await;
-    log::info!("node name={} step=stopped took_ms={}", node.me.name, steady_ms() - began);
+    log::info!("node name={} step=stopped took_ms={}", node.me.name, steady_ms() - started_at);
     // Leaves the log writer thread time to write the last lines.
     tokio::time::sleep(LAST_LINES).await;
 }
--- a/crates/scheduler/src/submit.rs
+++ b/crates/scheduler/src/submit.rs
@@ -10,7 +10,7 @@
 
 use crate::append::{By, Outcome, append};
 use crate::clock::steady_ms;
-use crate::hand_over;
+use crate::forward;
 use crate::locks::lock;
 use crate::node::Node;
 use crate::pool_log::PoolLog;
@@ -45,10 +45,10 @@
     log: Arc<PoolLog>,
     mut rx: UnboundedReceiver<Submission>,
 ) {
-    let mut held_back: Option<Submission> = None;
+    let mut carried_over: Option<Submission> = None;
     let turns = Turns::new(APPENDS_AT_ONCE, SLOW_APPENDS_AT_ONCE);
     loop {
-        let first = match held_back.take() {
+        let first = match carried_over.take() {
             Some(submission) => submission,
             None => match rx.recv().await {
                 Some(submission) => submission,
@@ -72,7 +72,7 @@
         while let Ok(more) = rx.try_recv() {
             size += more.record.framed_len();
             if size > node.settings.max_append_bytes {
-                held_back = Some(more);
+                carried_over = Some(more);
                 break;
             }
             batch.push(more);
@@ -117,7 +117,7 @@
             Outcome::OwnersTurn { may_be_written: may } => may_be_written = may,
         }
     }
-    let written = match hand_over::to_owner(node, log, records).await {
+    let written = match forward::to_owner(node, log, records).await {
         Some(written) => written,
         None => append_all(node, log, records, oldest).await,
     };
