--- a/crates/scheduler/src/append.rs
+++ b/crates/scheduler/src/append.rs
@@ -89,8 +89,8 @@
                 log::info!("submit step=not-sent pool={} reason=no-partition-answers", log.pool);
                 return Outcome::Known(Written::NotKept);
             }
-            Round::Slow(written) => {
-                let may_be_written = may_be_written || written == Written::Unknown;
+            Round::Slow(outcome) => {
+                let may_be_written = may_be_written || outcome == Written::Unknown;
                 return Outcome::OwnersTurn { may_be_written };
             }
             Round::NotSent | Round::Asked(Written::NotKept) => (),
@@ -133,38 +133,38 @@
     let sent_at = steady_ms();
     let mut first = pin!(to(SUBMISSIONS));
     let in_parallel = by == By::Owner && node.store.is_slow();
-    if !in_parallel && let Either::Left((written, _)) = select(&mut first, pin!(is_odd(node))).await
+    if !in_parallel && let Either::Left((outcome, _)) = select(&mut first, pin!(is_odd(node))).await
     {
         let slow = by == By::Other && node.store.is_slow();
-        let try_fallback = match written {
+        let try_fallback = match outcome {
             Written::Kept => false,
             // The fallback partition's queue is left to the owner. If 32 nodes try it when their appends time out, its queue
             // stays full for two seconds, and only 29 of 250 jobs that arrive meanwhile are stored.
-            Written::NotKept | Written::Unknown if slow => return Round::Slow(written),
+            Written::NotKept | Written::Unknown if slow => return Round::Slow(outcome),
             Written::NotKept => true,
             Written::Unknown => node.standing.view().has_answered_since(sent_at),
         };
         return match try_fallback && log.may_append(SPARE).await {
-            true => Round::Asked(either(written, to(SPARE).await)),
-            false => Round::Asked(written),
+            true => Round::Asked(either(outcome, to(SPARE).await)),
+            false => Round::Asked(outcome),
         };
     }
     if !log.may_append(SPARE).await {
         return Round::Asked(first.await);
     }
     let fallback = pin!(to(SPARE));
-    let (written, other) = match select(first, fallback).await {
-        Either::Left((written, other)) => (written, Either::Left(other)),
-        Either::Right((written, other)) => (written, Either::Right(other)),
+    let (outcome, other) = match select(first, fallback).await {
+        Either::Left((outcome, other)) => (outcome, Either::Left(other)),
+        Either::Right((outcome, other)) => (outcome, Either::Right(other)),
     };
-    if written == Written::Kept {
+    if outcome == Written::Kept {
         if matches!(other, Either::Right(_)) && !node.store.is_slow() {
             // The first partition has not answered: it must answer a probe before it gets another submission.
             log.suspect(node, SUBMISSIONS);
         }
-        return Round::Asked(written);
+        return Round::Asked(outcome);
     }
-    Round::Asked(either(written, other.await))
+    Round::Asked(either(outcome, other.await))
 }
 
 /// Completes when an append that started together with this future has taken unusually long although the store still
--- a/crates/scheduler/src/forward.rs
+++ b/crates/scheduler/src/forward.rs
@@ -79,9 +79,9 @@
         log.submit(Submission { record, at: steady_ms(), handed_over: true, done });
         waiting.push(outcome);
     }
-    let mut written = Vec::with_capacity(waiting.len());
+    let mut outcomes = Vec::with_capacity(waiting.len());
     for outcome in waiting {
-        written.push(outcome.await.unwrap_or(Written::Unknown));
+        outcomes.push(outcome.await.unwrap_or(Written::Unknown));
     }
-    Some(encode_outcomes(&written))
+    Some(encode_outcomes(&outcomes))
 }
--- a/crates/scheduler/src/journal.rs
+++ b/crates/scheduler/src/journal.rs
@@ -84,7 +84,7 @@
         let lanes = parts.iter().map(|&part| Lane::new(part)).collect();
         let mut journal = Self { topic: topic.to_owned(), lanes, epoch: token };
         let epoch = journal.epoch;
-        let fence = |lane| fence(node, topic, epoch, lane);
+        let fence = |partition| fence(node, topic, epoch, partition);
         try_join_all(journal.lanes.iter_mut().map(fence)).await?;
         Ok(journal)
     }
@@ -112,10 +112,11 @@
         records: &[KeyedRecord],
     ) -> Result<Option<Place>, Fenced> {
         let now = steady_ms();
-        let none_left = self.lanes.iter().all(|lane| !lane.open || lane.again_at > now);
+        let all_in_backoff =
+            self.lanes.iter().all(|partition| !partition.open || partition.again_at > now);
         for i in 0..self.lanes.len() {
-            let lane = &self.lanes[i];
-            if !lane.open || lane.again_at > now && !none_left {
+            let partition = &self.lanes[i];
+            if !partition.open || partition.again_at > now && !all_in_backoff {
                 continue;
             }
             if let Tried::Done(place) = self.try_once(node, i, records).await? {
@@ -127,14 +128,14 @@
 
     /// Returns the partitions that are written to.
     pub fn parts(&self) -> impl Iterator<Item = u32> {
-        self.lanes.iter().filter(|lane| lane.open).map(|lane| lane.part)
+        self.lanes.iter().filter(|partition| partition.open).map(|partition| partition.part)
     }
 
     /// Adds partitions to write to. Each is written to only after writers with lower epochs are fenced off from it.
     pub fn add_lanes(&mut self, parts: &[u32]) {
         for &part in parts {
-            match self.lanes.iter_mut().find(|lane| lane.part == part) {
-                Some(lane) => lane.open = true,
+            match self.lanes.iter_mut().find(|partition| partition.part == part) {
+                Some(partition) => partition.open = true,
                 None => self.lanes.push(Lane::new(part)),
             }
         }
@@ -142,8 +143,8 @@
 
     /// Stops writing to some partitions. Their unanswered records are also written to another partition.
     pub fn close_lanes(&mut self, parts: &[u32]) {
-        for lane in self.lanes.iter_mut().filter(|lane| parts.contains(&lane.part)) {
-            lane.open = false;
+        for partition in self.lanes.iter_mut().filter(|partition| parts.contains(&partition.part)) {
+            partition.open = false;
         }
     }
 
@@ -154,16 +155,17 @@
         part: u32,
         records: &[KeyedRecord],
     ) -> Result<bool, Fenced> {
-        let lane = self.lanes.iter().position(|lane| lane.open && lane.part == part);
-        let Some(lane) = lane.filter(|&i| self.lanes[i].again_at <= steady_ms()) else {
+        let index =
+            self.lanes.iter().position(|partition| partition.open && partition.part == part);
+        let Some(index) = index.filter(|&i| self.lanes[i].again_at <= steady_ms()) else {
             return Ok(false);
         };
-        Ok(matches!(self.try_once(node, lane, records).await?, Tried::Done(_)))
+        Ok(matches!(self.try_once(node, index, records).await?, Tried::Done(_)))
     }
 
     /// Returns whether the first partition is not in backoff.
     pub fn first_takes_records(&self) -> bool {
-        self.lanes.first().is_some_and(|lane| lane.again_at <= steady_ms())
+        self.lanes.first().is_some_and(|partition| partition.again_at <= steady_ms())
     }
 
     /// Appends records to one partition and retries without a time limit. An unanswered append is sent again under the
@@ -171,11 +173,11 @@
     async fn append_to(
         &mut self,
         node: &Node,
-        lane: usize,
+        index: usize,
         records: &[KeyedRecord],
     ) -> Result<Place, Fenced> {
         loop {
-            if let Tried::Done(place) = self.try_once(node, lane, records).await? {
+            if let Tried::Done(place) = self.try_once(node, index, records).await? {
                 return Ok(place);
             }
             tokio::time::sleep(PAUSE).await;
@@ -186,34 +188,35 @@
     async fn try_once(
         &mut self,
         node: &Node,
-        lane: usize,
+        index: usize,
         records: &[KeyedRecord],
     ) -> Result<Tried, Fenced> {
-        if !self.lanes[lane].fenced && matches!(self.send(node, lane, &[]).await?, Tried::Failed) {
+        if !self.lanes[index].fenced && matches!(self.send(node, index, &[]).await?, Tried::Failed)
+        {
             return Ok(Tried::Failed);
         }
-        if let Some(unanswered) = self.lanes[lane].unanswered.clone() {
-            let tried = self.send(node, lane, &unanswered).await?;
+        if let Some(unanswered) = self.lanes[index].unanswered.clone() {
+            let tried = self.send(node, index, &unanswered).await?;
             if matches!(tried, Tried::Failed) || unanswered == records {
                 return Ok(tried);
             }
         }
-        self.send(node, lane, records).await
+        self.send(node, index, records).await
     }
 
     async fn send(
         &mut self,
         node: &Node,
-        lane: usize,
+        index: usize,
         records: &[KeyedRecord],
     ) -> Result<Tried, Fenced> {
-        send(node, &self.topic, self.epoch, &mut self.lanes[lane], records).await
+        send(node, &self.topic, self.epoch, &mut self.lanes[index], records).await
     }
 }
 
 /// Fences writers with lower epochs off from a partition and retries without a time limit.
-async fn fence(node: &Node, topic: &str, epoch: u64, lane: &mut Lane) -> Result<(), Fenced> {
-    while let Tried::Failed = send(node, topic, epoch, lane, &[]).await? {
+async fn fence(node: &Node, topic: &str, epoch: u64, partition: &mut Lane) -> Result<(), Fenced> {
+    while let Tried::Failed = send(node, topic, epoch, partition, &[]).await? {
         tokio::time::sleep(PAUSE).await;
     }
     Ok(())
@@ -223,37 +226,37 @@
     node: &Node,
     topic: &str,
     epoch: u64,
-    lane: &mut Lane,
+    partition: &mut Lane,
     records: &[KeyedRecord],
 ) -> Result<Tried, Fenced> {
-    let guard = Guard::Writer { epoch, sequence: lane.sequence };
-    match node.store.append(topic, lane.part, guard, records).await {
+    let guard = Guard::Writer { epoch, sequence: partition.sequence };
+    match node.store.append(topic, partition.part, guard, records).await {
         Ok(Appended::Done { offset, end }) => {
             node.standing.note(true);
-            (lane.unanswered, lane.again_at, lane.failures) = (None, 0, 0);
-            lane.fenced = true;
-            lane.sequence += 1;
-            return Ok(Tried::Done(Place { part: lane.part, offset, end }));
+            (partition.unanswered, partition.again_at, partition.failures) = (None, 0, 0);
+            partition.fenced = true;
+            partition.sequence += 1;
+            return Ok(Tried::Done(Place { part: partition.part, offset, end }));
         }
         Ok(Appended::Fenced) => return Err(Fenced),
         Ok(Appended::Sequence(Some(wanted))) => {
             log::warn!(
                 "journal topic={topic} part={} step=renumbered sequence={} wanted={wanted}",
-                lane.part,
-                lane.sequence,
+                partition.part,
+                partition.sequence,
             );
-            (lane.sequence, lane.unanswered) = (wanted, None);
+            (partition.sequence, partition.unanswered) = (wanted, None);
         }
         Ok(other) => log::error!("journal topic={topic} answer={other:?}"),
         Err(e) => {
             node.standing.note(false);
             if !e.nothing_done() {
-                lane.unanswered = Some(records.to_vec());
+                partition.unanswered = Some(records.to_vec());
             }
-            lane.again_at =
-                steady_ms() + (LEAVE_ALONE_MS << lane.failures.min(MOST_LANE_DOUBLINGS));
-            lane.failures += 1;
-            log::info!("journal topic={topic} part={} step=failed error=\"{e}\"", lane.part);
+            partition.again_at =
+                steady_ms() + (LEAVE_ALONE_MS << partition.failures.min(MOST_LANE_DOUBLINGS));
+            partition.failures += 1;
+            log::info!("journal topic={topic} part={} step=failed error=\"{e}\"", partition.part);
         }
     }
     Ok(Tried::Failed)
--- a/crates/scheduler/src/submit.rs
+++ b/crates/scheduler/src/submit.rs
@@ -90,13 +90,13 @@
     let (records, waiting): (Vec<KeyedRecord>, Vec<_>) =
         batch.into_iter().map(|s| (s.record, (s.at, s.done))).unzip();
     let oldest = waiting.iter().map(|(at, _)| *at).min().unwrap_or_default();
-    let written = match handed_over {
+    let outcomes = match handed_over {
         true => append_all(node, log, &records, oldest).await,
         false => write_own(node, log, &records, oldest).await,
     };
-    for ((_, done), written) in waiting.into_iter().zip(written) {
+    for ((_, done), outcome) in waiting.into_iter().zip(outcomes) {
         // The receiver is gone if the caller has disconnected.
-        let _ = done.send(written);
+        let _ = done.send(outcome);
     }
 }
 
@@ -113,18 +113,18 @@
     let mut may_be_written = false;
     if !node.store.is_slow() {
         match append(node, log, records, oldest, By::Other).await {
-            Outcome::Known(written) => return vec![written; records.len()],
-            Outcome::OwnersTurn { may_be_written: may } => may_be_written = may,
+            Outcome::Known(outcome) => return vec![outcome; records.len()],
+            Outcome::OwnersTurn { may_be_written: maybe } => may_be_written = maybe,
         }
     }
-    let written = match forward::to_owner(node, log, records).await {
-        Some(written) => written,
+    let outcomes = match forward::to_owner(node, log, records).await {
+        Some(outcomes) => outcomes,
         None => append_all(node, log, records, oldest).await,
     };
     if !may_be_written {
-        return written;
+        return outcomes;
     }
-    written.into_iter().map(Written::though_it_may_be_there).collect()
+    outcomes.into_iter().map(Written::though_it_may_be_there).collect()
 }
 
 async fn append_all(
@@ -133,11 +133,11 @@
     records: &[KeyedRecord],
     oldest: Ms,
 ) -> Vec<Written> {
-    let written = match append(node, log, records, oldest, By::Owner).await {
-        Outcome::Known(written) => written,
+    let outcome = match append(node, log, records, oldest, By::Owner).await {
+        Outcome::Known(outcome) => outcome,
         // Unreachable for an owner, which never forwards to another node.
         Outcome::OwnersTurn { may_be_written: true } => Written::Unknown,
         Outcome::OwnersTurn { may_be_written: false } => Written::NotKept,
     };
-    vec![written; records.len()]
+    vec![outcome; records.len()]
 }
--- a/crates/scheduler/src/written.rs
+++ b/crates/scheduler/src/written.rs
@@ -27,9 +27,9 @@
 /// Decodes the outcomes of `count` records. If outcomes are missing or cannot be decoded, all records count as `Unknown`.
 pub fn read_outcomes(body: &[u8], count: usize) -> Vec<Written> {
     match postcard::from_bytes::<Vec<Written>>(body) {
-        Ok(written) if written.len() == count => return written,
-        Ok(written) => {
-            log::error!("submit step=outcomes-missing count={count} told={}", written.len());
+        Ok(outcomes) if outcomes.len() == count => return outcomes,
+        Ok(outcomes) => {
+            log::error!("submit step=outcomes-missing count={count} told={}", outcomes.len());
         }
         Err(e) => log::error!("submit step=outcomes-unreadable count={count} error=\"{e}\""),
     }
@@ -37,11 +37,11 @@
 }
 
 /// Encodes the outcomes of forwarded records.
-pub fn encode_outcomes(written: &[Written]) -> Vec<u8> {
-    postcard::to_stdvec(written).unwrap_or_else(|e| {
+pub fn encode_outcomes(outcomes: &[Written]) -> Vec<u8> {
+    postcard::to_stdvec(outcomes).unwrap_or_else(|e| {
         // The other node treats an empty body as unknown outcomes. `NotKept` would be wrong, because the records may
         // have been written.
-        log::error!("submit step=outcomes-not-encoded count={} error=\"{e}\"", written.len());
+        log::error!("submit step=outcomes-not-encoded count={} error=\"{e}\"", outcomes.len());
         Vec::new()
     })
 }
