--- a/crates/scheduler/src/journal.rs
+++ b/crates/scheduler/src/journal.rs
@@ -44,7 +44,7 @@
     part: u32,
     /// The sequence number of the next append.
     sequence: u64,
-    /// The records that were sent under `sequence` and not answered: they may be written, or be written later. No other
+    /// The records that were sent under `sequence` and not answered: they may already be written, or be written later. No other
     /// records may be sent under that number, because the store would treat them as a duplicate.
     unanswered: Option<Vec<KeyedRecord>>,
     /// The partition is not tried before this time unless no other open partition may be tried.
--- a/crates/scheduler/src/overview.rs
+++ b/crates/scheduler/src/overview.rs
@@ -31,7 +31,7 @@
     job: Option<JobView>,
     /// Workspaces with caps: how each cap is split, and the use that pools last reported.
     workspaces: BTreeMap<String, WorkspaceView>,
-    /// Why entries of VMs cannot be read; the VMs of these entries are unknown.
+    /// Unreadable entries of VMs, each with the reason; the VMs to which they belong are unknown.
     unreadable: Vec<String>,
 }
 
