--- a/crates/scheduler/src/append.rs
+++ b/crates/scheduler/src/append.rs
@@ -25,25 +25,25 @@
 use crate::written::Written;
 
 /// Pause between two attempts.
-const PAUSE: Duration = Duration::from_millis(50);
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 /// How long a submission that the store certainly has not written is retried, in milliseconds. The caller
 /// is told to retry earlier than if the node waited for an outage to end.
-const TRY_FOR_MS: Ms = 400;
+const NOT_WRITTEN_RETRY_MS: Ms = 400;
 /// How long a submission that the store may have written is retried, in milliseconds: sending it again is
 /// harmless and may reveal the outcome.
-const ASK_FOR_MS: Ms = 1_000;
+const UNCERTAIN_RETRY_MS: Ms = 1_000;
 /// How long an append to the first partition may take before the fallback partition may be tried in parallel: more than
 /// twice the time from which the store counts as slow.
-const UNUSUAL: Duration = Duration::from_millis(150);
+const FALLBACK_DELAY: Duration = Duration::from_millis(150);
 /// How long after the start of an append fast answers to other calls show that the store is not slow: calls answered earlier
 /// may have been sent before the store turned slow.
-const SETTLED: Duration = Duration::from_millis(100);
+const STORE_SPEED_CHECK_DELAY: Duration = Duration::from_millis(100);
 /// How often the number of fast answers to other calls is checked.
-const LOOK_EVERY: Duration = Duration::from_millis(25);
+const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// The role in which a node appends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum By {
+pub enum AppendRole {
     /// The pool's owner, or a node that knows of no owner; it appends the records of all nodes that forward to it.
     Owner,
     /// Another node, which may forward to the owner while the store is slow.
@@ -56,20 +56,20 @@
     /// The write outcome of the records.
     Known(Written),
     /// The store is slow, and the records should be forwarded to the pool's owner.
-    OwnersTurn {
+    ForwardToOwner {
         /// Whether the records may already be written; writing them twice is harmless.
         may_be_written: bool,
     },
 }
 
 /// The result of one attempt to append to the first or the fallback partition.
-enum Round {
+enum Attempt {
     /// No append was sent, because both partitions have left earlier appends unanswered.
     NotSent,
     /// The records are not known to be written, and the store is slow.
     Slow(Written),
     /// An append was sent, with this outcome.
-    Asked(Written),
+    Sent(Written),
 }
 
 /// Appends to the first partition that accepts the records, retrying for a limited time after `since`.
@@ -78,24 +78,24 @@
     log: &Arc<PoolLog>,
     records: &[KeyedRecord],
     since: Ms,
-    by: By,
+    by: AppendRole,
 ) -> Outcome {
     let mut may_be_written = false;
     loop {
         let round_at = steady_ms();
-        match ask_both(node, log, records, since, by).await {
-            Round::NotSent if !may_be_written => {
+        match try_partitions(node, log, records, since, by).await {
+            Attempt::NotSent if !may_be_written => {
                 // Records that were never sent are certainly not written, so the caller may safely retry.
                 log::info!("submit step=not-sent pool={} reason=no-partition-answers", log.pool);
                 return Outcome::Known(Written::NotKept);
             }
-            Round::Slow(outcome) => {
+            Attempt::Slow(outcome) => {
                 let may_be_written = may_be_written || outcome == Written::Unknown;
-                return Outcome::OwnersTurn { may_be_written };
+                return Outcome::ForwardToOwner { may_be_written };
             }
-            Round::NotSent | Round::Asked(Written::NotKept) => (),
-            Round::Asked(Written::Kept) => return Outcome::Known(Written::Kept),
-            Round::Asked(Written::Unknown) => may_be_written = true,
+            Attempt::NotSent | Attempt::Sent(Written::NotKept) => (),
+            Attempt::Sent(Written::Kept) => return Outcome::Known(Written::Kept),
+            Attempt::Sent(Written::Unknown) => may_be_written = true,
         }
         let waited = steady_ms().saturating_sub(since);
         match may_be_written {
@@ -106,51 +106,53 @@
             {
                 return Outcome::Known(Written::Unknown);
             }
-            true if waited >= ASK_FOR_MS => return Outcome::Known(Written::Unknown),
-            false if waited >= TRY_FOR_MS => return Outcome::Known(Written::NotKept),
-            _ => tokio::time::sleep(PAUSE).await,
+            true if waited >= UNCERTAIN_RETRY_MS => return Outcome::Known(Written::Unknown),
+            false if waited >= NOT_WRITTEN_RETRY_MS => return Outcome::Known(Written::NotKept),
+            _ => tokio::time::sleep(RETRY_PAUSE).await,
         }
     }
 }
 
-async fn ask_both(
+async fn try_partitions(
     node: &Arc<Node>,
     log: &Arc<PoolLog>,
     records: &[KeyedRecord],
     since: Ms,
-    by: By,
-) -> Round {
+    by: AppendRole,
+) -> Attempt {
     let to = |part| append_to(node, log, part, records, since);
     if !log.may_append(SUBMISSIONS).await {
-        if by == By::Other && node.store.is_slow() {
-            return Round::Slow(Written::NotKept);
+        if by == AppendRole::Other && node.store.is_slow() {
+            return Attempt::Slow(Written::NotKept);
         }
         return match log.may_append(SPARE).await {
-            true => Round::Asked(to(SPARE).await),
-            false => Round::NotSent,
+            true => Attempt::Sent(to(SPARE).await),
+            false => Attempt::NotSent,
         };
     }
     let sent_at = steady_ms();
     let mut first = pin!(to(SUBMISSIONS));
-    let in_parallel = by == By::Owner && node.store.is_slow();
-    if !in_parallel && let Either::Left((outcome, _)) = select(&mut first, pin!(is_odd(node))).await
+    let in_parallel = by == AppendRole::Owner && node.store.is_slow();
+    if !in_parallel
+        && let Either::Left((outcome, _)) =
+            select(&mut first, pin!(wait_until_unusually_slow(node))).await
     {
-        let slow = by == By::Other && node.store.is_slow();
+        let slow = by == AppendRole::Other && node.store.is_slow();
         let try_fallback = match outcome {
             Written::Kept => false,
             // The fallback partition's queue is left to the owner. If 32 nodes try it when their appends time out, its queue
             // stays full for two seconds, and only 29 of 250 jobs that arrive meanwhile are stored.
-            Written::NotKept | Written::Unknown if slow => return Round::Slow(outcome),
+            Written::NotKept | Written::Unknown if slow => return Attempt::Slow(outcome),
             Written::NotKept => true,
             Written::Unknown => node.standing.view().has_answered_since(sent_at),
         };
         return match try_fallback && log.may_append(SPARE).await {
-            true => Round::Asked(either(outcome, to(SPARE).await)),
-            false => Round::Asked(outcome),
+            true => Attempt::Sent(combine_outcomes(outcome, to(SPARE).await)),
+            false => Attempt::Sent(outcome),
         };
     }
     if !log.may_append(SPARE).await {
-        return Round::Asked(first.await);
+        return Attempt::Sent(first.await);
     }
     let fallback = pin!(to(SPARE));
     let (outcome, other) = match select(first, fallback).await {
@@ -162,24 +164,24 @@
             // The first partition has not answered: it must answer a probe before it gets another submission.
             log.suspect(node, SUBMISSIONS);
         }
-        return Round::Asked(outcome);
+        return Attempt::Sent(outcome);
     }
-    Round::Asked(either(outcome, other.await))
+    Attempt::Sent(combine_outcomes(outcome, other.await))
 }
 
 /// Completes when an append that started together with this future has taken unusually long although the store still
 /// answers other calls fast.
-async fn is_odd(node: &Node) {
-    tokio::time::sleep(SETTLED).await;
+async fn wait_until_unusually_slow(node: &Node) {
+    tokio::time::sleep(STORE_SPEED_CHECK_DELAY).await;
     let before = node.store.quick_answers();
-    tokio::time::sleep(UNUSUAL - SETTLED).await;
+    tokio::time::sleep(FALLBACK_DELAY - STORE_SPEED_CHECK_DELAY).await;
     while node.store.quick_answers() == before {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
 /// Combines the outcomes of appending the same records to two partitions.
-fn either(one: Written, other: Written) -> Written {
+fn combine_outcomes(one: Written, other: Written) -> Written {
     match (one, other) {
         (Written::Kept, _) | (_, Written::Kept) => Written::Kept,
         (Written::NotKept, Written::NotKept) => Written::NotKept,
--- a/crates/scheduler/src/callers.rs
+++ b/crates/scheduler/src/callers.rs
@@ -21,7 +21,7 @@
 
 use crate::access::caller_of;
 use crate::clock::steady_ms;
-use crate::find_job::{self, Found, find, look_up};
+use crate::find_job::{self, SearchResult, find_log, search_pools};
 use crate::node::Node;
 use crate::pool_log::PoolLog;
 use crate::reply::{self, Reply};
@@ -90,7 +90,7 @@
 async fn answer(node: &Arc<Node>, req: Request<Incoming>) -> Reply {
     let started_at = steady_ms();
     let Some(catalog) = node.catalog.borrow().clone() else {
-        return reply::not_taken("this node has no configuration yet: ask another, or come back");
+        return reply::unavailable("this node has no configuration yet: ask another, or come back");
     };
     let host = host(&req);
     let path = req.uri().path().to_owned();
@@ -105,7 +105,7 @@
                 "request step=denied queue={queue} path={path} reason={denied:?} version={version}"
             );
             counter!("thistle_denied", "reason" => format!("{denied:?}")).increment(1);
-            reply::no_key()
+            reply::invalid_key()
         }
         Ok(caller) => {
             let call = Call { catalog: &catalog, queue, caller };
@@ -115,7 +115,7 @@
                     Ok(id) => for_job(node, &call, id, req).await,
                     Err(e) => reply::bad_request(&e.to_string()),
                 },
-                _ => reply::wrong_method(),
+                _ => reply::method_not_allowed(),
             }
         }
     };
@@ -166,7 +166,7 @@
                 "accept id={id} queue={} step=body-stopped within_ms={within_ms}",
                 queue.name
             );
-            return reply::too_slow(within);
+            return reply::body_timeout(within);
         }
         Err(BodyError::Broken(e)) => {
             return reply::bad_request(&format!("the body cannot be read: {e}"));
@@ -179,7 +179,9 @@
     if let Err(e) = spec.check() {
         return reply::bad_request(&e.to_string());
     }
-    if let Some(step) = caller.workspace.as_deref().and_then(|w| too_wide(catalog, w, &spec)) {
+    if let Some(step) =
+        caller.workspace.as_deref().and_then(|w| oversized_gang_step(catalog, w, &spec))
+    {
         log::info!("accept id={id} queue={} step=wider-than-cap number={step}", queue.name);
         return reply::bad_request(&format!(
             "step {step} is a gang that your workspace's cap can never hold"
@@ -192,7 +194,7 @@
     spec.workspace = caller.workspace.clone().unwrap_or_default();
     spec.admitted_by = catalog.version;
     // A job that is already stored is not stored again.
-    if let Some(log) = find(node, id) {
+    if let Some(log) = find_log(node, id) {
         let theirs =
             log.jobs().get(id).and_then(|e| e.spec.clone()).is_none_or(|s| caller.may_see(&s));
         log::info!("accept id={id} queue={} step=duplicate theirs={theirs}", queue.name);
@@ -224,44 +226,44 @@
     let workspace = catalog.workspaces.metric_name(&spec.workspace).to_owned();
     let outcome = format!("{written:?}");
     counter!("thistle_submissions", "workspace" => workspace, "outcome" => outcome).increment(1);
-    answer_written(written)
+    reply_to_outcome(written)
 }
 
 /// Returns the index of the first gang step that demands more than its workspace's cap allows.
-fn too_wide(catalog: &Catalog, workspace: &str, spec: &JobSpec) -> Option<usize> {
+fn oversized_gang_step(catalog: &Catalog, workspace: &str, spec: &JobSpec) -> Option<usize> {
     let cap = catalog.workspaces.get(workspace)?.cap;
     let never_fits = |step: &Step| step.gang && !within(step.demand.times(step.count), cap, cap);
     spec.steps.iter().position(never_fits)
 }
 
-fn answer_written(written: Written) -> Reply {
+fn reply_to_outcome(written: Written) -> Reply {
     match written {
         Written::Kept => reply::accepted(),
-        Written::NotKept => {
-            reply::not_taken("the store cannot be reached from here; nothing was taken: come back")
-        }
-        Written::Unknown => reply::unknown(),
+        Written::NotKept => reply::unavailable(
+            "the store cannot be reached from here; nothing was taken: come back",
+        ),
+        Written::Unknown => reply::outcome_unknown(),
     }
 }
 
 async fn write(log: &PoolLog, record: KeyedRecord) -> Written {
-    let (done, outcome) = oneshot::channel();
-    log.submit(Submission { record, at: steady_ms(), handed_over: false, done });
+    let (outcome_tx, outcome) = oneshot::channel();
+    log.submit(Submission { record, at: steady_ms(), forwarded: false, outcome_tx });
     // Without an outcome, the append may still be in progress.
     outcome.await.unwrap_or(Written::Unknown)
 }
 
 async fn cancel(node: &Arc<Node>, call: &Call<'_>, id: JobId) -> Reply {
     let Call { queue, caller, .. } = call;
-    let found = look_up(node, queue, id, caller).await;
+    let found = search_pools(node, queue, id, caller).await;
     // An unknown job is cancelled too: its submission may still be on its way to the store.
     let (pool, state) = match &found {
-        Found::Here(pool, state) => (pool, Some(*state)),
-        Found::NotTheirs(_) => {
+        SearchResult::InPool(pool, state) => (pool, Some(*state)),
+        SearchResult::NotTheirs(_) => {
             log::info!("cancel id={id} queue={} step=not-theirs", queue.name);
             return reply::no_such_job();
         }
-        Found::Nowhere | Found::NotRead => (&queue.pool, None),
+        SearchResult::NotFound | SearchResult::NotRead => (&queue.pool, None),
     };
     let written = match state.is_some_and(JobState::is_final) {
         true => Written::Kept,
@@ -272,26 +274,26 @@
     };
     log::info!("cancel id={id} queue={} state={state:?} written={written:?}", queue.name);
     match (written, found) {
-        (Written::Kept, Found::Nowhere) => reply::no_such_job(),
-        (written, _) => answer_written(written),
+        (Written::Kept, SearchResult::NotFound) => reply::no_such_job(),
+        (written, _) => reply_to_outcome(written),
     }
 }
 
 async fn state(node: &Arc<Node>, call: &Call<'_>, id: JobId) -> Reply {
     let queue = call.queue;
-    match look_up(node, queue, id, &call.caller).await {
-        Found::Here(_, state) => reply::state(state),
-        Found::NotTheirs(pool) => {
+    match search_pools(node, queue, id, &call.caller).await {
+        SearchResult::InPool(_, state) => reply::state(state),
+        SearchResult::NotTheirs(pool) => {
             log::info!("state id={id} queue={} step=not-theirs pool={pool}", queue.name);
             reply::no_such_job()
         }
-        Found::Nowhere => {
+        SearchResult::NotFound => {
             log::info!("state id={id} queue={} step=unknown", queue.name);
             reply::no_such_job()
         }
-        Found::NotRead => {
+        SearchResult::NotRead => {
             log::info!("state id={id} queue={} step=not-read", queue.name);
-            reply::not_taken("the job's records cannot be read from here: come back")
+            reply::unavailable("the job's records cannot be read from here: come back")
         }
     }
 }
@@ -301,7 +303,7 @@
         Some(count) => reply::pending(count),
         None => {
             log::info!("pending queue={} step=not-read", queue.name);
-            reply::not_taken("the queue's records cannot be read from here: come back")
+            reply::unavailable("the queue's records cannot be read from here: come back")
         }
     }
 }
--- a/crates/scheduler/src/find_job.rs
+++ b/crates/scheduler/src/find_job.rs
@@ -9,62 +9,67 @@
 use crate::locks::lock;
 use crate::node::Node;
 use crate::pool_log::{PROGRESS, PoolLog, SPARE, SPARE_AGE_MS, SUBMISSIONS};
-use crate::query::{Question, Told};
-use crate::query_peers::ask;
+use crate::query::{Query, QueryReply};
+use crate::query_peers::query_peers;
 
 /// How long the search for a job continues after a pool's records could not be read, in milliseconds: the time of one
 /// unanswered read. With an unresponsive store and eight partitions, a search without this limit takes 6 s and exceeds
 /// callers' deadlines.
-const LOOK_UP_MS: Ms = 800;
+const FIND_TIMEOUT_MS: Ms = 800;
 /// How old the count of a queue's pending jobs may be when it is read, in milliseconds: callers may get a count that is up to
 /// two seconds old.
-const PENDING_AGE_MS: Ms = 1_500;
+const MAX_PENDING_AGE_MS: Ms = 1_500;
 
 /// How long a request for a job waits while this node, as the pool's new owner, still reads the pool's records. Most takeovers
 /// take 0.1 s, and a query from another node must be answered before its timeout of 0.7 s.
-const TAKEOVER: Duration = Duration::from_millis(500);
+const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The result of the search for a job.
-pub enum Found {
+pub enum SearchResult {
     /// The job is in this pool and has this state.
-    Here(Arc<str>, JobState),
+    InPool(Arc<str>, JobState),
     /// The job is in this pool but belongs to another workspace.
     NotTheirs(Arc<str>),
     /// No pool has the job, according to all records that the store had when the search began.
-    Nowhere,
+    NotFound,
     /// No pool that could be read has the job.
     NotRead,
 }
 
 /// Returns the log of the pool that contains a job, as far as this node has read.
-pub fn find(node: &Node, id: JobId) -> Option<Arc<PoolLog>> {
+pub fn find_log(node: &Node, id: JobId) -> Option<Arc<PoolLog>> {
     let has = |log: &Arc<PoolLog>| log.jobs().get(id).is_some_and(|e| e.spec.is_some());
     node.pool_logs().into_iter().find(has)
 }
 
 /// Returns the reply about a job if its submission is known.
-fn known(log: &PoolLog, id: JobId, caller: &Caller) -> Option<Told> {
+fn known_reply(log: &PoolLog, id: JobId, caller: &Caller) -> Option<QueryReply> {
     let jobs = log.jobs();
     let entry = jobs.get(id)?;
     let spec = entry.spec.as_ref()?;
     if !caller.may_see(spec) {
-        return Some(Told::NotTheirs);
+        return Some(QueryReply::NotTheirs);
     }
-    entry.state().map(Told::State)
+    entry.state().map(QueryReply::State)
 }
 
-const fn is_settled(reply: Told) -> bool {
+const fn is_settled(reply: QueryReply) -> bool {
     match reply {
-        Told::State(state) => state.is_final(),
-        Told::NotTheirs => true,
-        Told::NoSuchJob | Told::Pending(_) | Told::NotRead => false,
+        QueryReply::State(state) => state.is_final(),
+        QueryReply::NotTheirs => true,
+        QueryReply::NoSuchJob | QueryReply::Pending(_) | QueryReply::NotRead => false,
     }
 }
 
 /// Searches all pools for a job, starting with the pool that its queue currently uses.
-pub async fn look_up(node: &Arc<Node>, queue: &Queue, id: JobId, caller: &Caller) -> Found {
-    if let Some(log) = find(node, id) {
-        return in_pool(node, &log, id, caller).await;
+pub async fn search_pools(
+    node: &Arc<Node>,
+    queue: &Queue,
+    id: JobId,
+    caller: &Caller,
+) -> SearchResult {
+    if let Some(log) = find_log(node, id) {
+        return search_pool(node, &log, id, caller).await;
     }
     let since = steady_ms();
     let mut logs = node.pool_logs();
@@ -72,44 +77,44 @@
     let mut all_read = true;
     for log in logs {
         // Each failed read takes its full timeout, and a pool that was not read may have the job.
-        if !all_read && steady_ms().saturating_sub(since) >= LOOK_UP_MS {
-            return Found::NotRead;
+        if !all_read && steady_ms().saturating_sub(since) >= FIND_TIMEOUT_MS {
+            return SearchResult::NotRead;
         }
-        match in_pool(node, &log, id, caller).await {
-            Found::Nowhere => (),
-            Found::NotRead => all_read = false,
-            here @ (Found::Here(..) | Found::NotTheirs(_)) => return here,
+        match search_pool(node, &log, id, caller).await {
+            SearchResult::NotFound => (),
+            SearchResult::NotRead => all_read = false,
+            here @ (SearchResult::InPool(..) | SearchResult::NotTheirs(_)) => return here,
         }
     }
-    if all_read { Found::Nowhere } else { Found::NotRead }
+    if all_read { SearchResult::NotFound } else { SearchResult::NotRead }
 }
 
-async fn in_pool(node: &Node, log: &Arc<PoolLog>, id: JobId, caller: &Caller) -> Found {
+async fn search_pool(node: &Node, log: &Arc<PoolLog>, id: JobId, caller: &Caller) -> SearchResult {
     // A settled state is final, so it needs no newer records.
-    let settled = known(log, id, caller).filter(|&reply| is_settled(reply));
+    let settled = known_reply(log, id, caller).filter(|&reply| is_settled(reply));
     let reply = match settled {
         Some(reply) => reply,
-        None if is_read_here(node, log).await => state_here(node, log, id, caller).await,
+        None if is_read_here(node, log).await => local_state(node, log, id, caller).await,
         None => {
             let (pool, caller) = (log.pool.to_string(), caller.clone());
-            ask(node, &Question::State { pool, id, caller }).await
+            query_peers(node, &Query::State { pool, id, caller }).await
         }
     };
     match reply {
-        Told::State(state) => Found::Here(log.pool.clone(), state),
-        Told::NotTheirs => Found::NotTheirs(log.pool.clone()),
-        Told::NoSuchJob => Found::Nowhere,
-        Told::Pending(_) | Told::NotRead => Found::NotRead,
+        QueryReply::State(state) => SearchResult::InPool(log.pool.clone(), state),
+        QueryReply::NotTheirs => SearchResult::NotTheirs(log.pool.clone()),
+        QueryReply::NoSuchJob => SearchResult::NotFound,
+        QueryReply::Pending(_) | QueryReply::NotRead => SearchResult::NotRead,
     }
 }
 
 /// Reads until all records that the store had at the call are known for a job, and returns the job's state.
-async fn state_here(node: &Node, log: &PoolLog, id: JobId, caller: &Caller) -> Told {
+async fn local_state(node: &Node, log: &PoolLog, id: JobId, caller: &Caller) -> QueryReply {
     let since = steady_ms();
     let mut all_read = true;
     // The job may be in the first or the fallback partition of its pool.
     for (part, age) in [(SUBMISSIONS, 0), (SPARE, SPARE_AGE_MS)] {
-        if known(log, id, caller).is_some() {
+        if known_reply(log, id, caller).is_some() {
             break;
         }
         if let Err(e) = log.catch_up(node, part, since.saturating_sub(age)).await {
@@ -117,16 +122,16 @@
             all_read = false;
         }
     }
-    if known(log, id, caller).is_some_and(|reply| !is_settled(reply)) && !log.is_owned() {
+    if known_reply(log, id, caller).is_some_and(|reply| !is_settled(reply)) && !log.is_owned() {
         // A slightly stale state is better than none.
         if let Err(e) = log.catch_up(node, PROGRESS, since).await {
             log::debug!("state id={id} step=stale error=\"{e}\"");
         }
     }
-    match known(log, id, caller) {
+    match known_reply(log, id, caller) {
         Some(reply) => reply,
-        None if all_read => Told::NoSuchJob,
-        None => Told::NotRead,
+        None if all_read => QueryReply::NoSuchJob,
+        None => QueryReply::NotRead,
     }
 }
 
@@ -134,20 +139,23 @@
 pub async fn pending(node: &Node, queue: &Queue) -> Option<u64> {
     let log = node.pool_log_of(&queue.pool)?;
     let reply = match is_read_here(node, &log).await {
-        true => pending_here(node, &log, &queue.name).await,
+        true => local_pending(node, &log, &queue.name).await,
         false => {
             let (pool, queue) = (log.pool.to_string(), queue.name.to_string());
-            ask(node, &Question::Pending { pool, queue }).await
+            query_peers(node, &Query::Pending { pool, queue }).await
         }
     };
     match reply {
-        Told::Pending(count) => Some(count),
-        Told::State(_) | Told::NotTheirs | Told::NoSuchJob | Told::NotRead => None,
+        QueryReply::Pending(count) => Some(count),
+        QueryReply::State(_)
+        | QueryReply::NotTheirs
+        | QueryReply::NoSuchJob
+        | QueryReply::NotRead => None,
     }
 }
 
-async fn pending_here(node: &Node, log: &PoolLog, queue: &str) -> Told {
-    let since = steady_ms().saturating_sub(PENDING_AGE_MS);
+async fn local_pending(node: &Node, log: &PoolLog, queue: &str) -> QueryReply {
+    let since = steady_ms().saturating_sub(MAX_PENDING_AGE_MS);
     // An owner whose lease has expired may not know the newest jobs.
     let current = log.is_owned() && node.lease_valid();
     for part in [SUBMISSIONS, PROGRESS, SPARE] {
@@ -156,37 +164,37 @@
         }
         if let Err(e) = log.catch_up(node, part, since).await {
             log::info!("pending queue={queue} step=not-read error=\"{e}\"");
-            return Told::NotRead;
+            return QueryReply::NotRead;
         }
     }
-    Told::Pending(log.jobs().pending(queue) as u64)
+    QueryReply::Pending(log.jobs().pending(queue) as u64)
 }
 
 /// Returns the encoded reply to another node's query, or `None` if the query cannot be decoded.
-pub async fn answer(node: &Node, body: &[u8]) -> Option<Vec<u8>> {
-    let query: Question = postcard::from_bytes(body)
+pub async fn answer_query(node: &Node, body: &[u8]) -> Option<Vec<u8>> {
+    let query: Query = postcard::from_bytes(body)
         .inspect_err(|e| log::error!("ask step=unreadable error=\"{e}\""))
         .ok()?;
-    let reply = tell(node, &query).await;
+    let reply = local_reply(node, &query).await;
     postcard::to_stdvec(&reply)
         .inspect_err(|e| log::error!("ask step=not-encoded error=\"{e}\""))
         .ok()
 }
 
-async fn tell(node: &Node, query: &Question) -> Told {
-    let Some(log) = node.pool_log_of(query.pool()) else { return Told::NotRead };
+async fn local_reply(node: &Node, query: &Query) -> QueryReply {
+    let Some(log) = node.pool_log_of(query.pool()) else { return QueryReply::NotRead };
     if !is_read_here(node, &log).await {
-        return Told::NotRead;
+        return QueryReply::NotRead;
     }
     match query {
-        Question::State { id, caller, .. } => state_here(node, &log, *id, caller).await,
-        Question::Pending { queue, .. } => pending_here(node, &log, queue).await,
+        Query::State { id, caller, .. } => local_state(node, &log, *id, caller).await,
+        Query::Pending { queue, .. } => local_pending(node, &log, queue).await,
     }
 }
 
 /// Returns whether this node has at some time known an owner of each pool, itself or another node. An owner that fails
 /// later is replaced within seconds, which is no reason to send all callers to other nodes.
-pub fn can_answer(node: &Node) -> bool {
+pub fn has_known_all_owners(node: &Node) -> bool {
     let has_owner = |log: &Arc<PoolLog>| {
         let ownership = lock(&node.ownership);
         let owned = ownership.my_token(&log.pool).is_some()
@@ -200,7 +208,7 @@
 /// Returns whether this node follows a pool's records, after a short wait if the node has only just become the owner.
 async fn is_read_here(node: &Node, log: &PoolLog) -> bool {
     if !log.is_read_here() && lock(&node.ownership).my_token(&log.pool).is_some() {
-        log.wait_until_owned(TAKEOVER).await;
+        log.wait_until_owned(TAKEOVER_TIMEOUT).await;
     }
     log.is_read_here()
 }
--- a/crates/scheduler/src/follow.rs
+++ b/crates/scheduler/src/follow.rs
@@ -14,9 +14,9 @@
 const WAIT: Duration = Duration::from_millis(800);
 /// How long the first read after new records waits. A read that arrives while an append is in progress is not woken by that
 /// append (the store replies only when the wait is over), and appends come in bursts.
-const WAIT_AFTER_NEWS: Duration = Duration::from_millis(25);
+const WAIT_AFTER_RECORDS: Duration = Duration::from_millis(25);
 /// Pause after a failed read.
-const PAUSE: Duration = Duration::from_millis(100);
+const FAILURE_PAUSE: Duration = Duration::from_millis(100);
 
 /// The records that a read returned.
 pub enum News {
@@ -93,21 +93,21 @@
     /// Immediately.
     AtOnce,
     /// After a pause, so that records are read in batches.
-    Bundled,
+    Batched,
 }
 
 /// Pause of an owner between two batched reads: each VM sends a heartbeat every one or two seconds, and reading the
 /// heartbeats one by one would make up half of all calls to the store.
 const OWNER_PAUSE: Duration = Duration::from_millis(150);
 /// The same pause while no VM is moving to another pool or in maintenance, so that no VM's heartbeat is awaited.
-const CALM_OWNER_PAUSE: Duration = Duration::from_millis(400);
+const QUIET_OWNER_PAUSE: Duration = Duration::from_millis(400);
 
-async fn rest(node: &Node, pace: Pace) {
+async fn pause_before_next_read(node: &Node, pace: Pace) {
     match pace {
         Pace::AtOnce => (),
-        Pace::Bundled => {
+        Pace::Batched => {
             let quiet = node.fleet.borrow().work.is_empty();
-            tokio::time::sleep(if quiet { CALM_OWNER_PAUSE } else { OWNER_PAUSE }).await;
+            tokio::time::sleep(if quiet { QUIET_OWNER_PAUSE } else { OWNER_PAUSE }).await;
         }
     }
 }
@@ -122,14 +122,14 @@
             Ok(records) => {
                 node.standing.note(true);
                 failures.end(&tail.topic, tail.part);
-                wait = if records.is_empty() { WAIT } else { WAIT_AFTER_NEWS };
+                wait = if records.is_empty() { WAIT } else { WAIT_AFTER_RECORDS };
                 apply(records, &tail);
-                rest(node, pace).await;
+                pause_before_next_read(node, pace).await;
             }
             Err(e) => {
                 node.standing.note(false);
                 failures.add(&tail.topic, tail.part, tail.next, &e);
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(FAILURE_PAUSE).await;
                 wait = Duration::ZERO;
             }
         }
--- a/crates/scheduler/src/forward.rs
+++ b/crates/scheduler/src/forward.rs
@@ -64,7 +64,7 @@
 
 /// Appends the records that another node forwards and returns the encoded write outcome of each record, or `None` if the
 /// records are rejected.
-pub async fn take(node: &Arc<Node>, pool: &str, body: &Bytes) -> Option<Vec<u8>> {
+pub async fn append_forwarded(node: &Arc<Node>, pool: &str, body: &Bytes) -> Option<Vec<u8>> {
     let records: Vec<(String, Vec<u8>)> = postcard::from_bytes(body)
         .inspect_err(|e| log::error!("submit step=rejected pool={pool} error=\"{e}\""))
         .ok()?;
@@ -74,9 +74,9 @@
     };
     let mut waiting = Vec::with_capacity(records.len());
     for (key, value) in records {
-        let (done, outcome) = oneshot::channel();
+        let (outcome_tx, outcome) = oneshot::channel();
         let record = KeyedRecord::new(key, value);
-        log.submit(Submission { record, at: steady_ms(), handed_over: true, done });
+        log.submit(Submission { record, at: steady_ms(), forwarded: true, outcome_tx });
         waiting.push(outcome);
     }
     let mut outcomes = Vec::with_capacity(waiting.len());
--- a/crates/scheduler/src/journal.rs
+++ b/crates/scheduler/src/journal.rs
@@ -12,11 +12,11 @@
 /// Pause before an append is retried.
 pub const PAUSE: Duration = Duration::from_millis(30);
 /// The first backoff of a partition that did not accept an append while another partition accepts appends, in milliseconds.
-const LEAVE_ALONE_MS: Ms = 400;
+const PARTITION_BACKOFF_MS: Ms = 400;
 
 /// How often that backoff doubles at most, up to 3.2 s: each attempt on an unresponsive partition delays all other appends by
 /// the timeout of an append.
-const MOST_LANE_DOUBLINGS: u32 = 3;
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 /// Another node has taken over the ownership under which the records are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,11 +36,11 @@
 /// A writer that appends to one partition under a token, and to others while that partition does not accept appends.
 pub struct Journal {
     topic: String,
-    lanes: Vec<Lane>,
+    partitions: Vec<PartitionState>,
     epoch: u64,
 }
 
-struct Lane {
+struct PartitionState {
     part: u32,
     /// The sequence number of the next append.
     sequence: u64,
@@ -48,7 +48,7 @@
     /// records may be sent under that number, because the store would treat them as a duplicate.
     unanswered: Option<Vec<KeyedRecord>>,
     /// The partition is not tried before this time unless no other open partition may be tried.
-    again_at: Ms,
+    retry_at: Ms,
     /// The number of consecutive failed attempts.
     failures: u32,
     /// Whether writers with lower epochs are fenced off from the partition.
@@ -58,13 +58,13 @@
     open: bool,
 }
 
-impl Lane {
+impl PartitionState {
     const fn new(part: u32) -> Self {
         Self {
             part,
             sequence: 0,
             unanswered: None,
-            again_at: 0,
+            retry_at: 0,
             failures: 0,
             fenced: false,
             open: true,
@@ -73,7 +73,7 @@
 }
 
 /// The result of one attempt to append.
-enum Tried {
+enum Attempt {
     Done(Place),
     Failed,
 }
@@ -81,11 +81,11 @@
 impl Journal {
     /// Opens the partitions and fences off all writers with lower tokens. The first partition is the preferred one.
     pub async fn open(node: &Node, topic: &str, parts: &[u32], token: u64) -> Result<Self, Fenced> {
-        let lanes = parts.iter().map(|&part| Lane::new(part)).collect();
-        let mut journal = Self { topic: topic.to_owned(), lanes, epoch: token };
+        let partitions = parts.iter().map(|&part| PartitionState::new(part)).collect();
+        let mut journal = Self { topic: topic.to_owned(), partitions, epoch: token };
         let epoch = journal.epoch;
         let fence = |partition| fence(node, topic, epoch, partition);
-        try_join_all(journal.lanes.iter_mut().map(fence)).await?;
+        try_join_all(journal.partitions.iter_mut().map(fence)).await?;
         Ok(journal)
     }
 
@@ -94,7 +94,7 @@
     /// An unanswered append may be written twice, in two partitions, or be written late. The records themselves must
     /// therefore show which of them is newer.
     pub async fn append(&mut self, node: &Node, records: &[KeyedRecord]) -> Result<Place, Fenced> {
-        if self.lanes.len() == 1 {
+        if self.partitions.len() == 1 {
             return self.append_to(node, 0, records).await;
         }
         loop {
@@ -113,13 +113,13 @@
     ) -> Result<Option<Place>, Fenced> {
         let now = steady_ms();
         let all_in_backoff =
-            self.lanes.iter().all(|partition| !partition.open || partition.again_at > now);
-        for i in 0..self.lanes.len() {
-            let partition = &self.lanes[i];
-            if !partition.open || partition.again_at > now && !all_in_backoff {
+            self.partitions.iter().all(|partition| !partition.open || partition.retry_at > now);
+        for i in 0..self.partitions.len() {
+            let partition = &self.partitions[i];
+            if !partition.open || partition.retry_at > now && !all_in_backoff {
                 continue;
             }
-            if let Tried::Done(place) = self.try_once(node, i, records).await? {
+            if let Attempt::Done(place) = self.try_once(node, i, records).await? {
                 return Ok(Some(place));
             }
         }
@@ -128,22 +128,24 @@
 
     /// Returns the partitions that are written to.
     pub fn parts(&self) -> impl Iterator<Item = u32> {
-        self.lanes.iter().filter(|partition| partition.open).map(|partition| partition.part)
+        self.partitions.iter().filter(|partition| partition.open).map(|partition| partition.part)
     }
 
     /// Adds partitions to write to. Each is written to only after writers with lower epochs are fenced off from it.
     pub fn add_lanes(&mut self, parts: &[u32]) {
         for &part in parts {
-            match self.lanes.iter_mut().find(|partition| partition.part == part) {
+            match self.partitions.iter_mut().find(|partition| partition.part == part) {
                 Some(partition) => partition.open = true,
-                None => self.lanes.push(Lane::new(part)),
+                None => self.partitions.push(PartitionState::new(part)),
             }
         }
     }
 
     /// Stops writing to some partitions. Their unanswered records are also written to another partition.
     pub fn close_lanes(&mut self, parts: &[u32]) {
-        for partition in self.lanes.iter_mut().filter(|partition| parts.contains(&partition.part)) {
+        for partition in
+            self.partitions.iter_mut().filter(|partition| parts.contains(&partition.part))
+        {
             partition.open = false;
         }
     }
@@ -156,16 +158,16 @@
         records: &[KeyedRecord],
     ) -> Result<bool, Fenced> {
         let index =
-            self.lanes.iter().position(|partition| partition.open && partition.part == part);
-        let Some(index) = index.filter(|&i| self.lanes[i].again_at <= steady_ms()) else {
+            self.partitions.iter().position(|partition| partition.open && partition.part == part);
+        let Some(index) = index.filter(|&i| self.partitions[i].retry_at <= steady_ms()) else {
             return Ok(false);
         };
-        Ok(matches!(self.try_once(node, index, records).await?, Tried::Done(_)))
+        Ok(matches!(self.try_once(node, index, records).await?, Attempt::Done(_)))
     }
 
     /// Returns whether the first partition is not in backoff.
     pub fn first_takes_records(&self) -> bool {
-        self.lanes.first().is_some_and(|partition| partition.again_at <= steady_ms())
+        self.partitions.first().is_some_and(|partition| partition.retry_at <= steady_ms())
     }
 
     /// Appends records to one partition and retries without a time limit. An unanswered append is sent again under the
@@ -177,7 +179,7 @@
         records: &[KeyedRecord],
     ) -> Result<Place, Fenced> {
         loop {
-            if let Tried::Done(place) = self.try_once(node, index, records).await? {
+            if let Attempt::Done(place) = self.try_once(node, index, records).await? {
                 return Ok(place);
             }
             tokio::time::sleep(PAUSE).await;
@@ -190,15 +192,16 @@
         node: &Node,
         index: usize,
         records: &[KeyedRecord],
-    ) -> Result<Tried, Fenced> {
-        if !self.lanes[index].fenced && matches!(self.send(node, index, &[]).await?, Tried::Failed)
+    ) -> Result<Attempt, Fenced> {
+        if !self.partitions[index].fenced
+            && matches!(self.send(node, index, &[]).await?, Attempt::Failed)
         {
-            return Ok(Tried::Failed);
+            return Ok(Attempt::Failed);
         }
-        if let Some(unanswered) = self.lanes[index].unanswered.clone() {
-            let tried = self.send(node, index, &unanswered).await?;
-            if matches!(tried, Tried::Failed) || unanswered == records {
-                return Ok(tried);
+        if let Some(unanswered) = self.partitions[index].unanswered.clone() {
+            let attempt = self.send(node, index, &unanswered).await?;
+            if matches!(attempt, Attempt::Failed) || unanswered == records {
+                return Ok(attempt);
             }
         }
         self.send(node, index, records).await
@@ -209,14 +212,19 @@
         node: &Node,
         index: usize,
         records: &[KeyedRecord],
-    ) -> Result<Tried, Fenced> {
-        send(node, &self.topic, self.epoch, &mut self.lanes[index], records).await
+    ) -> Result<Attempt, Fenced> {
+        send(node, &self.topic, self.epoch, &mut self.partitions[index], records).await
     }
 }
 
 /// Fences writers with lower epochs off from a partition and retries without a time limit.
-async fn fence(node: &Node, topic: &str, epoch: u64, partition: &mut Lane) -> Result<(), Fenced> {
-    while let Tried::Failed = send(node, topic, epoch, partition, &[]).await? {
+async fn fence(
+    node: &Node,
+    topic: &str,
+    epoch: u64,
+    partition: &mut PartitionState,
+) -> Result<(), Fenced> {
+    while let Attempt::Failed = send(node, topic, epoch, partition, &[]).await? {
         tokio::time::sleep(PAUSE).await;
     }
     Ok(())
@@ -226,17 +234,17 @@
     node: &Node,
     topic: &str,
     epoch: u64,
-    partition: &mut Lane,
+    partition: &mut PartitionState,
     records: &[KeyedRecord],
-) -> Result<Tried, Fenced> {
+) -> Result<Attempt, Fenced> {
     let guard = Guard::Writer { epoch, sequence: partition.sequence };
     match node.store.append(topic, partition.part, guard, records).await {
         Ok(Appended::Done { offset, end }) => {
             node.standing.note(true);
-            (partition.unanswered, partition.again_at, partition.failures) = (None, 0, 0);
+            (partition.unanswered, partition.retry_at, partition.failures) = (None, 0, 0);
             partition.fenced = true;
             partition.sequence += 1;
-            return Ok(Tried::Done(Place { part: partition.part, offset, end }));
+            return Ok(Attempt::Done(Place { part: partition.part, offset, end }));
         }
         Ok(Appended::Fenced) => return Err(Fenced),
         Ok(Appended::Sequence(Some(wanted))) => {
@@ -253,11 +261,11 @@
             if !e.nothing_done() {
                 partition.unanswered = Some(records.to_vec());
             }
-            partition.again_at =
-                steady_ms() + (LEAVE_ALONE_MS << partition.failures.min(MOST_LANE_DOUBLINGS));
+            partition.retry_at = steady_ms()
+                + (PARTITION_BACKOFF_MS << partition.failures.min(MAX_BACKOFF_DOUBLINGS));
             partition.failures += 1;
             log::info!("journal topic={topic} part={} step=failed error=\"{e}\"", partition.part);
         }
     }
-    Ok(Tried::Failed)
+    Ok(Attempt::Failed)
 }
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -18,27 +18,27 @@
     follow(&node, Tail::new(config::TOPIC, 0), Pace::AtOnce, move |news, tail| {
         let (records, asked_at) = match news {
             News::Reloaded(records) => {
-                take_all_halls(&cx, &records);
+                end_withdrawn_evacuations(&cx, &records);
                 (records, None)
             }
             News::Records(records) => (records, Some(steady_ms())),
         };
         for stored in records {
             if stored.record.key == config::CATALOG_KEY {
-                take_catalog(&cx, &stored);
+                apply_catalog(&cx, &stored);
             } else if let Some(wave) = config::wave_of_key(&stored.record.key) {
-                take_wave(&cx, wave, &stored, asked_at);
+                apply_wave(&cx, wave, &stored, asked_at);
             } else if let Some(hall) = config::hall_of_key(&stored.record.key) {
-                take_hall(&cx, hall, &stored);
+                apply_hall(&cx, hall, &stored);
             }
         }
         // All records of this read are applied at this point, not earlier.
-        cx.note_operator_read(tail.read_at());
+        cx.record_operator_read(tail.read_at());
     })
     .await;
 }
 
-fn take_catalog(node: &Arc<Node>, stored: &Stored) {
+fn apply_catalog(node: &Arc<Node>, stored: &Stored) {
     let Some(value) = stored.record.value() else { return };
     let mut catalog = match config::decode_catalog(value, &node.secret) {
         Ok(catalog) => catalog,
@@ -76,7 +76,7 @@
     node.catalog.send_replace(Some(catalog));
 }
 
-fn take_wave(node: &Node, wave: u64, stored: &Stored, asked_at: Option<Ms>) {
+fn apply_wave(node: &Node, wave: u64, stored: &Stored, asked_at: Option<Ms>) {
     let Some(value) = stored.record.value() else { return };
     let request = match config::decode_wave(value) {
         Ok(request) => WaveRequest { asked_at, ..request },
@@ -102,7 +102,7 @@
 }
 
 /// Ends the evacuations that are not among the newest records: the operator has withdrawn them.
-fn take_all_halls(node: &Node, records: &[Stored]) {
+fn end_withdrawn_evacuations(node: &Node, records: &[Stored]) {
     let is_requested = |hall: &str| {
         let of_hall = |s: &&Stored| config::hall_of_key(&s.record.key) == Some(hall);
         records.iter().find(of_hall).is_some_and(|s| s.record.value().is_some())
@@ -119,7 +119,7 @@
 
 /// Applies the operator's request to evacuate a hall or to end its evacuation. The request is kept even if the hall is
 /// unknown, because VMs of the hall may be listed later.
-fn take_hall(node: &Node, hall: &str, stored: &Stored) {
+fn apply_hall(node: &Node, hall: &str, stored: &Stored) {
     if hall.is_empty() {
         log::error!(
             "hall step=unreadable offset={} error=\"the key contains no hall name\"",
@@ -145,7 +145,7 @@
 
 /// Follows the list of VM incarnations in the store.
 pub async fn follow_vms(node: Arc<Node>) {
-    let mut unreadable = Unreadable::default();
+    let mut unreadable = UnreadableEntries::default();
     let apply = |news| {
         let (mut table, records) = match news {
             News::Reloaded(records) => (VmTable::new(), records),
@@ -153,7 +153,7 @@
             News::Records(records) => (VmTable::clone(&node.vms.borrow()), records),
         };
         for stored in records {
-            take_vm(&mut table, &mut unreadable, &stored);
+            apply_vm(&mut table, &mut unreadable, &stored);
         }
         // Most records are heartbeats that change nothing.
         node.vms.send_if_modified(|known| {
@@ -169,26 +169,26 @@
         node.vms_listed.send_replace(false);
         node.vms.send_replace(Arc::default());
     };
-    follow_while_owning(&node, (listing::TOPIC, 0), Pace::Bundled, apply, forget).await;
+    follow_while_owning(&node, (listing::TOPIC, 0), Pace::Batched, apply, forget).await;
 }
 
 /// How many IDs of unreadable entries are remembered. Further unreadable entries are counted but not logged.
-const MOST_UNREADABLE: usize = 1_000;
+const MAX_UNREADABLE_IDS: usize = 1_000;
 
 /// The IDs of unreadable entries, so that each is logged only once.
 #[derive(Default)]
-struct Unreadable(HashSet<String>);
+struct UnreadableEntries(HashSet<String>);
 
-impl Unreadable {
-    fn tell(&mut self, id: &str, offset: u64, error: &str) {
+impl UnreadableEntries {
+    fn report(&mut self, id: &str, offset: u64, error: &str) {
         counter!("thistle_unreadable_entries").increment(1);
-        if self.0.len() < MOST_UNREADABLE && self.0.insert(id.to_owned()) {
+        if self.0.len() < MAX_UNREADABLE_IDS && self.0.insert(id.to_owned()) {
             log::error!("vm step=unreadable offset={offset} error=\"{error}\"");
         }
     }
 }
 
-fn take_vm(table: &mut VmTable, unreadable: &mut Unreadable, stored: &Stored) {
+fn apply_vm(table: &mut VmTable, unreadable: &mut UnreadableEntries, stored: &Stored) {
     let id = stored.record.key.as_str();
     let Some(value) = stored.record.value() else {
         unreadable.0.remove(id);
@@ -205,7 +205,7 @@
             }
         }
         Err(e) => {
-            unreadable.tell(id, stored.offset, &e.0);
+            unreadable.report(id, stored.offset, &e.0);
             // Tasks that run on the VM continue, but the VM gets no new tasks.
             if let Some(known) = table.get_mut(id) {
                 *known = Arc::new(VmFacts { unreadable: true, ..VmFacts::clone(known) });
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -18,7 +18,7 @@
 use crate::owned::Owned;
 use crate::peers::Peers;
 use crate::pool_log::PoolLog;
-use crate::store_health::StoreStanding;
+use crate::store_health::StoreHealth;
 
 /// The longest lease of a task, in milliseconds: long enough for a pool to change its owner without losing work, and short
 /// enough that the tasks of a disconnected VM soon start elsewhere.
@@ -40,7 +40,7 @@
     /// The secret with which API keys of workspaces are hashed.
     pub secret: KeySecret,
     /// The health of the store as seen by this node.
-    pub standing: StoreStanding,
+    pub standing: StoreHealth,
     /// The HTTP clients of other nodes.
     pub peers: Peers,
     /// The configuration in force.
@@ -84,7 +84,7 @@
             speed: crate::speed::measure(),
             store: Store::new(settings.store),
             secret: KeySecret::new(rand::random()),
-            standing: StoreStanding::default(),
+            standing: StoreHealth::default(),
             peers: Peers::default(),
             ownership: Mutex::new(Ownership::new(me.clone(), steady_ms())),
             settings,
@@ -140,7 +140,7 @@
 
     /// Records when the latest fully applied read of the operator's requests was sent: all requests that the store had by then
     /// are in force.
-    pub fn note_operator_read(&self, sent_at: Option<Ms>) {
+    pub fn record_operator_read(&self, sent_at: Option<Ms>) {
         self.operator_read_at.fetch_max(sent_at.unwrap_or(0), Ordering::Relaxed);
     }
 
--- a/crates/scheduler/src/overview.rs
+++ b/crates/scheduler/src/overview.rs
@@ -167,11 +167,11 @@
     }
 
     async fn read_caps(&mut self, store: &Store) -> Result<(), StoreError> {
-        for lent in read_all::<LentCap>(store, LENT, LENT_PREFIX).await? {
+        for lent in read_cap_records::<LentCap>(store, LENT, LENT_PREFIX).await? {
             let name = lent.workspace.clone();
             self.workspaces.entry(name).or_default().lent = Some(lent);
         }
-        for reported in read_all::<CapUse>(store, USES, USE_PREFIX).await? {
+        for reported in read_cap_records::<CapUse>(store, USES, USE_PREFIX).await? {
             self.workspaces.entry(reported.workspace.clone()).or_default().uses.push(reported);
         }
         Ok(())
@@ -224,7 +224,7 @@
 }
 
 /// Reads the newest record of each key from a partition with records about caps.
-async fn read_all<T: serde::de::DeserializeOwned>(
+async fn read_cap_records<T: serde::de::DeserializeOwned>(
     store: &Store,
     part: u32,
     prefix: &str,
--- a/crates/scheduler/src/query.rs
+++ b/crates/scheduler/src/query.rs
@@ -8,7 +8,7 @@
 
 /// A query from one node to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Question {
+pub enum Query {
     /// Requests the state of a job.
     State {
         /// The pool that may contain the job.
@@ -27,7 +27,7 @@
     },
 }
 
-impl Question {
+impl Query {
     /// Returns the pool that the query is about.
     pub fn pool(&self) -> &str {
         match self {
@@ -38,7 +38,7 @@
 
 /// The reply to a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Told {
+pub enum QueryReply {
     /// The job's state.
     State(JobState),
     /// The pool has no such job, according to all records that the store had when the query arrived.
--- a/crates/scheduler/src/query_peers.rs
+++ b/crates/scheduler/src/query_peers.rs
@@ -13,27 +13,27 @@
 use crate::clock::steady_ms;
 use crate::locks::lock;
 use crate::node::Node;
-use crate::query::{PATH, Question, Told};
+use crate::query::{PATH, Query, QueryReply};
 
 /// How long a node may take to reply: one read of the store, for a job that the node does not know yet, and the network time.
 /// An unresponsive node must leave time to query the next one before callers time out after about 3 s.
 const TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Queries the owner of the pool, and if the owner cannot reply, other nodes that follow the pool's records.
-pub async fn ask(node: &Node, query: &Question) -> Told {
+pub async fn query_peers(node: &Node, query: &Query) -> QueryReply {
     let pool = query.pool();
     let owner = lock(&node.ownership).relay_of_owner(pool);
-    if let Some(reply) = ask_all(node, query, owner.into_iter().collect()).await {
+    if let Some(reply) = query_all(node, query, owner.into_iter().collect()).await {
         return reply;
     }
     let readers = lock(&node.ownership).readers_to_ask(pool, steady_ms());
-    ask_all(node, query, readers).await.unwrap_or(Told::NotRead)
+    query_all(node, query, readers).await.unwrap_or(QueryReply::NotRead)
 }
 
-async fn ask_all(node: &Node, query: &Question, addrs: Vec<SocketAddr>) -> Option<Told> {
+async fn query_all(node: &Node, query: &Query, addrs: Vec<SocketAddr>) -> Option<QueryReply> {
     for addr in addrs {
-        match ask_one(node, query, addr).await {
-            Ok(Told::NotRead) => (),
+        match query_one(node, query, addr).await {
+            Ok(QueryReply::NotRead) => (),
             Ok(reply) => return Some(reply),
             Err(e) => log::info!("ask step=failed pool={} error=\"{e}\"", query.pool()),
         }
@@ -41,7 +41,7 @@
     None
 }
 
-async fn ask_one(node: &Node, query: &Question, addr: SocketAddr) -> Result<Told, String> {
+async fn query_one(node: &Node, query: &Query, addr: SocketAddr) -> Result<QueryReply, String> {
     let body = postcard::to_stdvec(query).map_err(|e| e.to_string())?;
     let call = Call::new(Method::POST, PATH, TIMEOUT).with_bytes(body.into());
     let answer = node.peers.client(addr).call(call).await.map_err(|e| e.to_string())?;
--- a/crates/scheduler/src/readiness.rs
+++ b/crates/scheduler/src/readiness.rs
@@ -44,5 +44,8 @@
 /// jobs, has recent replies from the store, and is not stopping.
 fn is_ready(node: &Node) -> bool {
     let known = node.catalog.borrow().is_some();
-    known && node.standing.in_touch() && !*node.stopping.borrow() && find_job::can_answer(node)
+    known
+        && node.standing.in_touch()
+        && !*node.stopping.borrow()
+        && find_job::has_known_all_owners(node)
 }
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -21,7 +21,7 @@
 use crate::{find_job, forward, query};
 
 /// How often the direct route to the store is probed while calls go through another node.
-const ASK_EVERY: Duration = Duration::from_millis(250);
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Serves other nodes until the future is dropped.
 pub async fn run(node: Arc<Node>, listener: TcpListener) {
@@ -32,7 +32,7 @@
         tokio::spawn(async move {
             let respond = service_fn(|req: Request<Incoming>| {
                 let node = node.clone();
-                async move { Ok::<_, Infallible>(pass_on(&node, req).await) }
+                async move { Ok::<_, Infallible>(handle_request(&node, req).await) }
             });
             // If the connection fails, the other node uses another relay.
             let _ =
@@ -44,9 +44,9 @@
 
 /// A reply whose body is streamed as it arrives. Over a link of 10 Mbit/s, a node that first read a whole megabyte would
 /// begin to reply after 0.8 s, when the requesting node's call has already timed out.
-type Passed = Response<Either<Full<Bytes>, Incoming>>;
+type RelayReply = Response<Either<Full<Bytes>, Incoming>>;
 
-async fn pass_on(node: &Arc<Node>, req: Request<Incoming>) -> Passed {
+async fn handle_request(node: &Arc<Node>, req: Request<Incoming>) -> RelayReply {
     let method = req.method().clone();
     let path = req.uri().path_and_query().map(ToString::to_string).unwrap_or_default();
     let body =
@@ -54,18 +54,18 @@
     let reply = match body {
         Err(e) => {
             log::info!("relay step=not-forwarded path={path} reason=\"{e:?}\"");
-            not_passed_on()
+            not_forwarded()
         }
         Ok(body) if path.starts_with(forward::PATH) => {
             let pool = &path[forward::PATH.len()..];
-            match forward::take(node, pool, &body).await {
+            match forward::append_forwarded(node, pool, &body).await {
                 Some(written) => reply(StatusCode::OK.as_u16(), Either::Left(written.into())),
-                None => not_passed_on(),
+                None => not_forwarded(),
             }
         }
-        Ok(body) if path == query::PATH => match find_job::answer(node, &body).await {
+        Ok(body) if path == query::PATH => match find_job::answer_query(node, &body).await {
             Some(answer) => reply(StatusCode::OK.as_u16(), Either::Left(answer.into())),
-            None => not_passed_on(),
+            None => not_forwarded(),
         },
         Ok(body) => {
             let call = PassedOn { method, path: path.clone(), body };
@@ -76,7 +76,7 @@
                     reply(NOT_ANSWERED, Either::Left(Full::default()))
                 }
                 Ok(Some(answer)) => reply(answer.status, Either::Right(answer.into_body())),
-                Ok(None) | Err(CallError::NotSent(..)) => not_passed_on(),
+                Ok(None) | Err(CallError::NotSent(..)) => not_forwarded(),
                 Err(e @ CallError::Unanswered(..)) => {
                     log::info!("relay step=not-answered path={path} error=\"{e}\"");
                     reply(NOT_ANSWERED, Either::Left(Full::default()))
@@ -88,11 +88,11 @@
     reply
 }
 
-fn not_passed_on() -> Passed {
+fn not_forwarded() -> RelayReply {
     reply(NOT_PASSED_ON, Either::Left(Full::default()))
 }
 
-fn reply(status: u16, body: Either<Full<Bytes>, Incoming>) -> Passed {
+fn reply(status: u16, body: Either<Full<Bytes>, Incoming>) -> RelayReply {
     let mut reply = Response::new(body);
     *reply.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     reply
@@ -100,10 +100,10 @@
 
 /// Probes the direct route to the store while calls go through another node, so that calls soon go directly again.
 /// Logs each change of the route.
-pub async fn watch(node: Arc<Node>) {
+pub async fn watch_route(node: Arc<Node>) {
     let mut previous = None;
     loop {
-        tokio::time::sleep(ASK_EVERY).await;
+        tokio::time::sleep(PROBE_INTERVAL).await;
         let detour = node.store.detour();
         if detour != previous {
             match detour {
--- a/crates/scheduler/src/reply.rs
+++ b/crates/scheduler/src/reply.rs
@@ -37,7 +37,7 @@
 }
 
 /// The request has no valid key of a workspace.
-pub fn no_key() -> Reply {
+pub fn invalid_key() -> Reply {
     error(StatusCode::UNAUTHORIZED, "send a valid key of your workspace in the header Api-Key")
 }
 
@@ -62,25 +62,25 @@
 }
 
 /// The body stalled, and nothing was accepted.
-pub fn too_slow(within: Duration) -> Reply {
+pub fn body_timeout(within: Duration) -> Reply {
     let remedy = format!("send each part of the body within {} ms", within.as_millis());
     error(StatusCode::REQUEST_TIMEOUT, &remedy)
 }
 
 /// The method is not supported.
-pub fn wrong_method() -> Reply {
+pub fn method_not_allowed() -> Reply {
     error(StatusCode::METHOD_NOT_ALLOWED, "use POST, GET or DELETE")
 }
 
 /// Nothing was accepted; the caller may retry.
-pub fn not_taken(why: &str) -> Reply {
+pub fn unavailable(why: &str) -> Reply {
     let mut reply = error(StatusCode::SERVICE_UNAVAILABLE, why);
     reply.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_S));
     reply
 }
 
 /// Whether the request was accepted is unknown; the caller may send it again.
-pub fn unknown() -> Reply {
+pub fn outcome_unknown() -> Reply {
     error(StatusCode::GATEWAY_TIMEOUT, "it may have been taken: send the same ID again")
 }
 
--- a/crates/scheduler/src/run.rs
+++ b/crates/scheduler/src/run.rs
@@ -14,20 +14,20 @@
 use crate::{callers, control, listing, readiness, relay, stats};
 
 /// The bucket bounds of the response time histograms, in seconds.
-const SECONDS: [f64; 9] = [0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 3.0];
+const RESPONSE_TIME_BUCKETS: [f64; 9] = [0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 3.0];
 /// How often the samples of histograms are aggregated.
-const UPKEEP_EVERY: Duration = Duration::from_secs(5);
+const METRICS_MAINTENANCE_INTERVAL: Duration = Duration::from_secs(5);
 /// How long a stopping node still serves new connections, until the balancer has noticed that the node is not ready.
 const STOP_NOTICE: Duration = Duration::from_millis(2_500);
 /// How long requests that are in progress when connections are closed may take.
-const LAST_ANSWERS: Duration = Duration::from_millis(1_500);
+const LAST_REQUESTS_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long writing the last log lines may take.
-const LAST_LINES: Duration = Duration::from_millis(20);
+const LOG_FLUSH_TIME: Duration = Duration::from_millis(20);
 
 /// Runs a node until it receives SIGTERM and has answered the remaining requests.
 pub async fn run(settings: SchedulerSettings) -> Result<(), RunError> {
     let handle = PrometheusBuilder::new()
-        .set_buckets(&SECONDS)
+        .set_buckets(&RESPONSE_TIME_BUCKETS)
         .and_then(PrometheusBuilder::install_recorder)
         .map_err(|e| RunError::Metrics(e.to_string()))?;
     let listener = TcpListener::bind(settings.listen).await?;
@@ -48,7 +48,7 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut reload = signal(SignalKind::hangup())?;
 
-    tokio::spawn(upkeep(handle.clone()));
+    tokio::spawn(maintain_metrics(handle.clone()));
     let for_metrics = node.clone();
     let render = move || stats::render(&for_metrics, &handle);
     tokio::spawn(serve_metrics(node.settings.metrics_listen, render));
@@ -57,7 +57,7 @@
     tokio::spawn(control::run(node.clone()));
     tokio::spawn(readiness::run(node.clone(), readiness_listener));
     tokio::spawn(callers::run(node.clone(), listener));
-    tokio::spawn(relay::watch(node.clone()));
+    tokio::spawn(relay::watch_route(node.clone()));
     if let Some(listener) = relay_listener {
         tokio::spawn(relay::run(node.clone(), listener));
     }
@@ -83,9 +83,9 @@
 }
 
 /// Aggregates the samples of histograms regularly, because they would accumulate between two scrapes.
-async fn upkeep(handle: PrometheusHandle) {
+async fn maintain_metrics(handle: PrometheusHandle) {
     loop {
-        tokio::time::sleep(UPKEEP_EVERY).await;
+        tokio::time::sleep(METRICS_MAINTENANCE_INTERVAL).await;
         handle.run_upkeep();
     }
 }
@@ -98,8 +98,8 @@
     let grace = node.settings.stop_grace.0;
     tokio::time::sleep(STOP_NOTICE.min(grace / 2)).await;
     node.closing.send_replace(true);
-    tokio::time::sleep(LAST_ANSWERS.min(grace / 4)).await;
+    tokio::time::sleep(LAST_REQUESTS_TIMEOUT.min(grace / 4)).await;
     log::info!("node name={} step=stopped took_ms={}", node.me.name, steady_ms() - started_at);
     // Leaves the log writer thread time to write the last lines.
-    tokio::time::sleep(LAST_LINES).await;
+    tokio::time::sleep(LOG_FLUSH_TIME).await;
 }
--- a/crates/scheduler/src/store_health.rs
+++ b/crates/scheduler/src/store_health.rs
@@ -9,17 +9,17 @@
 
 /// How long it takes until VMs whose entries expired in an outage of the store are listed again, in milliseconds: the
 /// specified two seconds, and a margin for reading the list.
-const LISTED_AGAIN_MS: Ms = 2_500;
+const RELISTING_MS: Ms = 2_500;
 
 /// The health of the store as seen by this node.
 #[derive(Debug, Default)]
-pub struct StoreStanding {
+pub struct StoreHealth {
     answered_at: AtomicU64,
     failed_at: AtomicU64,
     lost: AtomicBool,
 }
 
-impl StoreStanding {
+impl StoreHealth {
     /// Records whether the store answered a call.
     pub fn note(&self, answered: bool) {
         if answered {
@@ -52,6 +52,6 @@
     /// Returns whether the list of VMs is complete: the store has answered all calls for at least the time in which VMs are
     /// listed again after an outage.
     pub fn listing_is_sound(&self) -> bool {
-        self.view().sound_for(LISTED_AGAIN_MS, steady_ms())
+        self.view().sound_for(RELISTING_MS, steady_ms())
     }
 }
--- a/crates/scheduler/src/submit.rs
+++ b/crates/scheduler/src/submit.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::oneshot;
 
-use crate::append::{By, Outcome, append};
+use crate::append::{AppendRole, Outcome, append};
 use crate::clock::steady_ms;
 use crate::forward;
 use crate::locks::lock;
@@ -19,12 +19,12 @@
 
 /// How long a submission waits in the queue at most, in milliseconds: while the store is unresponsive, each earlier append
 /// takes a second, and a caller that gets an early reply can still retry.
-const TURN_WITHIN_MS: Ms = 1_000;
+const MAX_QUEUE_WAIT_MS: Ms = 1_000;
 /// The number of concurrent appends, so that an append that waits for the store does not block the next one.
-const APPENDS_AT_ONCE: usize = 4;
+const MAX_APPENDS: usize = 4;
 /// The same for an owner while the store is slow: each append contains all records that have arrived in the meantime, and
 /// the next append starts about halfway through the previous one.
-const SLOW_APPENDS_AT_ONCE: usize = 2;
+const MAX_APPENDS_WHILE_SLOW: usize = 2;
 
 /// A record to write, and the channel for its outcome.
 #[derive(Debug)]
@@ -34,9 +34,9 @@
     /// When the record arrived, by the steady clock.
     pub at: Ms,
     /// Whether another node has forwarded the record; this node then appends it and does not forward it again.
-    pub handed_over: bool,
+    pub forwarded: bool,
     /// Receives the write outcome.
-    pub done: oneshot::Sender<Written>,
+    pub outcome_tx: oneshot::Sender<Written>,
 }
 
 /// Appends submissions in batches until the pool's log is dropped.
@@ -46,7 +46,7 @@
     mut rx: UnboundedReceiver<Submission>,
 ) {
     let mut carried_over: Option<Submission> = None;
-    let turns = Turns::new(APPENDS_AT_ONCE, SLOW_APPENDS_AT_ONCE);
+    let limit = Turns::new(MAX_APPENDS, MAX_APPENDS_WHILE_SLOW);
     loop {
         let first = match carried_over.take() {
             Some(submission) => submission,
@@ -60,11 +60,11 @@
         let slow =
             node.store.is_slow() && lock(&node.ownership).relay_of_owner(&log.pool).is_none();
         let waited = steady_ms().saturating_sub(first.at);
-        let most = Duration::from_millis(TURN_WITHIN_MS.saturating_sub(waited));
-        let Some(turn) = turns.take(slow, most).await else {
-            log::info!("submit step=no-turn pool={} waited_ms={TURN_WITHIN_MS}", log.pool);
+        let timeout = Duration::from_millis(MAX_QUEUE_WAIT_MS.saturating_sub(waited));
+        let Some(permit) = limit.take(slow, timeout).await else {
+            log::info!("submit step=no-turn pool={} waited_ms={MAX_QUEUE_WAIT_MS}", log.pool);
             // The record was never sent. The receiver is gone if the caller has disconnected.
-            let _ = first.done.send(Written::NotKept);
+            let _ = first.outcome_tx.send(Written::NotKept);
             continue;
         };
         let mut size = first.record.framed_len();
@@ -80,28 +80,28 @@
         let (node, log) = (node.clone(), log.clone());
         tokio::spawn(async move {
             write(&node, &log, batch).await;
-            drop(turn);
+            drop(permit);
         });
     }
 }
 
 async fn write(node: &Arc<Node>, log: &Arc<PoolLog>, batch: Vec<Submission>) {
-    let handed_over = batch.iter().any(|s| s.handed_over);
+    let forwarded = batch.iter().any(|s| s.forwarded);
     let (records, waiting): (Vec<KeyedRecord>, Vec<_>) =
-        batch.into_iter().map(|s| (s.record, (s.at, s.done))).unzip();
+        batch.into_iter().map(|s| (s.record, (s.at, s.outcome_tx))).unzip();
     let oldest = waiting.iter().map(|(at, _)| *at).min().unwrap_or_default();
-    let outcomes = match handed_over {
+    let outcomes = match forwarded {
         true => append_all(node, log, &records, oldest).await,
-        false => write_own(node, log, &records, oldest).await,
+        false => write_local(node, log, &records, oldest).await,
     };
-    for ((_, done), outcome) in waiting.into_iter().zip(outcomes) {
+    for ((_, outcome_tx), outcome) in waiting.into_iter().zip(outcomes) {
         // The receiver is gone if the caller has disconnected.
-        let _ = done.send(outcome);
+        let _ = outcome_tx.send(outcome);
     }
 }
 
 /// Appends the records of this node's callers, or forwards them to the pool's owner while the store is slow.
-async fn write_own(
+async fn write_local(
     node: &Arc<Node>,
     log: &Arc<PoolLog>,
     records: &[KeyedRecord],
@@ -112,9 +112,9 @@
     }
     let mut may_be_written = false;
     if !node.store.is_slow() {
-        match append(node, log, records, oldest, By::Other).await {
+        match append(node, log, records, oldest, AppendRole::Other).await {
             Outcome::Known(outcome) => return vec![outcome; records.len()],
-            Outcome::OwnersTurn { may_be_written: maybe } => may_be_written = maybe,
+            Outcome::ForwardToOwner { may_be_written: maybe } => may_be_written = maybe,
         }
     }
     let outcomes = match forward::to_owner(node, log, records).await {
@@ -124,7 +124,7 @@
     if !may_be_written {
         return outcomes;
     }
-    outcomes.into_iter().map(Written::though_it_may_be_there).collect()
+    outcomes.into_iter().map(Written::after_uncertain_append).collect()
 }
 
 async fn append_all(
@@ -133,11 +133,11 @@
     records: &[KeyedRecord],
     oldest: Ms,
 ) -> Vec<Written> {
-    let outcome = match append(node, log, records, oldest, By::Owner).await {
+    let outcome = match append(node, log, records, oldest, AppendRole::Owner).await {
         Outcome::Known(outcome) => outcome,
         // Unreachable for an owner, which never forwards to another node.
-        Outcome::OwnersTurn { may_be_written: true } => Written::Unknown,
-        Outcome::OwnersTurn { may_be_written: false } => Written::NotKept,
+        Outcome::ForwardToOwner { may_be_written: true } => Written::Unknown,
+        Outcome::ForwardToOwner { may_be_written: false } => Written::NotKept,
     };
     vec![outcome; records.len()]
 }
--- a/crates/scheduler/src/turns.rs
+++ b/crates/scheduler/src/turns.rs
@@ -15,7 +15,7 @@
 
 /// A permit, which is released when it is dropped.
 #[derive(Debug)]
-pub struct Turn(#[expect(dead_code, reason = "held until it is dropped")] OwnedSemaphorePermit);
+pub struct Permit(#[expect(dead_code, reason = "held until it is dropped")] OwnedSemaphorePermit);
 
 impl Turns {
     /// Creates a limit of `usual` concurrent operations, and of `slow` operations while the store is slow.
@@ -23,10 +23,10 @@
         Self { usual: Arc::new(Semaphore::new(usual)), slow: Arc::new(Semaphore::new(slow)) }
     }
 
-    /// Waits for a permit; returns `None` if that takes longer than `most`.
-    pub async fn take(&self, slow: bool, most: Duration) -> Option<Turn> {
-        let turns = if slow { &self.slow } else { &self.usual };
-        let turn = tokio::time::timeout(most, turns.clone().acquire_owned()).await;
-        turn.ok()?.ok().map(Turn)
+    /// Waits for a permit; returns `None` if that takes longer than `timeout`.
+    pub async fn take(&self, slow: bool, timeout: Duration) -> Option<Permit> {
+        let semaphore = if slow { &self.slow } else { &self.usual };
+        let permit = tokio::time::timeout(timeout, semaphore.clone().acquire_owned()).await;
+        permit.ok()?.ok().map(Permit)
     }
 }
--- a/crates/scheduler/src/written.rs
+++ b/crates/scheduler/src/written.rs
@@ -16,7 +16,7 @@
 impl Written {
     /// Returns the outcome of records that an earlier append may already have written.
     #[must_use]
-    pub const fn though_it_may_be_there(self) -> Self {
+    pub const fn after_uncertain_append(self) -> Self {
         match self {
             Self::NotKept => Self::Unknown,
             other => other,
