--- a/crates/scheduler/src/callers.rs
+++ b/crates/scheduler/src/callers.rs
@@ -247,10 +247,10 @@
 }
 
 async fn write(log: &PoolLog, record: KeyedRecord) -> Written {
-    let (outcome_tx, outcome) = oneshot::channel();
+    let (outcome_tx, outcome_rx) = oneshot::channel();
     log.submit(Submission { record, at: steady_ms(), forwarded: false, outcome_tx });
     // Without an outcome, the append may still be in progress.
-    outcome.await.unwrap_or(Written::Unknown)
+    outcome_rx.await.unwrap_or(Written::Unknown)
 }
 
 async fn cancel(node: &Arc<Node>, call: &Call<'_>, id: JobId) -> Reply {
--- a/crates/scheduler/src/follow.rs
+++ b/crates/scheduler/src/follow.rs
@@ -119,11 +119,11 @@
     let mut failures = ReadFailures::default();
     loop {
         match tail.read(&node.store, wait).await {
-            Ok(records) => {
+            Ok(update) => {
                 node.standing.note(true);
                 failures.end(&tail.topic, tail.part);
-                wait = if records.is_empty() { WAIT } else { WAIT_AFTER_RECORDS };
-                apply(records, &tail);
+                wait = if update.is_empty() { WAIT } else { WAIT_AFTER_RECORDS };
+                apply(update, &tail);
                 pause_before_next_read(node, pace).await;
             }
             Err(e) => {
@@ -150,7 +150,7 @@
         node.owning.wait_for(true).await;
         let tail = Tail::new(topic, part);
         tokio::select! {
-            () = follow(node, tail, pace, |records, _| apply(records)) => (),
+            () = follow(node, tail, pace, |update, _| apply(update)) => (),
             () = node.owning.wait_for(false) => (),
         }
         forget();
--- a/crates/scheduler/src/forward.rs
+++ b/crates/scheduler/src/forward.rs
@@ -74,14 +74,14 @@
     };
     let mut waiting = Vec::with_capacity(records.len());
     for (key, value) in records {
-        let (outcome_tx, outcome) = oneshot::channel();
+        let (outcome_tx, outcome_rx) = oneshot::channel();
         let record = KeyedRecord::new(key, value);
         log.submit(Submission { record, at: steady_ms(), forwarded: true, outcome_tx });
-        waiting.push(outcome);
+        waiting.push(outcome_rx);
     }
     let mut outcomes = Vec::with_capacity(waiting.len());
-    for outcome in waiting {
-        outcomes.push(outcome.await.unwrap_or(Written::Unknown));
+    for outcome_rx in waiting {
+        outcomes.push(outcome_rx.await.unwrap_or(Written::Unknown));
     }
     Some(encode_outcomes(&outcomes))
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -2,7 +2,7 @@
 //! the pools that this node owns, and maintains VMs.
 //!
 //! Nodes coordinate only through the store. They call each other directly only to forward store calls
-//! for a node that the store turns away, to forward submissions to a pool's owner, and to query the
+//! for a node that cannot reach the store, to forward submissions to a pool's owner, and to query the
 //! jobs of a pool whose records they do not follow. Lock order: a pool log's cursors, then its jobs,
 //! then the node's tables; no lock but a cursor's is held across an await.
 
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -15,8 +15,8 @@
 /// Follows the operator's configuration, maintenance waves and hall evacuations.
 pub async fn follow_config(node: Arc<Node>) {
     let cx = node.clone();
-    follow(&node, Tail::new(config::TOPIC, 0), Pace::AtOnce, move |news, tail| {
-        let (records, asked_at) = match news {
+    follow(&node, Tail::new(config::TOPIC, 0), Pace::AtOnce, move |update, tail| {
+        let (records, asked_at) = match update {
             News::Reloaded(records) => {
                 end_withdrawn_evacuations(&cx, &records);
                 (records, None)
@@ -146,8 +146,8 @@
 /// Follows the list of VM incarnations in the store.
 pub async fn follow_vms(node: Arc<Node>) {
     let mut unreadable = UnreadableEntries::default();
-    let apply = |news| {
-        let (mut table, records) = match news {
+    let apply = |update| {
+        let (mut table, records) = match update {
             News::Reloaded(records) => (VmTable::new(), records),
             News::Records(records) if records.is_empty() => return,
             News::Records(records) => (VmTable::clone(&node.vms.borrow()), records),
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -1,5 +1,5 @@
-//! The HTTP server for other nodes: forwards store calls for nodes that the store turns away, accepts forwarded submissions
-//! and answers queries. Also watches whether the store turns this node away.
+//! The HTTP server for other nodes: forwards store calls for nodes that cannot reach the store directly, accepts forwarded
+//! submissions and answers queries. Also watches whether this node reaches the store directly.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -64,7 +64,7 @@
             }
         }
         Ok(body) if path == query::PATH => match find_job::answer_query(node, &body).await {
-            Some(answer) => reply(StatusCode::OK.as_u16(), Either::Left(answer.into())),
+            Some(encoded) => reply(StatusCode::OK.as_u16(), Either::Left(encoded.into())),
             None => not_forwarded(),
         },
         Ok(body) => {
--- a/crates/scheduler/src/submit.rs
+++ b/crates/scheduler/src/submit.rs
@@ -60,8 +60,8 @@
         let slow =
             node.store.is_slow() && lock(&node.ownership).relay_of_owner(&log.pool).is_none();
         let waited = steady_ms().saturating_sub(first.at);
-        let timeout = Duration::from_millis(MAX_QUEUE_WAIT_MS.saturating_sub(waited));
-        let Some(permit) = limit.take(slow, timeout).await else {
+        let max_wait = Duration::from_millis(MAX_QUEUE_WAIT_MS.saturating_sub(waited));
+        let Some(permit) = limit.take(slow, max_wait).await else {
             log::info!("submit step=no-turn pool={} waited_ms={MAX_QUEUE_WAIT_MS}", log.pool);
             // The record was never sent. The receiver is gone if the caller has disconnected.
             let _ = first.outcome_tx.send(Written::NotKept);
--- a/crates/scheduler/src/turns.rs
+++ b/crates/scheduler/src/turns.rs
@@ -23,10 +23,10 @@
         Self { usual: Arc::new(Semaphore::new(usual)), slow: Arc::new(Semaphore::new(slow)) }
     }
 
-    /// Waits for a permit; returns `None` if that takes longer than `timeout`.
-    pub async fn take(&self, slow: bool, timeout: Duration) -> Option<Permit> {
+    /// Waits for a permit; returns `None` if that takes longer than `max_wait`.
+    pub async fn take(&self, slow: bool, max_wait: Duration) -> Option<Permit> {
         let semaphore = if slow { &self.slow } else { &self.usual };
-        let permit = tokio::time::timeout(timeout, semaphore.clone().acquire_owned()).await;
+        let permit = tokio::time::timeout(max_wait, semaphore.clone().acquire_owned()).await;
         permit.ok()?.ok().map(Permit)
     }
 }
