--- a/crates/scheduler/src/callers.rs
+++ b/crates/scheduler/src/callers.rs
@@ -1,4 +1,4 @@
-//! The HTTP server for callers: submit a job, ask its state, cancel it, count a queue.
+//! The HTTP server for callers: submit a job, get its state, cancel it, count the pending jobs of a queue.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 
 use crate::access::caller_of;
 use crate::clock::steady_ms;
-use crate::look_up::{self, Found, find, look_up};
+use crate::find_job::{self, SearchResult, find_log, search_pools};
 use crate::node::Node;
 use crate::pool_log::PoolLog;
 use crate::reply::{self, Reply};
@@ -29,9 +29,9 @@
 use crate::submit::Submission;
 use crate::written::Written;
 
-/// Largest headers before a configuration says otherwise, in bytes.
+/// The largest size of request headers until a configuration is known, in bytes.
 const HEADER_BYTES: usize = 16 * 1024;
-/// The least buffer that the HTTP library takes.
+/// The smallest buffer size that the HTTP library accepts, in bytes.
 const MIN_BUFFER: usize = 8 * 1024;
 
 /// Serves callers until the task is dropped.
@@ -43,7 +43,7 @@
 }
 
 async fn serve(node: Arc<Node>, stream: TcpStream) {
-    // Small answers go out at once; a connection on which this fails still works.
+    // Sends small replies without delay; the connection still works if this fails.
     let _ = stream.set_nodelay(true);
     let limits = node.catalog.borrow().as_ref().map(|c| c.limits);
     let header_bytes = limits.map_or(HEADER_BYTES, |l| l.header_bytes);
@@ -53,27 +53,27 @@
         async move { Ok::<_, Infallible>(respond(&node, req).await) }
     });
     let mut closing = node.closing.subscribe();
-    // Told to shut down, the library closes a connection on which it has read nothing. A caller that comes
-    // late gets an answer on it all the same, and then it is closed.
-    let comes_late = *closing.borrow_and_update();
+    // On a graceful shutdown the library closes a connection from which it has read nothing. A caller that connects
+    // while the node is closing connections still gets one reply; then its connection is closed.
+    let is_closing = *closing.borrow_and_update();
     let conn = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(idle)
         .max_buf_size(header_bytes.max(MIN_BUFFER))
-        .keep_alive(!comes_late)
+        .keep_alive(!is_closing)
         .serve_connection(TokioIo::new(stream), respond);
     tokio::pin!(conn);
-    if comes_late {
-        // A caller that goes away is no fault.
+    if is_closing {
+        // A disconnect by the caller is not an error.
         let _ = conn.await;
         return;
     }
-    // A caller that goes away is no fault.
+    // A disconnect by the caller is not an error.
     tokio::select! {
         _ = &mut conn => return,
         _ = closing.wait_for(|&close| close) => (),
     }
-    // The request under way is answered; then the connection is closed.
+    // The request in progress is answered before the connection is closed.
     conn.as_mut().graceful_shutdown();
     let _ = conn.await;
 }
@@ -81,16 +81,16 @@
 async fn respond(node: &Arc<Node>, req: Request<Incoming>) -> Reply {
     let mut reply = answer(node, req).await;
     if *node.stopping.borrow() {
-        // The caller's next request goes to another node.
+        // The caller's next request opens a new connection, which the balancer sends to another node.
         reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     reply
 }
 
 async fn answer(node: &Arc<Node>, req: Request<Incoming>) -> Reply {
-    let began = steady_ms();
+    let started_at = steady_ms();
     let Some(catalog) = node.catalog.borrow().clone() else {
-        return reply::not_taken("this node has no configuration yet: ask another, or come back");
+        return reply::unavailable("this node has no configuration yet: ask another, or come back");
     };
     let host = host(&req);
     let path = req.uri().path().to_owned();
@@ -105,7 +105,7 @@
                 "request step=denied queue={queue} path={path} reason={denied:?} version={version}"
             );
             counter!("thistle_denied", "reason" => format!("{denied:?}")).increment(1);
-            reply::no_key()
+            reply::invalid_key()
         }
         Ok(caller) => {
             let call = Call { catalog: &catalog, queue, caller };
@@ -115,13 +115,13 @@
                     Ok(id) => for_job(node, &call, id, req).await,
                     Err(e) => reply::bad_request(&e.to_string()),
                 },
-                _ => reply::wrong_method(),
+                _ => reply::method_not_allowed(),
             }
         }
     };
     let status = reply.status().as_u16().to_string();
     counter!("thistle_requests", "status" => status).increment(1);
-    histogram!("thistle_request_seconds").record(seconds(steady_ms().saturating_sub(began)));
+    histogram!("thistle_request_seconds").record(seconds(steady_ms().saturating_sub(started_at)));
     reply
 }
 
@@ -133,13 +133,13 @@
 fn host(req: &Request<Incoming>) -> String {
     let header = req.headers().get(HOST).and_then(|h| h.to_str().ok());
     let host = header.or_else(|| req.uri().host()).unwrap_or_default();
-    // A port after the name does not count.
+    // The port, if any, is ignored.
     host.split(':').next().unwrap_or_default().to_owned()
 }
 
-/// A call that was let in.
+/// An authenticated request.
 struct Call<'a> {
-    /// The configuration that it was judged by.
+    /// The configuration against which the request was authenticated.
     catalog: &'a Catalog,
     queue: &'a Queue,
     caller: Caller,
@@ -166,7 +166,7 @@
                 "accept id={id} queue={} step=body-stopped within_ms={within_ms}",
                 queue.name
             );
-            return reply::too_slow(within);
+            return reply::body_timeout(within);
         }
         Err(BodyError::Broken(e)) => {
             return reply::bad_request(&format!("the body cannot be read: {e}"));
@@ -179,7 +179,9 @@
     if let Err(e) = spec.check() {
         return reply::bad_request(&e.to_string());
     }
-    if let Some(step) = caller.workspace.as_deref().and_then(|w| too_wide(catalog, w, &spec)) {
+    if let Some(step) =
+        caller.workspace.as_deref().and_then(|w| oversized_gang_step(catalog, w, &spec))
+    {
         log::info!("accept id={id} queue={} step=wider-than-cap number={step}", queue.name);
         return reply::bad_request(&format!(
             "step {step} is a gang that your workspace's cap can never hold"
@@ -191,14 +193,14 @@
     spec.accepted_ms = wall_ms();
     spec.workspace = caller.workspace.clone().unwrap_or_default();
     spec.admitted_by = catalog.version;
-    // A copy of a job that is kept is not kept twice.
-    if let Some(log) = find(node, id) {
+    // A job that is already stored is not stored again.
+    if let Some(log) = find_log(node, id) {
         let theirs =
             log.jobs().get(id).and_then(|e| e.spec.clone()).is_none_or(|s| caller.may_see(&s));
-        log::info!("accept id={id} queue={} step=copy theirs={theirs}", queue.name);
+        log::info!("accept id={id} queue={} step=duplicate theirs={theirs}", queue.name);
         return if theirs { reply::accepted() } else { reply::id_taken() };
     }
-    let began = steady_ms();
+    let started_at = steady_ms();
     let record = KeyedRecord::new(submit_key(id), encode_spec(&spec));
     let written = if node.standing.view().takes_submissions(steady_ms()) {
         write(&node.pool_log(&queue.pool), record).await
@@ -219,49 +221,49 @@
         spec.steps.iter().any(|s| s.tail_target_ms > 0),
         spec.steps.iter().any(|s| s.gang),
         spec.times(),
-        steady_ms().saturating_sub(began),
+        steady_ms().saturating_sub(started_at),
     );
     let workspace = catalog.workspaces.metric_name(&spec.workspace).to_owned();
     let outcome = format!("{written:?}");
     counter!("thistle_submissions", "workspace" => workspace, "outcome" => outcome).increment(1);
-    answer_written(written)
+    reply_to_outcome(written)
 }
 
-/// Returns the step, if any, whose tasks work only together and ask for more than their workspace may ever run.
-fn too_wide(catalog: &Catalog, workspace: &str, spec: &JobSpec) -> Option<usize> {
+/// Returns the index of the first gang step that demands more than its workspace's cap allows.
+fn oversized_gang_step(catalog: &Catalog, workspace: &str, spec: &JobSpec) -> Option<usize> {
     let cap = catalog.workspaces.get(workspace)?.cap;
     let never_fits = |step: &Step| step.gang && !within(step.demand.times(step.count), cap, cap);
     spec.steps.iter().position(never_fits)
 }
 
-fn answer_written(written: Written) -> Reply {
+fn reply_to_outcome(written: Written) -> Reply {
     match written {
         Written::Kept => reply::accepted(),
-        Written::NotKept => {
-            reply::not_taken("the store cannot be reached from here; nothing was taken: come back")
-        }
-        Written::Unknown => reply::unknown(),
+        Written::NotKept => reply::unavailable(
+            "the store cannot be reached from here; nothing was taken: come back",
+        ),
+        Written::Unknown => reply::outcome_unknown(),
     }
 }
 
 async fn write(log: &PoolLog, record: KeyedRecord) -> Written {
-    let (done, told) = oneshot::channel();
-    log.submit(Submission { record, at: steady_ms(), handed_over: false, done });
-    // Without an answer the append may be under way.
-    told.await.unwrap_or(Written::Unknown)
+    let (outcome_tx, outcome_rx) = oneshot::channel();
+    log.submit(Submission { record, at: steady_ms(), forwarded: false, outcome_tx });
+    // Without an outcome, the append may still be in progress.
+    outcome_rx.await.unwrap_or(Written::Unknown)
 }
 
 async fn cancel(node: &Arc<Node>, call: &Call<'_>, id: JobId) -> Reply {
     let Call { queue, caller, .. } = call;
-    let found = look_up(node, queue, id, caller).await;
-    // An unknown job is cancelled too: its submission may still be on the way to the store.
+    let found = search_pools(node, queue, id, caller).await;
+    // An unknown job is cancelled too: its submission may still be on its way to the store.
     let (pool, state) = match &found {
-        Found::Here(pool, state) => (pool, Some(*state)),
-        Found::NotTheirs(_) => {
+        SearchResult::InPool(pool, state) => (pool, Some(*state)),
+        SearchResult::NotTheirs(_) => {
             log::info!("cancel id={id} queue={} step=not-theirs", queue.name);
             return reply::no_such_job();
         }
-        Found::Nowhere | Found::NotRead => (&queue.pool, None),
+        SearchResult::NotFound | SearchResult::NotRead => (&queue.pool, None),
     };
     let written = match state.is_some_and(JobState::is_final) {
         true => Written::Kept,
@@ -272,36 +274,36 @@
     };
     log::info!("cancel id={id} queue={} state={state:?} written={written:?}", queue.name);
     match (written, found) {
-        (Written::Kept, Found::Nowhere) => reply::no_such_job(),
-        (written, _) => answer_written(written),
+        (Written::Kept, SearchResult::NotFound) => reply::no_such_job(),
+        (written, _) => reply_to_outcome(written),
     }
 }
 
 async fn state(node: &Arc<Node>, call: &Call<'_>, id: JobId) -> Reply {
     let queue = call.queue;
-    match look_up(node, queue, id, &call.caller).await {
-        Found::Here(_, state) => reply::state(state),
-        Found::NotTheirs(pool) => {
+    match search_pools(node, queue, id, &call.caller).await {
+        SearchResult::InPool(_, state) => reply::state(state),
+        SearchResult::NotTheirs(pool) => {
             log::info!("state id={id} queue={} step=not-theirs pool={pool}", queue.name);
             reply::no_such_job()
         }
-        Found::Nowhere => {
+        SearchResult::NotFound => {
             log::info!("state id={id} queue={} step=unknown", queue.name);
             reply::no_such_job()
         }
-        Found::NotRead => {
+        SearchResult::NotRead => {
             log::info!("state id={id} queue={} step=not-read", queue.name);
-            reply::not_taken("the job's records cannot be read from here: come back")
+            reply::unavailable("the job's records cannot be read from here: come back")
         }
     }
 }
 
 async fn pending(node: &Arc<Node>, queue: &Queue) -> Reply {
-    match look_up::pending(node, queue).await {
+    match find_job::pending(node, queue).await {
         Some(count) => reply::pending(count),
         None => {
             log::info!("pending queue={} step=not-read", queue.name);
-            reply::not_taken("the queue's records cannot be read from here: come back")
+            reply::unavailable("the queue's records cannot be read from here: come back")
         }
     }
 }
--- a/crates/scheduler/src/control/mod.rs
+++ b/crates/scheduler/src/control/mod.rs
@@ -1,8 +1,8 @@
-//! Being a member, owning pools: heartbeats, claims, and starting and stopping owners.
+//! Membership and ownership: heartbeats, claims, and starting and stopping the owners on this node.
 
-mod beat;
 mod claims_end;
-mod lanes;
+mod heartbeat;
+mod overflow;
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -22,65 +22,68 @@
 use crate::{caps, fleet_owner, owner};
 
 pub use claims_end::ClaimsEnd;
-use lanes::LANES_PREFIX;
-pub use lanes::announce;
+use overflow::OVERFLOW_PREFIX;
+pub use overflow::announce_overflow;
 
 /// The topic of claims and heartbeats.
 pub const TOPIC: &str = "control";
-/// Its partition of claims.
+/// The partition of claims.
 pub const CLAIMS: u32 = 0;
-/// What the keys of claims start with.
+/// The prefix of the keys of claims.
 pub const OWNER_PREFIX: &str = "owner/";
-/// How often a node looks for pools without an owner.
+/// How often a node checks for pools without an owner.
 const CLAIM_EVERY: Duration = Duration::from_millis(100);
 
-/// Owners that run on this node, by pool, with their tokens.
+/// The owners that run on this node, by pool, with their tokens.
 type Running = HashMap<Arc<str>, (u64, AbortHandle)>;
 
-/// Takes part in ownership until the task is dropped.
+/// Sends heartbeats, and follows and makes claims, until the task is dropped.
 pub async fn run(node: Arc<Node>) {
     let follow_claims = follow_claims(node.clone());
     let follow_fleet = fleet_owner::follow_record(node.clone());
-    let claim = claim(node.clone());
+    let claim = run_claims(node.clone());
     let follow_lent = caps::follow_lent(node.clone());
-    tokio::join!(follow_claims, follow_fleet, follow_lent, beat::run(node.clone()), claim);
+    tokio::join!(follow_claims, follow_fleet, follow_lent, heartbeat::run(node.clone()), claim);
 }
 
 async fn follow_claims(node: Arc<Node>) {
     let cx = node.clone();
-    follow(&node, Tail::new(TOPIC, CLAIMS), Pace::AtOnce, move |news, tail| {
-        let records = match news {
+    follow(&node, Tail::new(TOPIC, CLAIMS), Pace::AtOnce, move |update, tail| {
+        let records = match update {
             News::Reloaded(records) => {
-                // At once: whoever claims a pool in between must not miss what is told of it.
-                lock(&cx.ownership).replace_further_lanes(lanes_of(&records));
+                // Replace all at once, so that a claim made in between misses no announcement.
+                lock(&cx.ownership).replace_further_lanes(pools_with_overflow(&records));
                 records
             }
             News::Records(records) => records,
         };
         for stored in records {
-            match stored.record.key.strip_prefix(LANES_PREFIX) {
+            match stored.record.key.strip_prefix(OVERFLOW_PREFIX) {
                 Some(pool) => {
                     let open = stored.record.value().is_some();
                     lock(&cx.ownership).set_further_lanes(&pool.into(), open);
                 }
-                None => take_claim(&cx, &stored),
+                None => apply_claim(&cx, &stored),
             }
         }
         if let Some(next) = tail.next_offset() {
-            cx.claims_end.reached(next);
+            cx.claims_end.advance_to(next);
         }
         cx.ownership_changed.notify_one();
     })
     .await;
 }
 
-/// Returns the pools of which records tell that their progress may stand in further partitions.
-fn lanes_of(records: &[Stored]) -> HashSet<Arc<str>> {
-    let told = records.iter().filter(|stored| stored.record.value().is_some());
-    told.filter_map(|stored| stored.record.key.strip_prefix(LANES_PREFIX)).map(Arc::from).collect()
+/// Returns the pools whose records announce that their progress may be in overflow partitions.
+fn pools_with_overflow(records: &[Stored]) -> HashSet<Arc<str>> {
+    let open_records = records.iter().filter(|stored| stored.record.value().is_some());
+    open_records
+        .filter_map(|stored| stored.record.key.strip_prefix(OVERFLOW_PREFIX))
+        .map(Arc::from)
+        .collect()
 }
 
-fn take_claim(node: &Node, stored: &Stored) {
+fn apply_claim(node: &Node, stored: &Stored) {
     let Some(pool) = stored.record.key.strip_prefix(OWNER_PREFIX) else { return };
     let Some(value) = stored.record.value() else { return };
     match serde_json::from_slice::<Claim>(value) {
@@ -103,8 +106,8 @@
     serde_json::to_vec(value).unwrap_or_default()
 }
 
-/// Claims pools without an owner, and keeps the owners on this node in step with the claims.
-async fn claim(node: Arc<Node>) {
+/// Claims pools without an owner, and starts and stops the owners on this node as the claims require.
+async fn run_claims(node: Arc<Node>) {
     let mut running = Running::new();
     let mut stopping = node.stopping.subscribe();
     loop {
@@ -113,16 +116,16 @@
             () = node.ownership_changed.notified() => (),
             _ = stopping.wait_for(|&stop| stop) => break,
         }
-        for pool in wanted(&node) {
+        for pool in pools_to_claim(&node) {
             claim_pool(&node, &pool).await;
         }
-        start_and_stop(&node, &mut running);
+        reconcile_owners(&node, &mut running);
     }
     release_all(&node, running).await;
     std::future::pending::<()>().await;
 }
 
-fn wanted(node: &Node) -> Vec<Arc<str>> {
+fn pools_to_claim(node: &Node) -> Vec<Arc<str>> {
     let logs = node.pool_logs();
     if !node.standing.in_touch() {
         return Vec::new();
@@ -142,35 +145,36 @@
     let record = KeyedRecord::new(format!("{OWNER_PREFIX}{pool}"), to_json(&claim));
     match node.store.append(TOPIC, CLAIMS, Guard::EndsAt(end), &[record]).await {
         Ok(Appended::Done { offset, end }) => {
-            node.claims_end.reached(end);
+            node.claims_end.advance_to(end);
             node.renew_lease(sent_at);
             lock(&node.ownership).claimed(pool, claim, offset, steady_ms());
         }
-        // Another node was first, or the tail will tell.
+        // Another node claimed the pool first, or the claim will be read when the partition is followed.
         Ok(other) => log::debug!("owner pool={pool} step=not-claimed answer={other:?}"),
         Err(e) => log::debug!("owner pool={pool} step=claim-failed error=\"{e}\""),
     }
 }
 
-fn start_and_stop(node: &Arc<Node>, running: &mut Running) {
+fn reconcile_owners(node: &Arc<Node>, running: &mut Running) {
     for log in node.pool_logs() {
-        keep_in_step(node, running, &log.pool.clone(), Some(&log));
+        reconcile_owner(node, running, &log.pool.clone(), Some(&log));
     }
-    keep_in_step(node, running, &FLEET.into(), None);
-    keep_in_step(node, running, &CAPS.into(), None);
+    reconcile_owner(node, running, &FLEET.into(), None);
+    reconcile_owner(node, running, &CAPS.into(), None);
     let owning = !running.is_empty();
     node.owning.set(owning);
 }
 
-/// Starts or ends the owner of a pool, or of what is no pool if there is no log.
-fn keep_in_step(
+/// Starts or stops the owner of a pool, or of the fleet or the caps, which have no log.
+fn reconcile_owner(
     node: &Arc<Node>,
     running: &mut Running,
     shard: &Arc<str>,
     log: Option<&Arc<PoolLog>>,
 ) {
     if let Some((token, _)) = running.get(shard).filter(|(_, task)| task.is_finished()) {
-        // Begun again under its token, it would number its records anew, and orders of before would not be barred.
+        // Restarted under the same token, the owner would number its records from the start again, and earlier orders
+        // would not be fenced.
         lock(&node.ownership).owner_ended(shard, *token, steady_ms());
     }
     let token = lock(&node.ownership).my_token(shard);
@@ -193,7 +197,7 @@
     running.insert(shard.clone(), (token, task.abort_handle()));
 }
 
-/// Ends all owners and gives their pools up, so that others take them at once.
+/// Stops all owners and releases their pools, so that other nodes can claim them immediately.
 async fn release_all(node: &Arc<Node>, running: Running) {
     node.end_lease();
     let mut records = Vec::new();
@@ -208,15 +212,15 @@
     }
     let fleet = format!("{OWNER_PREFIX}{FLEET}");
     let (fleet, pools): (Vec<_>, Vec<_>) = records.into_iter().partition(|r| r.key == fleet);
-    // Orders to the machine service that are under way are answered by then.
-    let give_up_fleet = async {
-        tokio::time::sleep(LAST_ORDERS).await;
+    // Orders to the machine service that are in flight are answered by then.
+    let release_fleet = async {
+        tokio::time::sleep(LAST_ORDERS_WAIT).await;
         release(node, &fleet).await;
     };
-    tokio::join!(release(node, &pools), give_up_fleet);
+    tokio::join!(release(node, &pools), release_fleet);
 }
 
-/// Tells that this node owns some things no more.
+/// Writes records that release what this node owns.
 async fn release(node: &Node, records: &[KeyedRecord]) {
     if records.is_empty() {
         return;
@@ -230,8 +234,8 @@
     }
 }
 
-/// How long orders that are under way when an owner ends are waited for: the machine service
-/// answers within some 20 ms.
-const LAST_ORDERS: Duration = Duration::from_millis(150);
-/// How often giving pools up is tried; others take them after the lease anyway.
+/// How long to wait for orders that are in flight when the owner of the fleet stops: the machine service answers
+/// within about 20 ms.
+const LAST_ORDERS_WAIT: Duration = Duration::from_millis(150);
+/// How often the release of pools is tried; other nodes claim them after the lease ends anyway.
 const RELEASE_TRIES: u32 = 10;
--- a/crates/scheduler/src/owner/link/mod.rs
+++ b/crates/scheduler/src/owner/link/mod.rs
@@ -1,4 +1,4 @@
-//! The link to one life of a VM: renewing its lease, hearing what ends, giving orders.
+//! The link to one incarnation of a VM: renews its lease, receives the ends of its runs and sends orders.
 
 mod hold;
 mod orders;
@@ -15,29 +15,28 @@
 use tokio::task::AbortHandle;
 
 use super::Event;
-use super::losses::{LossNumber, Losses, NewestLoss};
+use super::losses::{LossCounter, LossNumber, NewestLoss};
 use super::tokens::LinkToken;
 use crate::clock::steady_ms;
 use crate::node::Node;
 use orders::PendingStarts;
 
-/// Pause before a VM that does not answer is asked again.
-const RETRY: Duration = Duration::from_millis(200);
+/// Pause before a VM that does not answer is called again.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Pause while this node may not act as owner.
-const NO_LEASE: Duration = Duration::from_millis(50);
-/// How long a call waits for an end where none is expected. Longer costs fewer calls; the lease is
-/// renewed at each.
-const WAIT: Duration = Duration::from_millis(1_500);
-/// How long a call waits where tasks run that end by themselves. A call that is left unanswered
-/// makes the owner deaf to their ends for so long: at 1.5 s, ends of tasks of a second were heard
-/// up to 2.1 s late; on three days on which VMs leave calls unanswered, 0.53 in place of 0.49 was
-/// earned of what is owed, less costs (means of four plays).
-const WAIT_FOR_ENDS: Duration = Duration::from_millis(500);
-/// How long a call waits where serving and filling tasks run side by side, whose figures are of the
-/// last half second.
-const WAIT_CLOSELY: Duration = Duration::from_millis(400);
-/// Orders of one kind to one VM that are under way at once.
-const ORDERS_AT_ONCE: usize = 2;
+const NO_LEASE_PAUSE: Duration = Duration::from_millis(50);
+/// How long a call waits for the end of a run where none is expected. A longer wait needs fewer calls; each call
+/// renews the lease.
+const LEASE_WAIT: Duration = Duration::from_millis(1_500);
+/// How long a call waits where tasks run that end by themselves. While a call is left unanswered the owner cannot
+/// receive their ends: at 1.5 s, ends of tasks of one second arrived up to 2.1 s late. On three days on which VMs
+/// leave calls unanswered, 0.5 s earned 0.53 of what is due, less costs, and 1.5 s earned 0.49 (means of four runs).
+const ENDS_WAIT: Duration = Duration::from_millis(500);
+/// How long a call waits where serving and filling tasks run on the same VM, whose usage figures cover the last half
+/// second.
+const FIGURES_WAIT: Duration = Duration::from_millis(400);
+/// The most orders of one kind that are in flight to one VM.
+const MAX_ORDERS_IN_FLIGHT: usize = 2;
 
 struct Shared {
     node: Arc<Node>,
@@ -49,44 +48,44 @@
     lease: Mutex<TaskLease>,
     acked: watch::Sender<u64>,
     closed: AtomicBool,
-    /// The life of the VM is over, or another node owns the pool.
+    /// Whether this incarnation of the VM has ended or another node owns the pool.
     over: AtomicBool,
     /// How long a call may wait for an end, in milliseconds.
     wait_ms: AtomicU64,
-    losses: Arc<Losses>,
+    losses: Arc<LossCounter>,
     newest_loss: NewestLoss,
     pending_starts: PendingStarts,
     starts: Semaphore,
     stops: Semaphore,
-    /// Wakes a question that waits for an end.
-    ask: Notify,
+    /// Interrupts a call that waits for the end of a run.
+    wake_poll: Notify,
     tx: UnboundedSender<Event>,
 }
 
-/// The link to one life of a VM. Dropping it ends all that it does.
+/// The link to one incarnation of a VM. Dropping the link stops its tasks.
 pub struct Link {
     shared: Arc<Shared>,
     facts: Arc<VmFacts>,
-    /// The newest loss of the VM that the owner has taken in: what it orders now was decided after that one.
-    taken_in: LossNumber,
-    holding: AbortHandle,
+    /// The newest loss of the VM that the owner has handled: its current orders were decided after that loss.
+    handled_loss: LossNumber,
+    hold_task: AbortHandle,
 }
 
 impl Drop for Link {
     fn drop(&mut self) {
         self.shared.closed.store(true, Ordering::Relaxed);
-        self.holding.abort();
+        self.hold_task.abort();
     }
 }
 
 impl Link {
-    /// Opens the link; `losses` numbers all losses that the owner is told.
+    /// Opens the link; `losses` numbers all losses reported to the owner.
     pub fn open(
         node: &Arc<Node>,
         vm: &Arc<VmFacts>,
         token: LinkToken,
         tx: UnboundedSender<Event>,
-        losses: Arc<Losses>,
+        losses: Arc<LossCounter>,
     ) -> Self {
         let shared = Arc::new(Shared {
             node: node.clone(),
@@ -99,55 +98,55 @@
             acked: watch::Sender::new(0),
             closed: AtomicBool::new(false),
             over: AtomicBool::new(false),
-            wait_ms: AtomicU64::new(millis(WAIT)),
+            wait_ms: AtomicU64::new(millis(LEASE_WAIT)),
             losses,
             newest_loss: NewestLoss::default(),
             pending_starts: PendingStarts::default(),
-            starts: Semaphore::new(ORDERS_AT_ONCE),
-            stops: Semaphore::new(ORDERS_AT_ONCE),
-            ask: Notify::new(),
+            starts: Semaphore::new(MAX_ORDERS_IN_FLIGHT),
+            stops: Semaphore::new(MAX_ORDERS_IN_FLIGHT),
+            wake_poll: Notify::new(),
             tx,
         });
-        let holding = tokio::spawn(hold::run(shared.clone())).abort_handle();
-        Self { shared, facts: vm.clone(), taken_in: LossNumber::default(), holding }
+        let hold_task = tokio::spawn(hold::run(shared.clone())).abort_handle();
+        Self { shared, facts: vm.clone(), handled_loss: LossNumber::default(), hold_task }
     }
 
-    /// Returns the life of the VM.
+    /// Returns the incarnation of the VM.
     pub fn vm(&self) -> &VmLife {
         &self.shared.vm
     }
 
-    /// Returns what the VM was listed with as the link was opened.
+    /// Returns the facts with which the VM was listed when the link was opened.
     pub const fn facts(&self) -> &Arc<VmFacts> {
         &self.facts
     }
 
-    /// Returns whether nothing comes by it any more.
+    /// Returns whether the link has ended and delivers no further reports.
     pub fn is_over(&self) -> bool {
         self.shared.over.load(Ordering::Relaxed)
     }
 
-    /// Has the VM asked at once, as another life of it is listed.
-    pub fn ask_at_once(&self) {
-        self.shared.ask.notify_one();
+    /// Calls the VM immediately, as another incarnation of it is listed.
+    pub fn poll_now(&self) {
+        self.shared.wake_poll.notify_one();
     }
 
-    /// Tells the owner that the VM is lost. Nothing that was decided before it takes that in goes out any more.
-    pub fn lose(&self, loss: VmLoss) {
-        self.shared.lost(loss);
+    /// Reports to the owner that the VM is lost. Orders decided before the owner has handled the loss are no longer sent.
+    pub fn report_loss(&self, loss: VmLoss) {
+        self.shared.send_loss(loss);
     }
 
-    /// Tells the owner that the VM has started again as another life, as its entry shows.
-    pub fn end_with(&self, life: &VmLife) {
-        self.shared.restarted(life);
+    /// Reports to the owner that the VM has restarted as another incarnation, as its entry shows.
+    pub fn report_restart(&self, next: &VmLife) {
+        self.shared.send_restart(next);
     }
 
-    /// Takes in that the owner has given up what ran on the VM.
-    pub fn take_in_loss(&mut self, loss: LossNumber) {
-        self.taken_in = self.taken_in.max(loss);
+    /// Records that the owner has abandoned the runs lost with the VM.
+    pub fn set_handled_loss(&mut self, loss: LossNumber) {
+        self.handled_loss = self.handled_loss.max(loss);
     }
 
-    /// Lets the VM forget ends up to a number.
+    /// Acknowledges ends up to a sequence number, so that the VM may drop them.
     pub fn acknowledge(&self, sequence: u64) {
         self.shared.acked.send_if_modified(|acked| {
             let more = sequence > *acked;
@@ -156,43 +155,43 @@
         });
     }
 
-    /// Sets how often the VM is looked at beside when something ends.
-    pub fn watch(&self, watch: Watch) {
+    /// Sets how often the VM is polled while no run ends.
+    pub fn set_watch(&self, watch: Watch) {
         let wait = match watch {
-            Watch::Figures => WAIT_CLOSELY,
-            Watch::Ends => WAIT_FOR_ENDS,
-            Watch::Lease => WAIT,
+            Watch::Figures => FIGURES_WAIT,
+            Watch::Ends => ENDS_WAIT,
+            Watch::Lease => LEASE_WAIT,
         };
         self.shared.wait_ms.store(millis(wait), Ordering::Relaxed);
     }
 
-    /// Gives a start order.
+    /// Sends a start order.
     pub fn start(&self, order: StartOrder) {
         let shared = self.shared.clone();
         shared.pending_starts.add(order.run);
-        let taken_in = self.taken_in;
+        let handled_loss = self.handled_loss;
         tokio::spawn(async move {
-            let result = orders::start(&shared, &order, taken_in).await;
+            let result = orders::start(&shared, &order, handled_loss).await;
             shared.pending_starts.remove(order.run);
             if let Some(result) = result {
-                shared.tell(Event::Started(shared.vm.clone(), order.run, result));
+                shared.send_event(Event::Started(shared.vm.clone(), order.run, result));
             }
         });
     }
 
-    /// Gives a stop order. A start of the same run that is still to be sent is not sent any more.
+    /// Sends a stop order and cancels a start of the same run that was not sent yet.
     pub fn stop(&self, run: RunId) {
         let shared = self.shared.clone();
-        shared.pending_starts.call_off(run);
-        let taken_in = self.taken_in;
+        shared.pending_starts.cancel(run);
+        let handled_loss = self.handled_loss;
         tokio::spawn(async move {
-            if orders::stop(&shared, run, taken_in).await.is_some() {
-                shared.tell(Event::Stopped(shared.vm.clone(), run));
+            if orders::stop(&shared, run, handled_loss).await.is_some() {
+                shared.send_event(Event::Stopped(shared.vm.clone(), run));
             }
         });
     }
 
-    /// Sets the share of its full speed at which a run works.
+    /// Sets the share of full speed at which a run works, in percent.
     pub fn pace(&self, run: RunId, percent: u32) {
         let shared = self.shared.clone();
         tokio::spawn(async move {
@@ -207,8 +206,8 @@
 }
 
 impl Shared {
-    fn tell(&self, event: Event) {
-        // An owner that has ended needs no news.
+    fn send_event(&self, event: Event) {
+        // The owner may have ended, and then needs no event.
         let _ = self.tx.send(event);
     }
 
@@ -216,35 +215,35 @@
         self.closed.load(Ordering::Relaxed)
     }
 
-    /// Returns whether orders may go out: checked last before each.
+    /// Returns whether orders may be sent; checked right before each one.
     fn may_send(&self) -> bool {
         !self.is_closed() && self.node.may_act(&self.pool, self.token.claim)
     }
 
-    /// Returns whether the VM's hall takes no new work.
+    /// Returns whether the VM's hall accepts no new work.
     fn is_evacuated(&self) -> bool {
         !self.node.halls.borrow().takes_work(&self.hall)
     }
 
-    /// Waits until orders may go out; returns false when the link was closed.
+    /// Waits until orders may be sent; returns false once the link is closed.
     async fn until_may_send(&self) -> bool {
         while !self.is_closed() {
             if self.may_send() {
                 return true;
             }
-            tokio::time::sleep(NO_LEASE).await;
+            tokio::time::sleep(NO_LEASE_PAUSE).await;
         }
         false
     }
 
-    /// Returns whether an error ends all dealings with this life of the VM, and tells the owner so.
-    fn is_over_with(&self, e: &OrderError) -> bool {
+    /// Returns whether an error ends the link to this incarnation, and if so reports the cause to the owner.
+    fn report_if_final(&self, e: &OrderError) -> bool {
         match e {
-            // What comes to a link that was closed says nothing: a later one to the same VM has a higher token.
+            // An error on a closed link proves nothing: a later link to the same VM has a higher token.
             _ if self.is_closed() => return true,
-            OrderError::Gone => self.lost(VmLoss::Replaced),
-            OrderError::StartedAgain(life) => self.restarted(life),
-            OrderError::Fenced => self.tell(Event::Fenced(self.vm.clone())),
+            OrderError::Gone => self.send_loss(VmLoss::Replaced),
+            OrderError::StartedAgain(next) => self.send_restart(next),
+            OrderError::Fenced => self.send_event(Event::Fenced(self.vm.clone())),
             OrderError::NotSent(_)
             | OrderError::Unanswered(_)
             | OrderError::Unhealthy(_)
@@ -253,20 +252,20 @@
         true
     }
 
-    fn restarted(&self, life: &VmLife) {
+    fn send_restart(&self, next: &VmLife) {
         let number = self.losses.next();
-        self.newest_loss.note(number);
-        self.tell(Event::Restarted(self.vm.clone(), life.clone(), number));
+        self.newest_loss.record(number);
+        self.send_event(Event::Restarted(self.vm.clone(), next.clone(), number));
     }
 
-    fn lost(&self, loss: VmLoss) {
+    fn send_loss(&self, loss: VmLoss) {
         let number = self.losses.next();
-        self.newest_loss.note(number);
-        self.tell(Event::Lost(self.vm.clone(), loss, number));
+        self.newest_loss.record(number);
+        self.send_event(Event::Lost(self.vm.clone(), loss, number));
     }
 }
 
 const fn millis(duration: Duration) -> u64 {
-    // The waits above are far below 2^64 ms.
+    // All waits above are far below 2^64 ms.
     duration.as_millis() as u64
 }
