--- a/crates/schedule/src/pool/advice.rs
+++ b/crates/schedule/src/pool/advice.rs
@@ -1,4 +1,4 @@
-//! Queues whose policy lets only some VMs run a step: who is asked, and what was answered.
+//! Advice requests for queues whose policy allows only some VMs to run a step, and the replies.
 
 use std::collections::BTreeMap;
 
@@ -8,13 +8,12 @@
 use crate::id::{JobId, VmLife};
 use crate::spec::{AdvicePolicy, Step};
 
-/// VMs named in one question: the users count the chain of a job with one question about as many.
+/// The maximum number of VMs in one request. The users' estimate of a job's critical path includes one request for about as many.
 const VMS_ASKED: usize = 30;
-/// Pause before a question that was not answered, or that named no VM with room, is asked again,
-/// in milliseconds.
+/// The delay before the next request for a step after a reply or a failed request, in milliseconds.
 const ASK_AGAIN_MS: Ms = 300;
-/// A ticket is used this much before it runs out at the latest, in milliseconds: a start takes some
-/// milliseconds to arrive, and clocks differ.
+/// How long before its expiry a ticket is last used, in milliseconds: a start takes some milliseconds to arrive, and clocks
+/// differ.
 const TICKET_MARGIN_MS: Ms = 150;
 
 /// One step of one repetition of a job.
@@ -28,21 +27,21 @@
     pub step: u16,
 }
 
-/// A question to the service that knows the policies.
+/// A request to the service that knows the policies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Question {
     /// The step.
     pub step: StepId,
-    /// The VMs that are asked about.
+    /// The VMs to be checked.
     pub vms: Vec<VmLife>,
-    /// How long the answer takes.
+    /// The policy of the step's queue, which determines how long a reply takes.
     pub policy: AdvicePolicy,
 }
 
-/// What is known of a step's policy.
+/// The advice known for a step, and the state of the request for it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Advised {
-    /// The VMs that may run it, with the tickets that starts carry.
+    /// The VMs that may run the step, with the tickets that starts carry.
     tickets: BTreeMap<VmLife, String>,
     good_until: Ms,
     under_way: bool,
@@ -50,8 +49,9 @@
 }
 
 impl Pool {
-    /// Takes in the answer to a question: the VMs that may run the step with their tickets, and
-    /// for how long; none if there was no answer.
+    /// Applies the reply to a request: the VMs that may run the step, with their tickets, and the validity in milliseconds.
+    /// `None`
+    /// means that there was no reply.
     pub fn advised(&mut self, step: StepId, answer: Option<(Vec<(VmLife, String)>, Ms)>, now: Now) {
         let Some(advised) = self.advice.get_mut(&step) else { return };
         advised.under_way = false;
@@ -62,14 +62,13 @@
         }
     }
 
-    /// Returns the ticket for a start, if the step's policy is known to let the VM run it.
+    /// Returns the ticket for a start if current advice allows the VM to run the step.
     pub(super) fn ticket(&self, step: StepId, vm: &VmLife, now: Ms) -> Option<String> {
         let advised = self.advice.get(&step).filter(|a| now < a.good_until)?;
         advised.tickets.get(vm).cloned()
     }
 
-    /// Asks about the VMs that could run a step, unless a question is under way or was just
-    /// answered.
+    /// Requests advice on the VMs that could run a step, unless a request is in flight or has ended just now.
     pub(super) fn ask(&mut self, ready: ReadyStep, shape: &Step, policy: AdvicePolicy, now: Now) {
         let step = ready.id();
         let known = self.advice.entry(step).or_default();
--- a/crates/schedule/src/pool/arrivals.rs
+++ b/crates/schedule/src/pool/arrivals.rs
@@ -1,4 +1,4 @@
-//! How fast work comes: what waits tells it only after it has piled up.
+//! Estimation of the rate at which work arrives. Waiting tasks show a rise only after a backlog has built up.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,28 +6,27 @@
 use crate::policy::NeedPolicy;
 use crate::spec::{JobSpec, Step};
 
-/// The shortest time that a rate is taken over, in milliseconds: arrivals come in bunches when
-/// records are read together.
+/// The shortest span for which a rate is computed, in milliseconds. Jobs arrive in bunches when records are read together.
 const LEAST_SPAN_MS: Ms = 300;
-/// Arrivals of a queue that are remembered: what comes within the shortest span at 400 a second.
+/// The number of arrivals kept per queue: those of the shortest span at 400 a second.
 const REMEMBERED: usize = 128;
-/// Weight of a new job in the mean work of its queue's jobs: about the last thirty count.
+/// The weight of a new job in the moving means of its queue, which cover about the last thirty jobs.
 const WEIGHT: f64 = 1.0 / 30.0;
-/// By how many times the spread of a count the true rate is held to lie within what the count
-/// says, so that nine changes of ten that are seen are none of chance.
+/// The half-width of the confidence interval around a count, in standard deviations. At this width, nine of ten detected changes
+/// are not due to chance.
 const DOUBT: f64 = 1.3;
-/// Added to a count for the most that may have been expected: none in a time says that fewer than
-/// this were expected, at the same odds.
+/// Added to the upper confidence bound of a count. With the same confidence, a count of zero means that fewer than this many
+/// arrivals were expected.
 const NONE_SEEN: f64 = 1.5;
 
-/// The newest arrivals, after which a time without others tells that fewer come.
+/// The number of latest arrivals from which a falling rate is detected.
 const NEWEST: usize = 3;
 
-/// What came to each queue of late.
+/// The recent arrivals of each queue.
 #[derive(Clone, Debug)]
 pub(super) struct Arrivals {
     by_queue: HashMap<String, QueueArrivals>,
-    /// Arrivals that a rate is taken from.
+    /// The number of arrivals from which a rate is computed.
     counted: usize,
 }
 
@@ -39,16 +38,16 @@
 
 #[derive(Clone, Debug, Default)]
 struct QueueArrivals {
-    /// The newest first.
+    /// The arrival times, latest first.
     at: VecDeque<Ms>,
-    /// Mean work of a job, in thousandths of a core times milliseconds.
+    /// The mean work of a job, in thousandths of a core times milliseconds.
     work: f64,
-    /// Mean time of a job's longest chain of steps, in milliseconds.
+    /// The mean length of a job's critical path, in milliseconds.
     chain: f64,
 }
 
 impl Arrivals {
-    /// Makes an empty account that takes rates from so many arrivals.
+    /// Creates an empty record that computes rates from `counted` arrivals.
     pub fn new(counted: usize) -> Self {
         Self { by_queue: HashMap::new(), counted }
     }
@@ -65,8 +64,8 @@
         known.at.truncate(REMEMBERED);
     }
 
-    /// Returns the processor that jobs use in `lead` milliseconds which come until then, if they go
-    /// on coming like this, in thousandths of a core.
+    /// Returns the CPU that jobs arriving within the next `lead` milliseconds will use at the end of that time, at the current
+    /// arrival rate, in thousandths of a core.
     pub fn arriving(&self, lead: Ms, now: Ms) -> u64 {
         self.by_queue.values().map(|queue| queue.arriving(self.counted, lead, now)).sum()
     }
@@ -79,15 +78,16 @@
     reason = "counts and times are far below 2^52, and work is not negative"
 )]
 impl QueueArrivals {
-    /// Of the work that comes until then, what came longer ago than its chain takes has ended.
+    /// Returns the CPU for this queue. Jobs that will have arrived longer ago than the length of their critical path count as
+    /// ended.
     fn arriving(&self, counted: usize, lead: Ms, now: Ms) -> u64 {
         let chain = self.chain.max(1.0);
         let share = (lead as f64 / chain).min(1.0);
         (self.rate(counted, now) * self.work * share) as u64
     }
 
-    /// Returns the rate at which jobs come, in jobs a millisecond: by the last few arrivals, within
-    /// what fewer and newer ones allow.
+    /// Returns the arrival rate in jobs per millisecond. It is computed from the last `counted` arrivals and limited to the
+    /// confidence bounds that fewer, more recent arrivals give.
     fn rate(&self, counted: usize, now: Ms) -> f64 {
         if counted == 0 {
             return 0.0;
@@ -96,7 +96,7 @@
         let mut rate = 0.0;
         for (before, &at) in self.at.iter().enumerate() {
             let passed = now.saturating_sub(at);
-            // Older spans say nothing against a rise.
+            // Older spans do not rule out a recent rise.
             if before <= NEWEST {
                 high = high.min(most_expected(before) / passed.max(1) as f64);
             }
@@ -117,22 +117,22 @@
     }
 }
 
-/// Returns how many arrivals were expected at least where so many came.
+/// Returns the lower confidence bound of the expected number of arrivals, given the observed number.
 fn least_expected(came: usize) -> f64 {
     let came = f64::from(u32::try_from(came).unwrap_or(u32::MAX));
     (came - DOUBT * came.sqrt() - 1.0).max(0.0)
 }
 
-/// Returns how many arrivals were expected at most where so many came.
+/// Returns the upper confidence bound of the expected number of arrivals, given the observed number.
 fn most_expected(came: usize) -> f64 {
     let came = f64::from(u32::try_from(came).unwrap_or(u32::MAX));
     came + DOUBT * came.sqrt() + NONE_SEEN
 }
 
 impl Pool {
-    /// Notes that a job has come, for the pool's need of VMs.
+    /// Records the arrival of a job, for the forecast of the pool's need.
     pub(super) fn note_arrival(&mut self, spec: &JobSpec, now: Ms) {
-        // Lasting tasks come once and stay; repetitions fall due at their own times.
+        // Lasting tasks arrive once and stay; repetitions are due at known times.
         if spec.is_lasting() || spec.repeats.is_some() {
             return;
         }
@@ -145,7 +145,7 @@
     }
 }
 
-/// Returns a step's work, as its caller guesses, in thousandths of a core times milliseconds.
+/// Returns a step's work as estimated by its caller, in thousandths of a core times milliseconds.
 fn work_of(step: &Step) -> f64 {
     f64::from(step.count) * f64::from(step.room().cpu) * f64::from(step.estimated_ms)
 }
--- a/crates/schedule/src/pool/estimate.rs
+++ b/crates/schedule/src/pool/estimate.rs
@@ -1,23 +1,23 @@
-//! How far callers' guesses of a task's time are off, learned by queue.
+//! Correction factors for the callers' estimates of task times, learned by queue.
 
 use std::collections::HashMap;
 
 use super::{JobKey, Ms, Pool};
 use crate::id::RunId;
 
-/// Weight of a new sample in the moving mean: about the last twenty tasks count.
+/// The weight of a new sample in the moving mean, which covers about the last twenty tasks.
 const WEIGHT: f64 = 0.05;
-/// Bounds of the factor, against a few odd samples.
+/// The bounds of a sample, which limit the effect of a few outliers.
 const FACTORS: std::ops::RangeInclusive<f64> = 0.1..=10.0;
 
-/// Learned factors between a task's real and its estimated time.
+/// The learned ratio of actual to estimated task time for each queue.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Estimates {
     by_queue: HashMap<String, f64>,
 }
 
 impl Estimates {
-    /// Returns by how much a queue's estimates are to be multiplied.
+    /// Returns the factor by which a queue's estimates are multiplied.
     pub fn factor(&self, queue: &str) -> f64 {
         self.by_queue.get(queue).copied().unwrap_or(1.0)
     }
--- a/crates/schedule/src/pool/evacuate.rs
+++ b/crates/schedule/src/pool/evacuate.rs
@@ -1,5 +1,5 @@
-//! Moving tasks off VMs that are to be emptied or are leaving: lasting ones, and for a pool that
-//! needs the VM now also those that can be resumed elsewhere.
+//! Moving tasks off VMs that are cordoned or leaving. Lasting tasks are moved, and if another pool urgently needs the VM, also
+//! tasks that can be resumed elsewhere.
 
 use super::job::{Spot, Task};
 use super::remaining::WORTH_STOPPING_MS;
@@ -9,18 +9,19 @@
 use crate::spec::Step;
 
 impl Pool {
-    /// Stops lasting tasks on VMs that are to be emptied, as far as each step's budget of absent
-    /// tasks allows and there is room for them elsewhere.
+    /// Stops lasting tasks on VMs that are cordoned or leaving, as far as each step's limit on absent tasks allows and there is
+    /// room
+    /// elsewhere. Also stops resumable tasks on VMs that another pool urgently needs.
     pub(super) fn evacuate(&mut self, now: Now) {
         let leaving = |key: VmKey| {
             let vm = &self.vms[key];
-            // Some VMs leave without a word: they are no longer listed and go on for a while.
+            // Some VMs leave unannounced: they are no longer listed but keep running for a while.
             let left_the_list = self.listing_is_sound && !vm.listed;
             let leaves = vm.cordoned || vm.draining() || left_the_list;
             leaves && vm.reachable && !vm.runs.is_empty()
         };
         let mut vms: Vec<VmKey> = self.vms.keys().filter(|&k| leaving(k)).collect();
-        // What must leave with its VM counts as away for what may wait.
+        // Draining VMs go first: tasks that must move with them count as absent for tasks whose move can wait.
         vms.sort_by_key(|&key| !self.vms[key].draining());
         for key in vms {
             let waits = |(_, run): &(&TaskId, &Run)| !run.stopping && run.confirmed.is_some();
@@ -38,8 +39,9 @@
         }
     }
 
-    /// Returns whether a run is to be stopped for the sake of the pool that needs its VM. The task
-    /// may have to wait for room: its pool was found to need the VM less.
+    /// Returns whether a run is to be stopped because another pool urgently needs its VM. The task may have to wait for room, as
+    /// its
+    /// own pool needs the VM less.
     fn hurries(&self, vm: VmKey, task: TaskId, now: Now) -> bool {
         if !self.policy.moves.stop_tasks {
             return false;
@@ -66,7 +68,7 @@
         if step.tasks.get(index).is_none_or(|t| t.spot != Spot::On(vm)) {
             return false;
         }
-        // One that is about to leave takes all down with it.
+        // A draining VM soon ends all of its runs, so the limit on absent tasks does not apply.
         if self.vms[vm].draining() {
             return self.fits_elsewhere(vm, task, shape, now);
         }
@@ -79,8 +81,7 @@
         others_away < budget && self.fits_elsewhere(vm, task, shape, now)
     }
 
-    /// Returns whether a lasting task does its work, as far as is known: on a VM that does not
-    /// answer it may have died.
+    /// Returns whether a lasting task is known to be working. On an unreachable VM it may have died.
     fn is_at_work(&self, task: &Task) -> bool {
         let Spot::On(vm) = task.spot else { return false };
         task.at_work && self.vms.get(vm).is_some_and(|vm| vm.reachable)
--- a/crates/schedule/src/pool/gang.rs
+++ b/crates/schedule/src/pool/gang.rs
@@ -1,4 +1,4 @@
-//! Placing gangs: tasks that work only together.
+//! Placement of gangs, whose tasks work only together.
 
 use super::place::ReadyStep;
 use super::suspects::Care;
@@ -9,7 +9,7 @@
 use crate::spec::Step;
 
 impl Pool {
-    /// Places all tasks of a gang or none, on one rack if they are slow when spread.
+    /// Places all tasks of a gang or none. A rack-local gang is placed on one rack if possible.
     pub(super) fn place_gang(&mut self, ready: ReadyStep, shape: &Step, now: Now) {
         let waiting = self.waiting_tasks(ready);
         let all = self.jobs[ready.job].times[&ready.time].steps[ready.step].tasks.len();
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Gives all members of a gang one checkpoint: any member's is good, but all bring the same.
+    /// Gives all members of a gang the same checkpoint. Any member's checkpoint is valid, but all must start from the same one.
     fn share_checkpoint(&mut self, ready: ReadyStep) {
         let job = &mut self.jobs[ready.job];
         let Some((step, _)) = job.step_mut(ready.task(0)) else { return };
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Returns with what a gang may share VMs, or none while it is not to be started: it is as suspect as the most
-    /// suspect of its members.
+    /// Returns the isolation of a gang, or `None` while it may not be started. A gang with a suspect member is treated as a
+    /// suspect.
     pub(super) fn care_of_gang(
         &self,
         ready: ReadyStep,
--- a/crates/schedule/src/pool/need.rs
+++ b/crates/schedule/src/pool/need.rs
@@ -1,9 +1,10 @@
-//! How much of its VMs a pool will use when VMs that are ordered now have come.
+//! Forecast of a pool's demand at the time when VMs ordered now become available.
 //!
-//! A VM takes about two seconds to come, and load turns within as many. What runs now says little
-//! about then: much of it has ended, and what has begun to come has only begun to wait. Against a need
-//! by what runs and waits now, the two worst spans of two seconds of a calm day serve 0.89 in
-//! place of 0.84 of what is owed (means of four and five plays of 49 VMs).
+//! A VM takes about two seconds to become available, and the load can change completely within that time: many current runs
+//! end, and much of the new load has not arrived yet. With this forecast instead of the current load of running and waiting
+//! tasks,
+//! the two worst spans of two seconds of a calm day serve 0.89 in place of 0.84 of the work due (means of four and five runs with
+//! 49 VMs).
 
 use std::collections::{HashMap, HashSet};
 
@@ -14,38 +15,38 @@
 use crate::progress::Phase;
 use crate::quota::WorkspaceKey;
 
-/// Processor that a pool will use at a time to come, in thousandths of a core, by what makes it up.
+/// The forecast CPU demand of a pool by component, in thousandths of a core.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// Tasks that run now, on VMs that take work, and will not have ended.
+    /// Tasks that run now on VMs that accept work and will still be running.
     pub staying: u64,
-    /// Tasks whose turn has come and that wait, of jobs that can still be of use.
+    /// Waiting tasks that are ready to start, of jobs that can still be of use.
     pub waiting: u64,
-    /// Tasks whose turn comes when what runs now has ended.
+    /// Tasks that become ready when the steps they depend on have ended.
     pub following: u64,
-    /// Tasks of jobs that have not come yet, if they go on coming as they came of late.
+    /// Tasks of jobs that have not arrived yet, at the recent arrival rate.
     pub arriving: u64,
-    /// What of all this is of jobs that can no longer be in time; it is not in the other figures.
+    /// Tasks of jobs that can no longer finish in time, which are not included in the other components.
     pub late: u64,
 }
 
 impl Demand {
-    /// Returns what is of jobs that can be in time, in thousandths of a core.
+    /// Returns the demand of jobs that can finish in time, in thousandths of a core.
     pub const fn in_time(&self) -> u64 {
         self.staying + self.waiting + self.following + self.arriving
     }
 }
 
-/// As how many a lasting task counts that waits: it is placed first, so that it has found no place for
-/// want of memory, or of VMs on which none of its step runs, and its processor says too little. Counted
-/// once, such tasks waited for 12 s in a pool that used half of its processor.
+/// The weight of the CPU demand of a waiting lasting task. Lasting tasks are placed first, so one that waits lacks memory or a VM
+/// without another task of its step, which its CPU demand does not show. With a weight of 1, such tasks waited for 12 s in a
+/// pool that used half of its CPU.
 const LASTING_WAIT_AS: u64 = 3;
 
-/// Steps that run now, with the time until the last of their tasks ends.
+/// The remaining time of each step with runs, until the last of its tasks ends.
 type Ending = HashMap<(JobId, u32, usize), Ms>;
 
 impl Pool {
-    /// Returns what the pool will use in `lead` milliseconds.
+    /// Returns the forecast demand in `lead` milliseconds.
     pub fn demand(&self, lead: Ms, now: Now) -> Demand {
         let mut demand =
             Demand { arriving: self.arrivals.arriving(lead, now.steady), ..Demand::default() };
@@ -68,7 +69,7 @@
                 let lasting = vm.runs.values().filter(|run| run.lasting);
                 demand.staying += lasting.map(|run| u64::from(run.demand.cpu)).sum::<u64>();
                 if vm.is_held_by_suspect(now.steady) {
-                    // Nothing of other jobs goes there.
+                    // Tasks of other jobs are not placed there.
                     demand.staying += u64::from(vm.free().cpu);
                 }
             }
@@ -82,7 +83,7 @@
             if let Some((key, left)) =
                 job.workspace.and_then(|w| Some((w, self.quota.cpu_left(w)?)))
             {
-                // What its cap holds back needs no VMs.
+                // Tasks that are held back by the workspace's cap need no VMs.
                 let left = capped.entry(key).or_insert(left);
                 waiting.waiting = waiting.waiting.min(*left);
                 *left -= waiting.waiting;
@@ -97,8 +98,9 @@
         demand
     }
 
-    /// Returns the processor of the VMs that suspects which wait will hold, beyond what they ask for themselves: each runs
-    /// alone. As many more as the pool has now at most, so that a crowd of them does not take all VMs at once.
+    /// Returns the CPU of the VMs that waiting suspects will occupy beyond their own demand, as each runs alone. At most as many
+    /// VMs
+    /// are added as the pool has now, so that many suspects do not claim all VMs at once.
     fn held_back_by_suspects(&self, now: Ms) -> u64 {
         let vms: Vec<&Vm> = self.vms.values().filter(|vm| vm.takes_work()).collect();
         let cpu: u64 = vms.iter().map(|vm| u64::from(vm.room().cpu)).sum();
@@ -107,7 +109,7 @@
         held.checked_div(u64::try_from(vms.len()).unwrap_or(u64::MAX)).unwrap_or(0)
     }
 
-    /// Returns the jobs that can no longer be in time.
+    /// Returns the jobs that can no longer finish in time.
     fn late_jobs(&self, now: Ms) -> HashSet<JobId> {
         let open = self.jobs.values().filter(|job| job.phase == Phase::Open);
         open.filter(|job| self.rank(job, now).is_late()).map(|job| job.id).collect()
@@ -142,13 +144,15 @@
         }
     }
 
-    /// Returns the processor of the largest VM that takes work.
+    /// Returns the CPU capacity of the largest VM that accepts work.
     fn largest_cpu(&self) -> u32 {
         let rooms = self.vms.values().filter(|vm| vm.takes_work()).map(|vm| vm.room().cpu);
         rooms.max().unwrap_or(0)
     }
 
-    /// Returns when each step of a repetition is expected to begin and to end, as far as what it waits for runs or is done.
+    /// Returns when each step of a repetition is expected to run, or `None` for a step that has no expected time yet because the
+    /// step
+    /// itself or one that it depends on waits for room.
     fn turns(&self, job: &Job, time: u32, run: &TimeRun, ending: &Ending) -> Vec<Option<Turn>> {
         let mut turns: Vec<Option<Turn>> = Vec::with_capacity(run.steps.len());
         for (i, step) in run.steps.iter().enumerate() {
@@ -163,7 +167,7 @@
                     let left = ending.get(&(job.id, time, i)).copied();
                     left.map(|ends| Turn { begins: 0, ends })
                 }
-                // What waits for room has no time yet, nor has what waits for that.
+                // A step that waits for room has no expected time, nor have the steps that depend on it.
                 None => None,
                 Some(_) if is_ready => None,
                 Some(begins) => Some(Turn { begins, ends: self.end_of(job, i, begins) }),
@@ -173,7 +177,7 @@
         turns
     }
 
-    /// Returns when a step is expected to end that begins at some time.
+    /// Returns the expected end of a step that begins at `begins`.
     fn end_of(&self, job: &Job, step: usize, begins: Ms) -> Ms {
         if !self.policy.need.leaves_out_ended || job.spec.steps[step].lasting {
             return Ms::MAX;
@@ -184,15 +188,15 @@
     }
 }
 
-/// When a step is expected to run, in milliseconds from now.
+/// The expected time span of a step, in milliseconds from now.
 #[derive(Clone, Copy, Debug, Default)]
 struct Turn {
     begins: Ms,
     ends: Ms,
 }
 
-/// Returns as how much processor a task counts that waits, by the processor of the largest VM: one that asks for more than half of it
-/// finds room on an empty VM only, or nearly so, and leaves what remains to few others.
+/// Returns the CPU that a waiting task is counted as using. A task that needs more than half of the largest VM counts as that
+/// whole VM: it fits only on a nearly empty VM and leaves little room for others.
 fn room_taken_by(cpu: u32, largest: u32) -> u64 {
     let fills = u64::from(cpu) * 2 > u64::from(largest);
     u64::from(if fills { cpu.max(largest) } else { cpu })
--- a/crates/schedule/src/pool/order.rs
+++ b/crates/schedule/src/pool/order.rs
@@ -1,4 +1,4 @@
-//! Orders to VMs and what comes of them.
+//! Orders to VMs and their results.
 
 use std::sync::Arc;
 
@@ -10,17 +10,17 @@
 /// An order to start a run.
 #[derive(Clone, Debug)]
 pub struct StartOrder {
-    /// Where.
+    /// The VM incarnation.
     pub vm: VmLife,
-    /// Which run.
+    /// The run.
     pub run: RunId,
-    /// The job, whose text goes along.
+    /// The job's specification, whose text is sent with the order.
     pub spec: Arc<JobSpec>,
-    /// Where to resume, empty for the start.
+    /// The checkpoint to resume from; empty to start from the beginning.
     pub checkpoint: String,
-    /// The ticket of the queue's policy, if it has one.
+    /// The ticket, if the queue has a policy that requires one.
     pub ticket: Option<String>,
-    /// Processor left on the VM with this run, in thousandths of a core; for the log line.
+    /// CPU that remains free on the VM with this run, in thousandths of a core; for the log line.
     pub free_cpu: u32,
 }
 
@@ -29,46 +29,47 @@
 pub enum Order {
     /// Start a run.
     Start(StartOrder),
-    /// Stop a run, and bar it if it has not arrived yet.
+    /// Stop a run, or block its start if the start has not arrived yet.
     Stop {
-        /// Where.
+        /// The VM incarnation.
         vm: VmLife,
-        /// Which run.
+        /// The run.
         run: RunId,
     },
-    /// Ask which VMs may run a step.
+    /// Request advice on which VMs may run a step.
     Ask(super::Question),
-    /// Let a run work at a share of its full speed.
+    /// Limit a run to a share of its full speed.
     Pace {
-        /// Where.
+        /// The VM incarnation.
         vm: VmLife,
-        /// Which run.
+        /// The run.
         run: RunId,
-        /// The share.
+        /// The share of the full speed, in percent.
         percent: u32,
     },
 }
 
-/// What came of an order to start a run.
+/// The result of an order to start a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartResult {
     /// The VM has the run.
     Started,
-    /// The VM has the run, and a copy of the order that had no answer may still be carried out.
+    /// The VM has the run, and an unanswered copy of the order may still be executed.
     StartedWithCopies,
-    /// The VM has not taken it, and no copy of the order is under way.
+    /// The VM did not accept the run, and no copy of the order is in flight.
     NotTaken,
-    /// The VM has no room for it; nothing was started.
+    /// The VM has no room for the run; nothing was started.
     NoRoom,
-    /// The VM turned it away because it is not healthy; nothing was started.
+    /// The VM rejected the run because the VM is unhealthy; nothing was started.
     Unhealthy,
-    /// The VM refused a repeated order: an earlier copy may have run, or be under way. Its next report tells of the one, and a
-    /// stop bars the other.
+    /// The VM refused a repeated order: an earlier copy may have been executed or still be in flight. The VM's next report shows
+    /// the
+    /// former, and a stop prevents the latter.
     Unclear,
 }
 
 impl Pool {
-    /// Takes in what came of a start.
+    /// Applies the result of a start order.
     pub fn start_result(&mut self, vm: &VmLife, run: RunId, result: StartResult, now: Now) {
         let Some(&vm_key) = self.vm_keys.get(vm) else { return };
         let Some(v) = self.vms.get_mut(vm_key) else { return };
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Takes in that a VM has answered a stop: the run is barred or about to end.
+    /// Records that a VM has answered a stop: the run is about to end, or its start is blocked.
     pub fn stop_answered(&mut self, vm: &VmLife, run: RunId, now: Now) {
         let Some(&vm_key) = self.vm_keys.get(vm) else { return };
         let Some(v) = self.vms.get_mut(vm_key) else { return };
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Frees the room of a run that is surely not there, and lets its task wait again.
+    /// Frees the room of a run that certainly does not exist, and returns its task to the waiting state.
     pub(super) fn release(&mut self, vm: VmKey, run: RunId, _now: Now) {
         let Some(gone) = self.remove_run(vm, run) else { return };
         let Some(&key) = self.job_keys.get(&run.task.job) else { return };
--- a/crates/schedule/src/pool/pace.rs
+++ b/crates/schedule/src/pool/pace.rs
@@ -1,38 +1,38 @@
-//! Keeping filling tasks from disturbing serving tasks on the same VM.
+//! Throttling of filling tasks that share a VM with serving tasks.
 //!
-//! A serving task reports the tail of its answer times. While it is near its target, the tasks that
-//! fill beside it are slowed down, fast; once it is well below, they are let go again, slowly.
+//! A serving task reports its tail latency. While the latency is near its target, filling tasks on the same VM are slowed down
+//! quickly; once it is well below the target, they are sped up again slowly.
 
 use super::run::{FULL_SPEED, Run};
 use super::{Now, Order, Pool, VmKey};
 use crate::Ms;
 use crate::id::{RunId, TaskId, VmLife};
 
-/// Share of the target, in percent, above which filling tasks are slowed down.
+/// The share of the target, in percent, from which filling tasks are slowed down.
 const SLOW_ABOVE_PERCENT: u64 = 85;
-/// Share of the target, in percent, below which they are let go.
+/// The share of the target, in percent, below which filling tasks are sped up.
 const LET_GO_BELOW_PERCENT: u64 = 60;
-/// What a filling task's share is divided by at each slowing.
+/// The divisor of a filling task's speed at each slowdown.
 const SLOW_BY: u32 = 4;
-/// Shares below this are cut to nothing, in percent.
+/// The lowest speed of a filling task that is not paused, in percent.
 const LEAST_SHARE: u32 = 10;
-/// What is added to its share when it is let go, in percent.
+/// The increase of a filling task's speed at each speed-up, in percent of the full speed.
 const LET_GO_BY: u32 = 20;
-/// Pause between two changes: the figures are of the last half second.
+/// The minimum time between two changes, in milliseconds. The reported figures cover the last half second.
 const CHANGE_EVERY_MS: Ms = 500;
 
-/// What a VM is looked at for, and so how often.
+/// The reason for polling a VM, which determines how often it is polled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Watch {
-    /// The figures of serving and filling tasks that run side by side.
+    /// The figures of serving tasks that share the VM with filling tasks.
     Figures,
     /// The ends of tasks that end by themselves.
     Ends,
-    /// The lease of what it runs, or may be told to run.
+    /// The lease of its present or future runs.
     Lease,
 }
 
-/// How the serving tasks of a VM are doing.
+/// The highest tail latency of a VM's serving tasks, relative to their targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Tail {
     Near,
@@ -41,7 +41,7 @@
 }
 
 impl Pool {
-    /// Returns what a VM is looked at for.
+    /// Returns the reason for polling a VM.
     pub fn watch(&self, vm: &VmLife) -> Watch {
         let vm = self.vm_keys.get(vm).and_then(|&key| self.vms.get(key));
         let Some(vm) = vm else { return Watch::Lease };
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Paces the filling tasks of a VM by what its serving tasks have just reported.
+    /// Adjusts the speed of a VM's filling tasks to the latest figures of its serving tasks.
     pub(super) fn pace(&mut self, key: VmKey, now: Now) {
         if !self.policy.tasks.pacing {
             return;
@@ -64,7 +64,7 @@
         let tail = tail(vm.runs.values());
         let id = vm.id.clone();
         for (&task, run) in vm.runs.iter_mut().filter(|(_, run)| run.fills && !run.stopping) {
-            // The first word of a new owner waits for nothing.
+            // A new owner's first order is not delayed.
             if run.pace.is_some() && now.steady < run.paced_at + CHANGE_EVERY_MS {
                 continue;
             }
@@ -83,7 +83,7 @@
     RunId { task, attempt: run.attempt }
 }
 
-/// Returns how the serving task that is worst off is doing; far below its target if there is none.
+/// Returns the worst tail latency of the serving tasks, which counts as below the target if there are none.
 fn tail<'a>(runs: impl Iterator<Item = &'a Run>) -> Tail {
     let mut serving = runs.filter(|run| run.tail_target_ms > 0).peekable();
     if serving.peek().is_none() {
@@ -91,7 +91,7 @@
     }
     let percent = |run: &Run| run.figure.map(|ms| ms * 100 / u64::from(run.tail_target_ms));
     match serving.filter_map(percent).max() {
-        // None has told yet.
+        // No figure has been reported yet.
         None => Tail::Between,
         Some(SLOW_ABOVE_PERCENT..) => Tail::Near,
         Some(LET_GO_BELOW_PERCENT..) => Tail::Between,
@@ -99,8 +99,8 @@
     }
 }
 
-/// Returns the next share of a filling task's full speed, given the present one; none while that is
-/// not known and may stay as it is.
+/// Returns the next speed of a filling task, in percent, given its current speed. Returns `None` if the current speed is unknown
+/// and need not change.
 const fn next_share(share: Option<u32>, tail: Tail) -> Option<u32> {
     let Some(share) = share else {
         return match tail {
--- a/crates/schedule/src/pool/quota.rs
+++ b/crates/schedule/src/pool/quota.rs
@@ -1,4 +1,4 @@
-//! Workspaces within a pool's schedule: what they have running counts against their caps.
+//! Accounting of a pool's runs against the caps of their workspaces.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,35 +14,35 @@
 use crate::workspace::Workspace;
 
 impl Pool {
-    /// Sets the pool's name, by which it is lent parts of caps.
+    /// Sets the pool's name, under which shares of caps are lent to it.
     #[must_use]
     pub fn with_name(mut self, name: Arc<str>) -> Self {
         self.quota = Ledger::new(name);
         self
     }
 
-    /// Takes in the workspaces of a version of the configuration.
+    /// Sets the workspaces of a configuration version.
     pub fn set_workspaces(&mut self, version: u64, workspaces: &[Workspace]) {
         self.quota.set_workspaces(version, workspaces);
     }
 
-    /// Takes in the newest records of how caps are lent, and the version of the configuration for which they hold.
+    /// Sets the latest records of lent caps and the configuration version to which they apply.
     pub fn set_lent<'a>(&mut self, as_of: u64, records: impl Iterator<Item = &'a LentCap>) {
         self.quota.set_records(as_of, records);
     }
 
-    /// Returns the workspaces whose tasks were held back by their caps of late.
+    /// Returns the workspaces whose tasks were recently held back by their caps.
     pub fn held_by_caps(&self) -> Vec<Held> {
         self.quota.held().collect()
     }
 
-    /// Returns what there is to say to the lender of caps.
+    /// Returns the cap use to report to the lender of caps.
     pub fn say_cap_use(&mut self, token: u64, count: &mut u64) -> Vec<CapUse> {
         let waiting = self.waiting_by_workspace();
         self.quota.to_say(token, count, &waiting)
     }
 
-    /// Takes in that what was said to the lender may not have arrived.
+    /// Records that the last report to the lender may not have arrived.
     pub fn cap_use_not_said(&mut self) {
         self.quota.forget_said();
     }
@@ -59,7 +59,7 @@
         waiting
     }
 
-    /// Makes a job that has just come.
+    /// Creates a job for a new specification.
     pub(super) fn new_job(&mut self, id: JobId, spec: Arc<JobSpec>, now: Now) -> Job {
         let workspace = self.quota.key_of_job(&spec.workspace, spec.admitted_by);
         let job = Job::new(id, spec, now);
@@ -67,7 +67,7 @@
         Job { workspace, beyond_share, ..job }
     }
 
-    /// Takes the room of a run.
+    /// Adds a run to a VM and counts it against the workspace's cap.
     pub(super) fn add_run(&mut self, vm: VmKey, task: TaskId, run: Run) {
         let (workspace, charge) = (self.workspace_of(task.job), run.charge);
         let old = self.vms[vm].add_run(task, run);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Frees the room of a run and returns it, if it was there.
+    /// Removes a run from a VM and from the workspace's cap use. Returns the run if it was there.
     pub(super) fn remove_run(&mut self, vm: VmKey, run: RunId) -> Option<Run> {
         let gone = self.vms.get_mut(vm)?.remove_run(run)?;
         self.quota.remove(self.workspace_of(run.task.job), gone.charge);
--- a/crates/schedule/src/pool/rank.rs
+++ b/crates/schedule/src/pool/rank.rs
@@ -1,34 +1,34 @@
-//! Which job goes first.
+//! Ranking of jobs for placement.
 
 use super::{Job, Ms, Pool};
 use crate::policy::SharePolicy;
 
-/// A job finished by this many times its objective still earns a little.
+/// A job that finishes within this many times its objective still has some value.
 const LATE_FACTOR: u64 = 3;
 
 /// The order in which jobs are placed: smaller goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
-    /// Lasting tasks first: they earn by the second, for as long as they run.
+    /// Whether the job has no lasting tasks. Lasting tasks go first because they earn value by the second while they run.
     not_lasting: bool,
     priority: u32,
-    /// What a workspace sends beyond its share last: nobody is promised anything for it. Beside one that sends twenty times its
-    /// share for 6 s, 48 of 48 jobs of the others are in time, and 24 by due times alone (20 cores, 2.4 times as
-    /// much asked for).
+    /// Whether the job exceeds its workspace's share. Such jobs go last because nothing is promised for them. While one workspace
+    /// sends twenty times its share for 6 s, 48 of 48 jobs of the others finish in time, but only 24 if jobs are ranked by due
+    /// times alone (20 cores, with a demand of 2.4 times as much).
     beyond_share: bool,
-    /// 1: can finish in time; 0: late, and must begin now to be of use; 2: late, but still of use; 3: too late.
+    /// 1: can finish in time; 0: late and must begin now to be of use; 2: late but can still be of use; 3: too late.
     lateness: u8,
-    /// When it is due, or how much work it has left if it is late.
+    /// The due time or the latest start time of the job, or its remaining work if it is late and need not begin now.
     then: u64,
 }
 
 impl Rank {
-    /// Returns whether the job can no longer be in time.
+    /// Returns whether the job can no longer finish in time or exceeds its workspace's share.
     pub const fn is_late(&self) -> bool {
         self.not_lasting && (self.lateness != 1 || self.beyond_share)
     }
 
-    /// Returns whether the job can no longer earn anything by its time.
+    /// Returns whether the job can no longer finish early enough to be of any value.
     pub const fn is_too_late(&self) -> bool {
         self.not_lasting && self.lateness > 2
     }
--- a/crates/schedule/src/pool/takeover.rs
+++ b/crates/schedule/src/pool/takeover.rs
@@ -1,4 +1,4 @@
-//! Taking over a pool from its records.
+//! Takeover of a pool from its records by a new owner.
 
 use std::sync::Arc;
 
@@ -11,18 +11,18 @@
 use crate::progress::{Phase, Place, Progress, TaskRecord};
 use crate::spec::JobSpec;
 
-/// A job that is read within this time of its acceptance counts for the rate at which jobs come, in
-/// milliseconds; a new owner reads older ones all at once.
+/// The maximum age, in milliseconds, at which a job read from the records counts towards the arrival rate. Older jobs are read
+/// all at once by a new owner.
 const JUST_ACCEPTED_MS: Ms = 1_000;
 
 impl Pool {
-    /// Takes in that this owner has just taken over.
+    /// Records that this owner has just taken over the pool.
     pub fn taken_over(&mut self, now: Now) {
         self.moves_from = now.steady + self.policy.tasks.pause_after_takeover_ms;
     }
 
-    /// Takes in a job as its records tell. Tasks ordered to run somewhere count as running there
-    /// until that VM has answered under this owner's token, or its lease is over.
+    /// Adds a job from its records. Tasks that were ordered to run on a VM count as running there until the VM has answered under
+    /// this owner's token or its lease is over.
     pub fn adopt(&mut self, id: JobId, entry: &JobEntry, now: Now) {
         let Some(spec) = &entry.spec else { return };
         if self.job_keys.contains_key(&id) {
@@ -40,7 +40,7 @@
         job.done_times.clone_from(&entry.progress.done_times);
         job.begin_due(now);
         if let Some(last) = entry.progress.tasks.iter().map(|record| record.time).max() {
-            // Those before one that has begun were due as well, whatever this node's clock says.
+            // All repetitions before a recorded one are due as well, whatever this node's clock says.
             job.open_times_up_to(last);
         }
         for HarmRecord { time, step, index, harm } in &entry.progress.harms {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Takes in what a settled job may still have running, which counts and is to be stopped.
+    /// Adds a settled job whose tasks may still be running. They count as running and are to be stopped.
     fn adopt_settled(&mut self, id: JobId, spec: &Arc<JobSpec>, progress: &Progress, now: Now) {
         if progress.tasks.is_empty() {
             return;
@@ -73,7 +73,7 @@
         for record in &progress.tasks {
             self.adopt_task(id, record, now);
         }
-        // They are told to stop as their VMs list them.
+        // Each stop is ordered when the VM lists the run.
         for vm in self.vms.values_mut() {
             let of_job = vm.runs.iter_mut().filter(|(task, _)| task.job == id);
             of_job.for_each(|(_, run)| run.stopping = true);
@@ -102,7 +102,7 @@
         self.add_run(vm, id, run);
     }
 
-    /// Returns the incarnations that have runs, each with its listing if there is one.
+    /// Returns the VM incarnations that have runs, each with the platform's listing if there is one.
     pub fn vms_with_runs(&self) -> Vec<(VmLife, Option<Arc<crate::vm::VmFacts>>)> {
         let busy = |vm: &&super::Vm| !vm.runs.is_empty();
         self.vms.values().filter(busy).map(|vm| (vm.id.clone(), vm.facts.clone())).collect()
