--- a/crates/schedule/src/pool/advice.rs
+++ b/crates/schedule/src/pool/advice.rs
@@ -71,8 +71,8 @@
     /// Requests advice on the VMs that could run a step, unless a request is in flight or has ended just now.
     pub(super) fn ask(&mut self, ready: ReadyStep, shape: &Step, policy: AdvicePolicy, now: Now) {
         let step = ready.id();
-        let known = self.advice.entry(step).or_default();
-        if known.under_way || now.steady < known.ask_again_at {
+        let state = self.advice.entry(step).or_default();
+        if state.under_way || now.steady < state.ask_again_at {
             return;
         }
         let fits = |vm: &&super::Vm| vm.takes_work() && vm.free().holds(shape.room());
@@ -82,8 +82,8 @@
         if vms.is_empty() {
             return;
         }
-        if let Some(known) = self.advice.get_mut(&step) {
-            known.under_way = true;
+        if let Some(state) = self.advice.get_mut(&step) {
+            state.under_way = true;
         }
         self.orders.push(Order::Ask(Question { step, vms, policy }));
     }
--- a/crates/schedule/src/pool/arrivals.rs
+++ b/crates/schedule/src/pool/arrivals.rs
@@ -101,12 +101,12 @@
                 high = high.min(most_expected(before) / passed.max(1) as f64);
             }
             let span = passed.max(LEAST_SPAN_MS) as f64;
-            let came = before + 1;
-            low = low.max(least_expected(came) / span);
-            if came <= counted || passed <= LEAST_SPAN_MS {
+            let arrived = before + 1;
+            low = low.max(least_expected(arrived) / span);
+            if arrived <= counted || passed <= LEAST_SPAN_MS {
                 rate = before as f64 / span;
             }
-            if came >= counted && passed >= LEAST_SPAN_MS {
+            if arrived >= counted && passed >= LEAST_SPAN_MS {
                 break;
             }
         }
@@ -118,15 +118,15 @@
 }
 
 /// Returns the lower confidence bound of the expected number of arrivals, given the observed number.
-fn least_expected(came: usize) -> f64 {
-    let came = f64::from(u32::try_from(came).unwrap_or(u32::MAX));
-    (came - DOUBT * came.sqrt() - 1.0).max(0.0)
+fn least_expected(arrived: usize) -> f64 {
+    let arrived = f64::from(u32::try_from(arrived).unwrap_or(u32::MAX));
+    (arrived - DOUBT * arrived.sqrt() - 1.0).max(0.0)
 }
 
 /// Returns the upper confidence bound of the expected number of arrivals, given the observed number.
-fn most_expected(came: usize) -> f64 {
-    let came = f64::from(u32::try_from(came).unwrap_or(u32::MAX));
-    came + DOUBT * came.sqrt() + NONE_SEEN
+fn most_expected(arrived: usize) -> f64 {
+    let arrived = f64::from(u32::try_from(arrived).unwrap_or(u32::MAX));
+    arrived + DOUBT * arrived.sqrt() + NONE_SEEN
 }
 
 impl Pool {
--- a/crates/schedule/src/pool/ends.rs
+++ b/crates/schedule/src/pool/ends.rs
@@ -122,10 +122,10 @@
         step.set(index, Spot::Waiting);
         let mut failures = 0;
         if end.kind == EndKind::Failed && !shape.lasting {
-            let counted = shape.gang && step.failed_attempt == end.run.attempt;
+            let already_counted = shape.gang && step.failed_attempt == end.run.attempt;
             step.failed_attempt = end.run.attempt;
             let task = &mut step.tasks[index];
-            task.failures += u32::from(!counted);
+            task.failures += u32::from(!already_counted);
             task.avoid = Some(vm);
             failures = if shape.gang { step.gang_failures() } else { step.tasks[index].failures };
         } else if end.kind == EndKind::Failed {
--- a/crates/schedule/src/pool/evacuate.rs
+++ b/crates/schedule/src/pool/evacuate.rs
@@ -24,11 +24,11 @@
         // Draining VMs go first: tasks that must move with them count as absent for tasks whose move can wait.
         vms.sort_by_key(|&key| !self.vms[key].draining());
         for key in vms {
-            let waits = |(_, run): &(&TaskId, &Run)| !run.stopping && run.confirmed.is_some();
+            let can_stop = |(_, run): &(&TaskId, &Run)| !run.stopping && run.confirmed.is_some();
             let runs: Vec<(TaskId, u32)> = self.vms[key]
                 .runs
                 .iter()
-                .filter(waits)
+                .filter(can_stop)
                 .map(|(&task, run)| (task, run.attempt))
                 .collect();
             for (task, attempt) in runs {
@@ -47,8 +47,8 @@
             return false;
         }
         let vm = &self.vms[vm];
-        let hurried = vm.cordoned && vm.name().is_some_and(|name| self.hurried.contains(name));
-        let Some(run) = vm.runs.get(&task).filter(|run| hurried && run.can_be_resumed()) else {
+        let urgent = vm.cordoned && vm.name().is_some_and(|name| self.hurried.contains(name));
+        let Some(run) = vm.runs.get(&task).filter(|run| urgent && run.can_be_resumed()) else {
             return false;
         };
         self.time_left(task, run, now.steady) > WORTH_STOPPING_MS
@@ -91,13 +91,13 @@
         let same_step =
             |t: &TaskId| t.job == task.job && t.time == task.time && t.step == task.step;
         self.vms.iter().any(|(key, other)| {
-            let there = other.runs.keys().filter(|t| same_step(t)).count();
+            let same_step_count = other.runs.keys().filter(|t| same_step(t)).count();
             let spread = usize::try_from(shape.anti_affinity).unwrap_or(usize::MAX);
             key != vm
                 && other.takes_work()
                 && other.aside_until <= now.steady
                 && other.free().holds(shape.room())
-                && (spread == 0 || there < spread)
+                && (spread == 0 || same_step_count < spread)
         })
     }
 
--- a/crates/schedule/src/pool/gang.rs
+++ b/crates/schedule/src/pool/gang.rs
@@ -20,7 +20,7 @@
         if !self.quota.may_start(self.jobs[ready.job].workspace, whole) {
             return;
         }
-        let Some(care) = self.care_of_gang(ready, shape, &waiting, now.steady) else { return };
+        let Some(isolation) = self.care_of_gang(ready, shape, &waiting, now.steady) else { return };
         let mut racks: Vec<Option<std::sync::Arc<str>>> = Vec::new();
         if shape.rack_local {
             for vm in self.vms.values().filter_map(|vm| vm.facts.as_ref()) {
@@ -35,7 +35,7 @@
             let mut placed = Vec::new();
             for &index in &waiting {
                 let Some(vm) =
-                    self.choose_vm(ready, shape, index, rack.as_deref(), care, now.steady)
+                    self.choose_vm(ready, shape, index, rack.as_deref(), isolation, now.steady)
                 else {
                     break;
                 };
@@ -79,7 +79,7 @@
     ) -> Option<Care> {
         let suspect = |&&i: &&usize| self.verdict(ready.task(i)) != Verdict::Clear;
         let Some(&suspect) = members.iter().find(suspect) else { return Some(Care::Usual) };
-        let care = self.care(ready, suspect, now)?;
-        self.may_hold_one_more(shape, care, now).then_some(care)
+        let isolation = self.care(ready, suspect, now)?;
+        self.may_hold_one_more(shape, isolation, now).then_some(isolation)
     }
 }
--- a/crates/schedule/src/pool/job.rs
+++ b/crates/schedule/src/pool/job.rs
@@ -231,17 +231,17 @@
 
     /// Returns the progress record of the job.
     pub fn progress(&self, vm_id: impl Fn(VmKey) -> Option<VmLife>) -> Progress {
-        let harm = |(task, harm): (&TaskId, &Harm)| HarmRecord {
+        let crash_history = |(task, crash_history): (&TaskId, &Harm)| HarmRecord {
             time: task.time,
             step: task.step,
             index: task.index,
-            harm: harm.clone(),
+            harm: crash_history.clone(),
         };
         let mut progress = Progress {
             phase: self.phase,
             begun: self.begun,
             settled_ms: self.settled_ms,
-            harms: self.harm.iter().map(harm).collect(),
+            harms: self.harm.iter().map(crash_history).collect(),
             ..Progress::default()
         };
         let open = self.phase == Phase::Open;
--- a/crates/schedule/src/pool/losses.rs
+++ b/crates/schedule/src/pool/losses.rs
@@ -26,27 +26,27 @@
         self.end_life(id, loss, None, now)
     }
 
-    /// Records that a VM has restarted under its ID, and returns the runs that were lost with its previous incarnation. `former`
-    /// and `life` may be equal if the VM reports no start time, or reports the same one again.
+    /// Records that a VM has restarted under its ID, and returns the runs that were lost with its previous incarnation.
+    /// `previous` and `next` may be equal if the VM reports no start time, or reports the same one again.
     ///
     /// Orders name only the VM's ID, so the new incarnation may have executed, or may yet execute, a start meant for the previous
     /// one. Unless that is impossible, a run counts in the new incarnation until its answer under this owner's token shows
     /// whether the run exists.
-    pub fn vm_restarted(&mut self, former: &VmLife, life: &VmLife, now: Now) -> Vec<LostRun> {
-        self.end_life(former, VmLoss::Replaced, Some(life), now)
+    pub fn vm_restarted(&mut self, previous: &VmLife, next: &VmLife, now: Now) -> Vec<LostRun> {
+        self.end_life(previous, VmLoss::Replaced, Some(next), now)
     }
 
     /// Ends the previous incarnations of a VM, known from records, when the listed incarnation answers for the first time. The
     /// records were written before that incarnation was queried.
-    pub(super) fn end_former_lives(&mut self, life: &VmLife, now: Now) {
-        if self.vm_keys.get(life).is_some_and(|&key| self.vms[key].held) {
+    pub(super) fn end_former_lives(&mut self, current: &VmLife, now: Now) {
+        if self.vm_keys.get(current).is_some_and(|&key| self.vms[key].held) {
             return;
         }
-        let former = |vm: &&Vm| vm.id.is_other_life_of(life) && !vm.listed;
-        let former: Vec<VmLife> =
-            self.vms.values().filter(former).map(|vm| vm.id.clone()).collect();
-        for former in former {
-            self.vm_restarted(&former, life, now);
+        let previous = |vm: &&Vm| vm.id.is_other_life_of(current) && !vm.listed;
+        let previous: Vec<VmLife> =
+            self.vms.values().filter(previous).map(|vm| vm.id.clone()).collect();
+        for previous in previous {
+            self.vm_restarted(&previous, current, now);
         }
     }
 
@@ -73,7 +73,7 @@
             may_be_there: next.is_some() && !run.ends_with_its_life(),
         };
         let lost: Vec<LostRun> = vm.runs.iter().map(lost).collect();
-        let silent = UnclearLoss {
+        let unclear = UnclearLoss {
             vm: vm.id.to_string(),
             name: vm.name().map(|n| n.as_ref().to_owned()).unwrap_or_default(),
             at_ms: now.wall,
@@ -84,7 +84,7 @@
                 Some(_) | None => self.release(key, lost.run, now),
             }
         }
-        self.count_loss(&silent, crashes, loss, now);
+        self.count_loss(&unclear, crashes, loss, now);
         self.forget_vm_if_empty(key);
         lost
     }
--- a/crates/schedule/src/pool/mod.rs
+++ b/crates/schedule/src/pool/mod.rs
@@ -272,8 +272,8 @@
     fn forget_settled(&mut self) {
         let vms = &self.vms;
         let runs = |id| vms.values().any(|vm| vm.runs.keys().any(|t| t.job == id));
-        let gone = |j: &Job| j.phase != Phase::Open && !j.dirty && !runs(j.id);
-        let ids: Vec<JobId> = self.jobs.values().filter(|j| gone(j)).map(|j| j.id).collect();
+        let removable = |j: &Job| j.phase != Phase::Open && !j.dirty && !runs(j.id);
+        let ids: Vec<JobId> = self.jobs.values().filter(|j| removable(j)).map(|j| j.id).collect();
         for id in ids {
             if let Some(key) = self.job_keys.remove(&id) {
                 self.jobs.remove(key);
--- a/crates/schedule/src/pool/need.rs
+++ b/crates/schedule/src/pool/need.rs
@@ -51,11 +51,11 @@
         let mut demand =
             Demand { arriving: self.arrivals.arriving(lead, now.steady), ..Demand::default() };
         let late = self.late_jobs(now.steady);
-        let mut ending = Ending::new();
+        let mut remaining = Ending::new();
         for vm in self.vms.values() {
             for (&task, run) in vm.runs.iter().filter(|(_, run)| !run.lasting) {
                 let left = self.time_left(task, run, now.steady);
-                let end = ending.entry(step_of(task)).or_default();
+                let end = remaining.entry(step_of(task)).or_default();
                 *end = left.max(*end);
                 if left > lead && vm.takes_work() {
                     let cpu = u64::from(run.demand.cpu);
@@ -79,7 +79,7 @@
         let mut capped: HashMap<WorkspaceKey, u64> = HashMap::new();
         for job in self.jobs.values().filter(|job| job.phase == Phase::Open) {
             let mut waiting = Demand::default();
-            self.add_waiting(job, (lead, largest), &ending, now, &mut waiting);
+            self.add_waiting(job, (lead, largest), &remaining, now, &mut waiting);
             if let Some((key, left)) =
                 job.workspace.and_then(|w| Some((w, self.quota.cpu_left(w)?)))
             {
@@ -119,7 +119,7 @@
         &self,
         job: &Job,
         (lead, largest): (Ms, u32),
-        ending: &Ending,
+        remaining: &Ending,
         now: Now,
         demand: &mut Demand,
     ) {
@@ -127,17 +127,17 @@
             job.ready_steps().map(|(time, step, _)| (time, step)).collect();
         let of_use = ready.is_empty() || !self.rank(job, now.steady).is_too_late();
         for (&time, run) in &job.times {
-            let turns = self.turns(job, time, run, ending);
+            let spans = self.turns(job, time, run, remaining);
             for (i, step) in run.steps.iter().enumerate().filter(|(_, step)| step.waiting > 0) {
                 let shape = &job.spec.steps[i];
-                let times = if shape.lasting { LASTING_WAIT_AS } else { 1 };
+                let weight = if shape.lasting { LASTING_WAIT_AS } else { 1 };
                 let each = room_taken_by(shape.room().cpu, largest);
-                let cpu = each * u64::from(step.waiting) * times;
+                let cpu = each * u64::from(step.waiting) * weight;
                 if ready.contains(&(time, i)) {
                     if of_use && self.fits_somewhere(job.spec.steps[i].room()) {
                         demand.waiting += cpu;
                     }
-                } else if turns[i].is_some_and(|turn| turn.begins <= lead && lead < turn.ends) {
+                } else if spans[i].is_some_and(|span| span.begins <= lead && lead < span.ends) {
                     demand.following += cpu;
                 }
             }
@@ -153,18 +153,18 @@
     /// Returns when each step of a repetition is expected to run, or `None` for a step that has no expected time yet because the
     /// step
     /// itself or one that it depends on waits for room.
-    fn turns(&self, job: &Job, time: u32, run: &TimeRun, ending: &Ending) -> Vec<Option<Turn>> {
-        let mut turns: Vec<Option<Turn>> = Vec::with_capacity(run.steps.len());
+    fn turns(&self, job: &Job, time: u32, run: &TimeRun, remaining: &Ending) -> Vec<Option<Turn>> {
+        let mut spans: Vec<Option<Turn>> = Vec::with_capacity(run.steps.len());
         for (i, step) in run.steps.iter().enumerate() {
             let before = &job.spec.steps[i].depends_on;
-            let ends = |&on: &u16| turns.get(usize::from(on)).copied().flatten().map(|t| t.ends);
+            let ends = |&on: &u16| spans.get(usize::from(on)).copied().flatten().map(|t| t.ends);
             let begins =
                 before.iter().map(ends).try_fold(0, |latest, ends| Some(latest.max(ends?)));
             let is_ready = before.iter().all(|&on| run.steps[usize::from(on)].is_done());
-            let turn = match begins {
+            let span = match begins {
                 _ if step.is_done() => Some(Turn::default()),
                 _ if step.waiting == 0 => {
-                    let left = ending.get(&(job.id, time, i)).copied();
+                    let left = remaining.get(&(job.id, time, i)).copied();
                     left.map(|ends| Turn { begins: 0, ends })
                 }
                 // A step that waits for room has no expected time, nor have the steps that depend on it.
@@ -172,9 +172,9 @@
                 Some(_) if is_ready => None,
                 Some(begins) => Some(Turn { begins, ends: self.end_of(job, i, begins) }),
             };
-            turns.push(turn);
+            spans.push(span);
         }
-        turns
+        spans
     }
 
     /// Returns the expected end of a step that begins at `begins`.
@@ -198,8 +198,8 @@
 /// Returns the CPU that a waiting task is counted as using. A task that needs more than half of the largest VM counts as that
 /// whole VM: it fits only on a nearly empty VM and leaves little room for others.
 fn room_taken_by(cpu: u32, largest: u32) -> u64 {
-    let fills = u64::from(cpu) * 2 > u64::from(largest);
-    u64::from(if fills { cpu.max(largest) } else { cpu })
+    let takes_whole_vm = u64::from(cpu) * 2 > u64::from(largest);
+    u64::from(if takes_whole_vm { cpu.max(largest) } else { cpu })
 }
 
 fn step_of(task: TaskId) -> (JobId, u32, usize) {
--- a/crates/schedule/src/pool/order.rs
+++ b/crates/schedule/src/pool/order.rs
@@ -107,15 +107,15 @@
 
     /// Frees the room of a run that certainly does not exist, and returns its task to the waiting state.
     pub(super) fn release(&mut self, vm: VmKey, run: RunId, _now: Now) {
-        let Some(gone) = self.remove_run(vm, run) else { return };
+        let Some(removed) = self.remove_run(vm, run) else { return };
         let Some(&key) = self.job_keys.get(&run.task.job) else { return };
         let Some(job) = self.jobs.get_mut(key) else { return };
         let Some((step, index)) = job.step_mut(run.task) else { return };
         if step.tasks[index].attempt == run.attempt && step.tasks[index].spot == Spot::On(vm) {
             step.set(index, Spot::Waiting);
             step.tasks[index].avoid = Some(vm);
-            if !gone.checkpoint.is_empty() {
-                step.tasks[index].checkpoint = gone.checkpoint;
+            if !removed.checkpoint.is_empty() {
+                step.tasks[index].checkpoint = removed.checkpoint;
             }
             self.touch(key);
         }
--- a/crates/schedule/src/pool/place.rs
+++ b/crates/schedule/src/pool/place.rs
@@ -104,14 +104,14 @@
             if !self.quota.may_start(self.jobs[ready.job].workspace, shape.demand) {
                 return true;
             }
-            let Some(mut care) = self.care(ready, index, now.steady) else { continue };
+            let Some(mut isolation) = self.care(ready, index, now.steady) else { continue };
             let suspect = self.verdict(ready.task(index)) == Verdict::Suspect;
-            if suspect && !self.may_hold_one_more(shape, care, now.steady) {
-                care = Care::BesideOwn;
+            if suspect && !self.may_hold_one_more(shape, isolation, now.steady) {
+                isolation = Care::BesideOwn;
             }
             // Apart from suspects, all tasks of a step fit on the same VMs: a VM to avoid is still used as a last resort. If one
             // task finds no VM, the others find none either.
-            let Some(vm) = self.choose_vm(ready, shape, index, None, care, now.steady) else {
+            let Some(vm) = self.choose_vm(ready, shape, index, None, isolation, now.steady) else {
                 if suspect {
                     continue;
                 }
@@ -149,7 +149,7 @@
         shape: &Step,
         index: usize,
         rack: Option<&str>,
-        care: Care,
+        isolation: Care,
         now: Ms,
     ) -> Option<VmKey> {
         let avoid = self.avoids(ready, index);
@@ -159,7 +159,7 @@
             vm.takes_work()
                 && vm.aside_until <= now
                 && vm.free().holds(shape.room())
-                && vm.may_share(ready.id, care, now)
+                && vm.may_share(ready.id, isolation, now)
                 && rack.is_none_or(|r| vm.facts.as_ref().is_some_and(|f| &*f.rack == r))
                 && has_labels(vm, shape)
                 && below_spread(vm, ready, shape)
@@ -169,9 +169,9 @@
             let near = shape.affinity.as_deref().is_some_and(|a| has_label(vm, a));
             // A VM on which the task failed is only a last resort.
             // On a VM due for maintenance, a lasting task would have to move again.
-            let stays = !shape.lasting || !vm.name().is_some_and(|n| self.due.contains(n));
+            let not_due = !shape.lasting || !vm.name().is_some_and(|n| self.due.contains(n));
             // A crash costs least on a VM without lasting tasks.
-            let spares = shape.lasting || !crash_prone || vm.lasting_runs() == 0;
+            let avoids_lasting = shape.lasting || !crash_prone || vm.lasting_runs() == 0;
             // Lasting tasks are packed on few VMs so that the others can be removed when load is low.
             let packed = if shape.lasting { vm.lasting_runs() } else { 0 };
             // Lasting tasks of the same step are still spread, so that the loss of a VM affects few of them.
@@ -188,8 +188,8 @@
                 Some(*key) != avoid,
                 warm,
                 !disturbs(vm, shape),
-                stays,
-                spares,
+                not_due,
+                avoids_lasting,
                 near,
                 spread,
                 packed,
--- a/crates/schedule/src/pool/quota.rs
+++ b/crates/schedule/src/pool/quota.rs
@@ -79,9 +79,9 @@
 
     /// Removes a run from a VM and from the workspace's cap use. Returns the run if it was there.
     pub(super) fn remove_run(&mut self, vm: VmKey, run: RunId) -> Option<Run> {
-        let gone = self.vms.get_mut(vm)?.remove_run(run)?;
-        self.quota.remove(self.workspace_of(run.task.job), gone.charge);
-        Some(gone)
+        let removed = self.vms.get_mut(vm)?.remove_run(run)?;
+        self.quota.remove(self.workspace_of(run.task.job), removed.charge);
+        Some(removed)
     }
 
     fn workspace_of(&self, job: JobId) -> Option<WorkspaceKey> {
--- a/crates/schedule/src/pool/report.rs
+++ b/crates/schedule/src/pool/report.rs
@@ -33,13 +33,13 @@
         self.resolve_silence(vm, false, now);
         self.end_former_lives(vm, now);
         let key = self.vm_key(vm);
-        let mut news = ReportNews::default();
+        let mut changes = ReportNews::default();
         for end in &report.ended {
             let vm = &self.vms[key];
-            let is_news = end.sequence > vm.ends_taken && !vm.has_run(end.run);
+            let is_new = end.sequence > vm.ends_taken && !vm.has_run(end.run);
             self.take_end(key, end, now);
-            if is_news && self.is_of_given_up(end) {
-                news.of_given_up.push(end.clone());
+            if is_new && self.is_of_given_up(end) {
+                changes.of_given_up.push(end.clone());
             }
         }
         if let Some(last) = report.ended.iter().map(|e| e.sequence).max() {
@@ -51,16 +51,16 @@
             self.take_row(key, row, report.asked_at, now);
         }
         if complete {
-            news.not_listed = self.drop_missing(key, report, &listed, now);
+            changes.not_listed = self.drop_missing(key, report, &listed, now);
         }
         self.pace(key, now);
-        let listing_is_sound = self.listing_is_sound;
+        let listing_is_complete = self.listing_is_sound;
         let vm = &mut self.vms[key];
-        vm.note_answer(report.asked_at, listing_is_sound, now.steady);
+        vm.note_answer(report.asked_at, listing_is_complete, now.steady);
         vm.held |= complete;
         vm.strays.retain(|run, _| listed.contains(run));
         self.forget_vm_if_empty(key);
-        news
+        changes
     }
 
     /// Returns whether an unexpected end belongs to an abandoned run that did not complete its task.
@@ -99,9 +99,9 @@
             }
             return;
         }
-        let told_at = vm.strays.entry(row.run).or_insert(0);
-        if *told_at == 0 || now.steady >= *told_at + STOP_AGAIN_MS {
-            *told_at = now.steady;
+        let last_stop = vm.strays.entry(row.run).or_insert(0);
+        if *last_stop == 0 || now.steady >= *last_stop + STOP_AGAIN_MS {
+            *last_stop = now.steady;
             self.order_stop(key, task, row.run.attempt);
         }
     }
@@ -128,8 +128,8 @@
         let first = !vm.held;
         let missing = |(&task, run): (&TaskId, &Run)| {
             let id = RunId { task, attempt: run.attempt };
-            let answered_before = run.confirmed.is_some_and(|at| report.asked_at > at);
-            ((first || answered_before) && !listed.contains(&id)).then_some(id)
+            let confirmed_before = run.confirmed.is_some_and(|at| report.asked_at > at);
+            ((first || confirmed_before) && !listed.contains(&id)).then_some(id)
         };
         let missing: Vec<RunId> = vm.runs.iter().filter_map(missing).collect();
         let (unclear, gone): (Vec<RunId>, Vec<RunId>) =
--- a/crates/schedule/src/pool/suspects.rs
+++ b/crates/schedule/src/pool/suspects.rs
@@ -60,9 +60,9 @@
 
 impl Vm {
     /// Returns whether a task of the job may share the VM, regardless of free room.
-    pub fn may_share(&self, job: JobId, care: Care, now: Ms) -> bool {
+    pub fn may_share(&self, job: JobId, isolation: Care, now: Ms) -> bool {
         let mut others = self.runs.iter().filter(|(task, _)| task.job != job);
-        match care {
+        match isolation {
             Care::Usual => !others.any(|(_, run)| run.is_unproven(now)),
             Care::Alone => others.next().is_none(),
             Care::BesideOwn => others.next().is_none() && self.is_held_by_suspect(now),
@@ -116,9 +116,9 @@
             self.crashed_at = Some(now.steady);
         }
         for (task, crash) in crashes {
-            self.change_harm(task, now, |harm| match loss {
-                VmLoss::Replaced => harm.add(crash),
-                VmLoss::LeaseOver => harm.add_unclear(vm.clone()),
+            self.change_harm(task, now, |history| match loss {
+                VmLoss::Replaced => history.add(crash),
+                VmLoss::LeaseOver => history.add_unclear(vm.clone()),
             });
         }
     }
@@ -131,8 +131,8 @@
         let vm = id.to_string();
         self.resolve_all(
             now,
-            |harm| {
-                if harm.unclear.iter().any(|loss| loss.vm == vm) {
+            |history| {
+                if history.unclear.iter().any(|loss| loss.vm == vm) {
                     vec![vm.clone()]
                 } else {
                     Vec::new()
@@ -144,20 +144,20 @@
 
     /// Counts VMs that have been unresponsive for too long as crashed.
     pub(super) fn end_silences(&mut self, now: Now) {
-        self.resolve_all(now, |harm| harm.overdue(now.wall), true);
+        self.resolve_all(now, |history| history.overdue(now.wall), true);
     }
 
     fn resolve_all(&mut self, now: Now, vms: impl Fn(&Harm) -> Vec<String>, crashed: bool) {
         let mut known = Vec::new();
         for &key in &self.harmed {
             let Some(job) = self.jobs.get(key) else { continue };
-            for (&task, harm) in &job.harm {
-                known.extend(vms(harm).into_iter().map(|vm| (task, vm)));
+            for (&task, history) in &job.harm {
+                known.extend(vms(history).into_iter().map(|vm| (task, vm)));
             }
         }
         for (task, vm) in known {
-            self.change_harm(task, now, |harm| {
-                let _ = harm.resolve(&vm, crashed);
+            self.change_harm(task, now, |history| {
+                let _ = history.resolve(&vm, crashed);
             });
         }
     }
@@ -165,8 +165,9 @@
     /// Returns the VMs that became unresponsive while tasks ran there and whose fate is unclear, with their stable names if
     /// known.
     pub fn silent_losses(&self) -> Vec<(VmLife, String)> {
-        let harmed = self.harmed.iter().filter_map(|&key| self.jobs.get(key));
-        let losses = harmed.flat_map(|job| job.harm.values()).flat_map(|harm| &harm.unclear);
+        let affected = self.harmed.iter().filter_map(|&key| self.jobs.get(key));
+        let losses =
+            affected.flat_map(|job| job.harm.values()).flat_map(|history| &history.unclear);
         losses.map(|loss| (VmLife::from(loss.vm.as_str()), loss.name.clone())).collect()
     }
 
@@ -183,9 +184,9 @@
     /// Returns the highest number of crashes under one of a job's suspects. Jobs with fewer crashes go first, as their tasks are
     /// less likely to be the cause.
     pub(super) fn worst_crashes(&self, key: JobKey) -> u32 {
-        let harms = self.jobs.get(key).into_iter().flat_map(|job| job.harm.values());
-        let suspects = harms.filter(|harm| harm.verdict() != Verdict::Clear);
-        suspects.map(|harm| harm.crashes).max().unwrap_or(0)
+        let histories = self.jobs.get(key).into_iter().flat_map(|job| job.harm.values());
+        let suspects = histories.filter(|history| history.verdict() != Verdict::Clear);
+        suspects.map(|history| history.crashes).max().unwrap_or(0)
     }
 
     fn change_harm(&mut self, task: TaskId, now: Now, change: impl FnOnce(&mut Harm)) {
@@ -193,17 +194,17 @@
         let Some(job) = self.jobs.get_mut(key).filter(|job| job.phase == Phase::Open) else {
             return;
         };
-        let harm = job.harm.entry(task).or_default();
-        change(harm);
-        let (verdict, harm) = (harm.verdict(), harm.clone());
-        if harm == Harm::default() {
+        let history = job.harm.entry(task).or_default();
+        change(history);
+        let (verdict, history) = (history.verdict(), history.clone());
+        if history == Harm::default() {
             job.harm.remove(&task);
         }
         job.harm_at = now.steady;
         self.note_harmed(key);
         self.touch(key);
         if verdict == Verdict::GivenUp {
-            self.given_up.push(GivenUp { task, harm });
+            self.given_up.push(GivenUp { task, harm: history });
             self.settle(key, Phase::Failed, now);
         }
     }
@@ -234,8 +235,8 @@
 
     /// Returns how long a run of a suspect must last before it may share its VM, or `None` if the task is not a suspect.
     pub(super) fn unproven_for(&self, task: TaskId) -> Option<Ms> {
-        let harm = self.harm_of(task).filter(|harm| harm.verdict() == Verdict::Suspect)?;
-        Some(PROVEN_MS * Ms::from(harm.crashes))
+        let history = self.harm_of(task).filter(|history| history.verdict() == Verdict::Suspect)?;
+        Some(PROVEN_MS * Ms::from(history.crashes))
     }
 
     pub(super) fn verdict(&self, task: TaskId) -> Verdict {
@@ -245,11 +246,11 @@
     /// Returns the isolation of a waiting task, or `None` while it may not be started.
     pub(super) fn care(&self, ready: ReadyStep, index: usize, now: Ms) -> Option<Care> {
         let task = ready.task(index);
-        let Some(harm) = self.harm_of(task) else { return Some(Care::Usual) };
+        let Some(history) = self.harm_of(task) else { return Some(Care::Usual) };
         let lost_at =
             self.job_key(task).and_then(|key| self.jobs.get(key)).map_or(0, |j| j.harm_at);
-        let waited = now.checked_sub(lost_at + harm.pause());
-        match (harm.verdict(), waited) {
+        let waited = now.checked_sub(lost_at + history.pause());
+        match (history.verdict(), waited) {
             (Verdict::Clear, _) => Some(Care::Usual),
             (Verdict::Held | Verdict::GivenUp, _) | (Verdict::Suspect, None) => None,
             (Verdict::Suspect, Some(_)) if !self.policy.tasks.keep_suspects_apart => {
@@ -266,15 +267,16 @@
     /// Returns whether suspects may occupy one more VM; their share of the VMs is limited. Lasting tasks and gangs are exempt
     /// after
     /// a short wait, as they may need many VMs.
-    pub(super) fn may_hold_one_more(&self, shape: &Step, care: Care, now: Ms) -> bool {
+    pub(super) fn may_hold_one_more(&self, shape: &Step, isolation: Care, now: Ms) -> bool {
         if !self.policy.tasks.keep_suspects_apart
-            || (shape.lasting || shape.gang) && care == Care::Usual
+            || (shape.lasting || shape.gang) && isolation == Care::Usual
         {
             return true;
         }
-        let a_suspect = if care == Care::Usual { VMS_A_LATE_SUSPECT } else { VMS_A_SUSPECT };
+        let vms_per_suspect =
+            if isolation == Care::Usual { VMS_A_LATE_SUSPECT } else { VMS_A_SUSPECT };
         let held = self.vms.values().filter(|vm| vm.is_held_by_suspect(now)).count();
-        held < (self.vms.len() / a_suspect).max(1)
+        held < (self.vms.len() / vms_per_suspect).max(1)
     }
 
     /// Returns the number of waiting suspects, leaving out jobs that are too late to be of use.
@@ -286,7 +288,8 @@
         let open = jobs.filter(|job| job.phase == Phase::Open);
         let of_use = open.filter(|job| !self.rank(job, now).is_too_late());
         let waits = |job: &&super::Job| {
-            let suspects = job.harm.iter().filter(|(_, harm)| harm.verdict() == Verdict::Suspect);
+            let suspects =
+                job.harm.iter().filter(|(_, history)| history.verdict() == Verdict::Suspect);
             let waits = |task: TaskId| job.task(task).is_some_and(|t| t.spot == Spot::Waiting);
             suspects.filter(|(task, _)| waits(**task)).count()
         };
--- a/crates/schedule/src/pool/vms.rs
+++ b/crates/schedule/src/pool/vms.rs
@@ -36,7 +36,7 @@
         let cordoned = self.cordoned.contains(&facts.name);
         let evacuated = !self.halls.takes_work(&facts.hall);
         let vm = &mut self.vms[key];
-        let is_news = !vm.listed || vm.draining() != facts.draining;
+        let is_change = !vm.listed || vm.draining() != facts.draining;
         vm.listed = true;
         (vm.answered_unlisted, vm.left_the_list) = (None, false);
         (vm.cordoned, vm.evacuated) = (cordoned, evacuated);
@@ -45,7 +45,7 @@
             (vm.without_room, vm.aside_until) = (0, 0);
         }
         vm.facts = Some(facts);
-        is_news
+        is_change
     }
 
     /// Stops unconfirmed runs on VMs whose room has shrunk until the remaining runs fit. A start order is repeated for up to a
@@ -172,14 +172,14 @@
 
     /// Assigns runs to a listed incarnation if records of older program versions name the VM by its ID only, without a start
     /// time: this incarnation may have them.
-    fn name_life(&mut self, life: &VmLife) {
-        let nameless = VmLife::new(life.id().clone(), None);
-        if *life == nameless || self.vm_keys.contains_key(life) {
+    fn name_life(&mut self, incarnation: &VmLife) {
+        let without_start_time = VmLife::new(incarnation.id().clone(), None);
+        if *incarnation == without_start_time || self.vm_keys.contains_key(incarnation) {
             return;
         }
-        if let Some(key) = self.vm_keys.remove(&nameless) {
-            self.vms[key].id = life.clone();
-            self.vm_keys.insert(life.clone(), key);
+        if let Some(key) = self.vm_keys.remove(&without_start_time) {
+            self.vms[key].id = incarnation.clone();
+            self.vm_keys.insert(incarnation.clone(), key);
         }
     }
 
