--- a/crates/schedule/src/pool/advice.rs
+++ b/crates/schedule/src/pool/advice.rs
@@ -50,8 +50,7 @@
 
 impl Pool {
     /// Applies the reply to a request: the VMs that may run the step, with their tickets, and the validity in milliseconds.
-    /// `None`
-    /// means that there was no reply.
+    /// `None` means that there was no reply.
     pub fn advised(&mut self, step: StepId, answer: Option<(Vec<(VmLife, String)>, Ms)>, now: Now) {
         let Some(advised) = self.advice.get_mut(&step) else { return };
         advised.under_way = false;
--- a/crates/schedule/src/pool/evacuate.rs
+++ b/crates/schedule/src/pool/evacuate.rs
@@ -10,8 +10,7 @@
 
 impl Pool {
     /// Stops lasting tasks on VMs that are cordoned or leaving, as far as each step's limit on absent tasks allows and there is
-    /// room
-    /// elsewhere. Also stops resumable tasks on VMs that another pool urgently needs.
+    /// room elsewhere. Also stops resumable tasks on VMs that another pool urgently needs.
     pub(super) fn evacuate(&mut self, now: Now) {
         let leaving = |key: VmKey| {
             let vm = &self.vms[key];
@@ -40,8 +39,7 @@
     }
 
     /// Returns whether a run is to be stopped because another pool urgently needs its VM. The task may have to wait for room, as
-    /// its
-    /// own pool needs the VM less.
+    /// its own pool needs the VM less.
     fn hurries(&self, vm: VmKey, task: TaskId, now: Now) -> bool {
         if !self.policy.moves.stop_tasks {
             return false;
--- a/crates/schedule/src/pool/mod.rs
+++ b/crates/schedule/src/pool/mod.rs
@@ -15,7 +15,6 @@
 mod losses;
 mod need;
 mod order;
-mod pace;
 mod place;
 mod quota;
 mod rank;
@@ -24,6 +23,7 @@
 mod run;
 mod suspects;
 mod takeover;
+mod throttle;
 mod vms;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -49,9 +49,9 @@
 pub use losses::LostRun;
 pub use need::Demand;
 pub use order::{Order, StartOrder, StartResult};
-pub use pace::Watch;
 pub use report::ReportNews;
 pub use suspects::GivenUp;
+pub use throttle::Watch;
 pub use vms::VmSummary;
 
 new_key_type! {
--- a/crates/schedule/src/pool/need.rs
+++ b/crates/schedule/src/pool/need.rs
@@ -1,10 +1,9 @@
 //! Forecast of a pool's demand at the time when VMs ordered now become available.
 //!
-//! A VM takes about two seconds to become available, and the load can change completely within that time: many current runs
-//! end, and much of the new load has not arrived yet. With this forecast instead of the current load of running and waiting
-//! tasks,
-//! the two worst spans of two seconds of a calm day serve 0.89 in place of 0.84 of the work due (means of four and five runs with
-//! 49 VMs).
+//! A VM takes about two seconds to become available, and the load can change completely within that time: many current runs end,
+//! and much of the new load has not arrived yet. With this forecast instead of the current load of running and waiting tasks, the
+//! two worst spans of two seconds of a calm day serve 0.89 in place of 0.84 of the work due (means of four and five runs with 49
+//! VMs).
 
 use std::collections::{HashMap, HashSet};
 
@@ -99,8 +98,7 @@
     }
 
     /// Returns the CPU of the VMs that waiting suspects will occupy beyond their own demand, as each runs alone. At most as many
-    /// VMs
-    /// are added as the pool has now, so that many suspects do not claim all VMs at once.
+    /// VMs are added as the pool has now, so that many suspects do not claim all VMs at once.
     fn held_back_by_suspects(&self, now: Ms) -> u64 {
         let vms: Vec<&Vm> = self.vms.values().filter(|vm| vm.takes_work()).collect();
         let cpu: u64 = vms.iter().map(|vm| u64::from(vm.room().cpu)).sum();
@@ -151,8 +149,7 @@
     }
 
     /// Returns when each step of a repetition is expected to run, or `None` for a step that has no expected time yet because the
-    /// step
-    /// itself or one that it depends on waits for room.
+    /// step itself or one that it depends on waits for room.
     fn turns(&self, job: &Job, time: u32, run: &TimeRun, remaining: &Ending) -> Vec<Option<Turn>> {
         let mut spans: Vec<Option<Turn>> = Vec::with_capacity(run.steps.len());
         for (i, step) in run.steps.iter().enumerate() {
--- a/crates/schedule/src/pool/order.rs
+++ b/crates/schedule/src/pool/order.rs
@@ -63,8 +63,7 @@
     /// The VM rejected the run because the VM is unhealthy; nothing was started.
     Unhealthy,
     /// The VM refused a repeated order: an earlier copy may have been executed or still be in flight. The VM's next report shows
-    /// the
-    /// former, and a stop prevents the latter.
+    /// the former, and a stop prevents the latter.
     Unclear,
 }
 
--- a/crates/schedule/src/pool/place.rs
+++ b/crates/schedule/src/pool/place.rs
@@ -165,9 +165,9 @@
                 && below_spread(vm, ready, shape)
                 && (!needs_ticket || self.ticket(ready.id(), &vm.id, now).is_some())
         };
+        // VMs are compared by these criteria in order. A VM on which the task failed is only a last resort.
         let score = |(key, vm): &(VmKey, &Vm)| {
             let near = shape.affinity.as_deref().is_some_and(|a| has_label(vm, a));
-            // A VM on which the task failed is only a last resort.
             // On a VM due for maintenance, a lasting task would have to move again.
             let not_due = !shape.lasting || !vm.name().is_some_and(|n| self.due.contains(n));
             // A crash costs least on a VM without lasting tasks.
--- a/crates/schedule/src/pool/suspects.rs
+++ b/crates/schedule/src/pool/suspects.rs
@@ -265,8 +265,7 @@
     }
 
     /// Returns whether suspects may occupy one more VM; their share of the VMs is limited. Lasting tasks and gangs are exempt
-    /// after
-    /// a short wait, as they may need many VMs.
+    /// after a short wait, as they may need many VMs.
     pub(super) fn may_hold_one_more(&self, shape: &Step, isolation: Care, now: Ms) -> bool {
         if !self.policy.tasks.keep_suspects_apart
             || (shape.lasting || shape.gang) && isolation == Care::Usual
--- a/crates/schedule/src/pool/vms.rs
+++ b/crates/schedule/src/pool/vms.rs
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Marks a VM incarnation as no longer listed by the platform. Returns whether it was listed before.
-    /// Its runs count until its lease is over or their ends are known.
+    /// Marks a VM incarnation as no longer listed by the platform. Returns whether it was listed before. Its runs count until its
+    /// lease is over or their ends are known.
     pub fn unlist_vm(&mut self, id: &VmLife) -> bool {
         let Some(&key) = self.vm_keys.get(id) else { return false };
         let was_listed = std::mem::replace(&mut self.vms[key].listed, false);
