--- a/crates/schedule/src/pool/mod.rs
+++ b/crates/schedule/src/pool/mod.rs
@@ -102,7 +102,7 @@
     job_keys: HashMap<JobId, JobKey>,
     vms: SlotMap<VmKey, Vm>,
     vm_keys: HashMap<VmLife, VmKey>,
-    /// The stable names of VMs that are to be emptied.
+    /// The stable names, which are the same in all incarnations, of VMs that are to be emptied.
     cordoned: HashSet<Arc<str>>,
     /// The stable names of cordoned VMs that another pool needs now.
     hurried: HashSet<Arc<str>>,
--- a/crates/schedule/src/pool/place.rs
+++ b/crates/schedule/src/pool/place.rs
@@ -142,7 +142,7 @@
         self.jobs[ready.job].task(ready.task(index)).map_or(1, |t| t.attempt + 1)
     }
 
-    /// Returns the best VM for a task: among others one near the task's data, and the fullest that fits.
+    /// Returns the best VM for a task, or `None` if no VM fits.
     pub(super) fn choose_vm(
         &self,
         ready: ReadyStep,
