--- a/crates/schedule/src/pool/advice.rs
+++ b/crates/schedule/src/pool/advice.rs
@@ -9,9 +9,9 @@
 use crate::spec::{AdvicePolicy, Step};
 
 /// The maximum number of VMs in one request. The users' estimate of a job's critical path includes one request for about as many.
-const VMS_ASKED: usize = 30;
+const VMS_PER_REQUEST: usize = 30;
 /// The delay before the next request for a step after a reply or a failed request, in milliseconds.
-const ASK_AGAIN_MS: Ms = 300;
+const RETRY_MS: Ms = 300;
 /// How long before its expiry a ticket is last used, in milliseconds: a start takes some milliseconds to arrive, and clocks
 /// differ.
 const TICKET_MARGIN_MS: Ms = 150;
@@ -40,12 +40,12 @@
 
 /// The advice known for a step, and the state of the request for it.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Advised {
+pub(super) struct AdviceState {
     /// The VMs that may run the step, with the tickets that starts carry.
     tickets: BTreeMap<VmLife, String>,
-    good_until: Ms,
-    under_way: bool,
-    ask_again_at: Ms,
+    valid_until: Ms,
+    in_flight: bool,
+    retry_at: Ms,
 }
 
 impl Pool {
@@ -53,36 +53,43 @@
     /// `None` means that there was no reply.
     pub fn advised(&mut self, step: StepId, answer: Option<(Vec<(VmLife, String)>, Ms)>, now: Now) {
         let Some(advised) = self.advice.get_mut(&step) else { return };
-        advised.under_way = false;
-        advised.ask_again_at = now.steady + ASK_AGAIN_MS;
+        advised.in_flight = false;
+        advised.retry_at = now.steady + RETRY_MS;
         if let Some((tickets, valid)) = answer {
             advised.tickets = tickets.into_iter().collect();
-            advised.good_until = now.steady + valid.saturating_sub(TICKET_MARGIN_MS);
+            advised.valid_until = now.steady + valid.saturating_sub(TICKET_MARGIN_MS);
         }
     }
 
     /// Returns the ticket for a start if current advice allows the VM to run the step.
     pub(super) fn ticket(&self, step: StepId, vm: &VmLife, now: Ms) -> Option<String> {
-        let advised = self.advice.get(&step).filter(|a| now < a.good_until)?;
+        let advised = self.advice.get(&step).filter(|a| now < a.valid_until)?;
         advised.tickets.get(vm).cloned()
     }
 
     /// Requests advice on the VMs that could run a step, unless a request is in flight or has ended just now.
-    pub(super) fn ask(&mut self, ready: ReadyStep, shape: &Step, policy: AdvicePolicy, now: Now) {
+    pub(super) fn request_advice(
+        &mut self,
+        ready: ReadyStep,
+        shape: &Step,
+        policy: AdvicePolicy,
+        now: Now,
+    ) {
         let step = ready.id();
         let state = self.advice.entry(step).or_default();
-        if state.under_way || now.steady < state.ask_again_at {
+        if state.in_flight || now.steady < state.retry_at {
             return;
         }
         let fits = |vm: &&super::Vm| vm.takes_work() && vm.free().holds(shape.room());
         let mut vms: Vec<&super::Vm> = self.vms.values().filter(fits).collect();
         vms.sort_by_key(|vm| std::cmp::Reverse(vm.free().cpu));
-        let vms: Vec<VmLife> = vms.into_iter().take(VMS_ASKED).map(|vm| vm.id.clone()).collect();
+        let vms: Vec<VmLife> =
+            vms.into_iter().take(VMS_PER_REQUEST).map(|vm| vm.id.clone()).collect();
         if vms.is_empty() {
             return;
         }
         if let Some(state) = self.advice.get_mut(&step) {
-            state.under_way = true;
+            state.in_flight = true;
         }
         self.orders.push(Order::Ask(Question { step, vms, policy }));
     }
--- a/crates/schedule/src/pool/arrivals.rs
+++ b/crates/schedule/src/pool/arrivals.rs
@@ -7,20 +7,20 @@
 use crate::spec::{JobSpec, Step};
 
 /// The shortest span for which a rate is computed, in milliseconds. Jobs arrive in bunches when records are read together.
-const LEAST_SPAN_MS: Ms = 300;
+const MIN_SPAN_MS: Ms = 300;
 /// The number of arrivals kept per queue: those of the shortest span at 400 a second.
-const REMEMBERED: usize = 128;
+const MAX_ARRIVALS: usize = 128;
 /// The weight of a new job in the moving means of its queue, which cover about the last thirty jobs.
 const WEIGHT: f64 = 1.0 / 30.0;
 /// The half-width of the confidence interval around a count, in standard deviations. At this width, nine of ten detected changes
 /// are not due to chance.
-const DOUBT: f64 = 1.3;
+const CONFIDENCE_WIDTH: f64 = 1.3;
 /// Added to the upper confidence bound of a count. With the same confidence, a count of zero means that fewer than this many
 /// arrivals were expected.
-const NONE_SEEN: f64 = 1.5;
+const ZERO_COUNT_BOUND: f64 = 1.5;
 
 /// The number of latest arrivals from which a falling rate is detected.
-const NEWEST: usize = 3;
+const LATEST_ARRIVALS: usize = 3;
 
 /// The recent arrivals of each queue.
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Default)]
 struct QueueArrivals {
     /// The arrival times, latest first.
-    at: VecDeque<Ms>,
+    arrived_at: VecDeque<Ms>,
     /// The mean work of a job, in thousandths of a core times milliseconds.
     work: f64,
     /// The mean length of a job's critical path, in milliseconds.
@@ -52,7 +52,7 @@
         Self { by_queue: HashMap::new(), counted }
     }
 
-    fn note(&mut self, queue: &str, work: f64, chain: f64, now: Ms) {
+    fn record(&mut self, queue: &str, work: f64, chain: f64, now: Ms) {
         if !self.by_queue.contains_key(queue) {
             let first = QueueArrivals { work, chain, ..QueueArrivals::default() };
             self.by_queue.insert(queue.to_owned(), first);
@@ -60,8 +60,8 @@
         let Some(known) = self.by_queue.get_mut(queue) else { return };
         known.work += WEIGHT * (work - known.work);
         known.chain += WEIGHT * (chain - known.chain);
-        known.at.push_front(now);
-        known.at.truncate(REMEMBERED);
+        known.arrived_at.push_front(now);
+        known.arrived_at.truncate(MAX_ARRIVALS);
     }
 
     /// Returns the CPU that jobs arriving within the next `lead` milliseconds will use at the end of that time, at the current
@@ -94,23 +94,23 @@
         }
         let (mut low, mut high) = (0.0_f64, f64::INFINITY);
         let mut rate = 0.0;
-        for (before, &at) in self.at.iter().enumerate() {
+        for (before, &at) in self.arrived_at.iter().enumerate() {
             let passed = now.saturating_sub(at);
             // Older spans do not rule out a recent rise.
-            if before <= NEWEST {
-                high = high.min(most_expected(before) / passed.max(1) as f64);
+            if before <= LATEST_ARRIVALS {
+                high = high.min(max_expected(before) / passed.max(1) as f64);
             }
-            let span = passed.max(LEAST_SPAN_MS) as f64;
+            let span = passed.max(MIN_SPAN_MS) as f64;
             let arrived = before + 1;
-            low = low.max(least_expected(arrived) / span);
-            if arrived <= counted || passed <= LEAST_SPAN_MS {
+            low = low.max(min_expected(arrived) / span);
+            if arrived <= counted || passed <= MIN_SPAN_MS {
                 rate = before as f64 / span;
             }
-            if arrived >= counted && passed >= LEAST_SPAN_MS {
+            if arrived >= counted && passed >= MIN_SPAN_MS {
                 break;
             }
         }
-        if self.at.len() < counted {
+        if self.arrived_at.len() < counted {
             rate = 0.0;
         }
         rate.max(low).min(high)
@@ -118,20 +118,20 @@
 }
 
 /// Returns the lower confidence bound of the expected number of arrivals, given the observed number.
-fn least_expected(arrived: usize) -> f64 {
+fn min_expected(arrived: usize) -> f64 {
     let arrived = f64::from(u32::try_from(arrived).unwrap_or(u32::MAX));
-    (arrived - DOUBT * arrived.sqrt() - 1.0).max(0.0)
+    (arrived - CONFIDENCE_WIDTH * arrived.sqrt() - 1.0).max(0.0)
 }
 
 /// Returns the upper confidence bound of the expected number of arrivals, given the observed number.
-fn most_expected(arrived: usize) -> f64 {
+fn max_expected(arrived: usize) -> f64 {
     let arrived = f64::from(u32::try_from(arrived).unwrap_or(u32::MAX));
-    arrived + DOUBT * arrived.sqrt() + NONE_SEEN
+    arrived + CONFIDENCE_WIDTH * arrived.sqrt() + ZERO_COUNT_BOUND
 }
 
 impl Pool {
     /// Records the arrival of a job, for the forecast of the pool's need.
-    pub(super) fn note_arrival(&mut self, spec: &JobSpec, now: Ms) {
+    pub(super) fn record_arrival(&mut self, spec: &JobSpec, now: Ms) {
         // Lasting tasks arrive once and stay; repetitions are due at known times.
         if spec.is_lasting() || spec.repeats.is_some() {
             return;
@@ -141,7 +141,7 @@
         let chain = spec.chains().into_iter().max().unwrap_or(0);
         let chain = super::rank::scale(chain, factor);
         let chain = f64::from(u32::try_from(chain).unwrap_or(u32::MAX));
-        self.arrivals.note(&spec.queue, work * factor, chain, now);
+        self.arrivals.record(&spec.queue, work * factor, chain, now);
     }
 }
 
--- a/crates/schedule/src/pool/estimate.rs
+++ b/crates/schedule/src/pool/estimate.rs
@@ -8,7 +8,7 @@
 /// The weight of a new sample in the moving mean, which covers about the last twenty tasks.
 const WEIGHT: f64 = 0.05;
 /// The bounds of a sample, which limit the effect of a few outliers.
-const FACTORS: std::ops::RangeInclusive<f64> = 0.1..=10.0;
+const FACTOR_BOUNDS: std::ops::RangeInclusive<f64> = 0.1..=10.0;
 
 /// The learned ratio of actual to estimated task time for each queue.
 #[derive(Clone, Debug, Default)]
@@ -28,7 +28,7 @@
         }
         #[expect(clippy::cast_precision_loss, reason = "times of tasks are far below 2^52 ms")]
         let sample = took as f64 / f64::from(estimated_ms);
-        let sample = sample.clamp(*FACTORS.start(), *FACTORS.end());
+        let sample = sample.clamp(*FACTOR_BOUNDS.start(), *FACTOR_BOUNDS.end());
         let factor = self.by_queue.entry(queue.to_owned()).or_insert(sample);
         *factor += WEIGHT * (sample - *factor);
     }
--- a/crates/schedule/src/pool/evacuate.rs
+++ b/crates/schedule/src/pool/evacuate.rs
@@ -1,7 +1,7 @@
 //! Moving tasks off VMs that are cordoned or leaving. Lasting tasks are moved, and if another pool urgently needs the VM, also
 //! tasks that can be resumed elsewhere.
 
-use super::job::{Spot, Task};
+use super::job::{Task, TaskState};
 use super::remaining::WORTH_STOPPING_MS;
 use super::run::Run;
 use super::{Now, Pool, VmKey};
@@ -15,7 +15,7 @@
         let leaving = |key: VmKey| {
             let vm = &self.vms[key];
             // Some VMs leave unannounced: they are no longer listed but keep running for a while.
-            let left_the_list = self.listing_is_sound && !vm.listed;
+            let left_the_list = self.listing_is_complete && !vm.listed;
             let leaves = vm.cordoned || vm.draining() || left_the_list;
             leaves && vm.reachable && !vm.runs.is_empty()
         };
@@ -31,7 +31,7 @@
                 .map(|(&task, run)| (task, run.attempt))
                 .collect();
             for (task, attempt) in runs {
-                if self.may_move(key, task, now) || self.hurries(key, task, now) {
+                if self.may_move(key, task, now) || self.is_urgent(key, task, now) {
                     self.stop_to_move(key, task, attempt, now);
                 }
             }
@@ -40,12 +40,12 @@
 
     /// Returns whether a run is to be stopped because another pool urgently needs its VM. The task may have to wait for room, as
     /// its own pool needs the VM less.
-    fn hurries(&self, vm: VmKey, task: TaskId, now: Now) -> bool {
+    fn is_urgent(&self, vm: VmKey, task: TaskId, now: Now) -> bool {
         if !self.policy.moves.stop_tasks {
             return false;
         }
         let vm = &self.vms[vm];
-        let urgent = vm.cordoned && vm.name().is_some_and(|name| self.hurried.contains(name));
+        let urgent = vm.cordoned && vm.name().is_some_and(|name| self.urgent.contains(name));
         let Some(run) = vm.runs.get(&task).filter(|run| urgent && run.can_be_resumed()) else {
             return false;
         };
@@ -58,31 +58,31 @@
             return false;
         };
         let Some(step) =
-            job.times.get(&task.time).and_then(|t| t.steps.get(usize::from(task.step)))
+            job.repetitions.get(&task.time).and_then(|t| t.steps.get(usize::from(task.step)))
         else {
             return false;
         };
         let index = usize::try_from(task.index).unwrap_or(usize::MAX);
-        if step.tasks.get(index).is_none_or(|t| t.spot != Spot::On(vm)) {
+        if step.tasks.get(index).is_none_or(|t| t.state != TaskState::Assigned(vm)) {
             return false;
         }
         // A draining VM soon ends all of its runs, so the limit on absent tasks does not apply.
         if self.vms[vm].draining() {
             return self.fits_elsewhere(vm, task, shape, now);
         }
-        if now.steady < self.moves_from {
+        if now.steady < self.moves_allowed_from {
             return false;
         }
         let others = step.tasks.iter().enumerate().filter(|&(i, _)| i != index);
-        let others_away = others.filter(|(_, t)| !self.is_at_work(t)).count();
+        let others_away = others.filter(|(_, t)| !self.is_working(t)).count();
         let budget = usize::try_from(shape.may_miss.max(1)).unwrap_or(1);
         others_away < budget && self.fits_elsewhere(vm, task, shape, now)
     }
 
     /// Returns whether a lasting task is known to be working. On an unreachable VM it may have died.
-    fn is_at_work(&self, task: &Task) -> bool {
-        let Spot::On(vm) = task.spot else { return false };
-        task.at_work && self.vms.get(vm).is_some_and(|vm| vm.reachable)
+    fn is_working(&self, task: &Task) -> bool {
+        let TaskState::Assigned(vm) = task.state else { return false };
+        task.working && self.vms.get(vm).is_some_and(|vm| vm.reachable)
     }
 
     fn fits_elsewhere(&self, vm: VmKey, task: TaskId, shape: &Step, now: Now) -> bool {
@@ -93,7 +93,7 @@
             let spread = usize::try_from(shape.anti_affinity).unwrap_or(usize::MAX);
             key != vm
                 && other.takes_work()
-                && other.aside_until <= now.steady
+                && other.excluded_until <= now.steady
                 && other.free().holds(shape.room())
                 && (spread == 0 || same_step_count < spread)
         })
@@ -105,7 +105,7 @@
             run.stop_ordered = now.steady;
         }
         if let Some((step, index)) = self.job_mut(task).and_then(|j| j.step_mut(task)) {
-            step.tasks[index].at_work = false;
+            step.tasks[index].working = false;
         }
         self.order_stop(vm, task, attempt);
     }
--- a/crates/schedule/src/pool/gang.rs
+++ b/crates/schedule/src/pool/gang.rs
@@ -1,7 +1,7 @@
 //! Placement of gangs, whose tasks work only together.
 
 use super::place::ReadyStep;
-use super::suspects::Care;
+use super::suspects::Isolation;
 use super::{Now, Pool};
 use crate::Ms;
 use crate::harm::Verdict;
@@ -12,7 +12,7 @@
     /// Places all tasks of a gang or none. A rack-local gang is placed on one rack if possible.
     pub(super) fn place_gang(&mut self, ready: ReadyStep, shape: &Step, now: Now) {
         let waiting = self.waiting_tasks(ready);
-        let all = self.jobs[ready.job].times[&ready.time].steps[ready.step].tasks.len();
+        let all = self.jobs[ready.job].repetitions[&ready.time].steps[ready.step].tasks.len();
         if waiting.len() < all {
             return;
         }
@@ -20,7 +20,9 @@
         if !self.quota.may_start(self.jobs[ready.job].workspace, whole) {
             return;
         }
-        let Some(isolation) = self.care_of_gang(ready, shape, &waiting, now.steady) else { return };
+        let Some(isolation) = self.gang_isolation(ready, shape, &waiting, now.steady) else {
+            return;
+        };
         let mut racks: Vec<Option<std::sync::Arc<str>>> = Vec::new();
         if shape.rack_local {
             for vm in self.vms.values().filter_map(|vm| vm.facts.as_ref()) {
@@ -70,16 +72,18 @@
 
     /// Returns the isolation of a gang, or `None` while it may not be started. A gang with a suspect member is treated as a
     /// suspect.
-    pub(super) fn care_of_gang(
+    pub(super) fn gang_isolation(
         &self,
         ready: ReadyStep,
         shape: &Step,
         members: &[usize],
         now: Ms,
-    ) -> Option<Care> {
+    ) -> Option<Isolation> {
         let suspect = |&&i: &&usize| self.verdict(ready.task(i)) != Verdict::Clear;
-        let Some(&suspect) = members.iter().find(suspect) else { return Some(Care::Usual) };
-        let isolation = self.care(ready, suspect, now)?;
-        self.may_hold_one_more(shape, isolation, now).then_some(isolation)
+        let Some(&suspect) = members.iter().find(suspect) else {
+            return Some(Isolation::FromSuspects);
+        };
+        let isolation = self.isolation(ready, suspect, now)?;
+        self.may_occupy_one_more(shape, isolation, now).then_some(isolation)
     }
 }
--- a/crates/schedule/src/pool/incarnation.rs
+++ b/crates/schedule/src/pool/incarnation.rs
@@ -10,16 +10,16 @@
 
 /// The number of different jobs that fail in a row before a VM is excluded. One job that can never succeed fails on any VM, and
 /// two such jobs may meet on a VM by chance, as 3% of jobs are of this kind.
-const STRIKES: usize = 3;
+const FAILED_JOBS_TO_EXCLUDE: usize = 3;
 /// How long a VM that fails its tasks receives no new ones, in milliseconds. This is about the length of the faults that the
 /// users' sites describe.
-const ASIDE_MS: Ms = 5_000;
+const EXCLUSION_MS: Ms = 5_000;
 /// How long a VM that rejected a start receives no new tasks, in milliseconds.
-const ASIDE_BRIEFLY_MS: Ms = 500;
+const BRIEF_EXCLUSION_MS: Ms = 500;
 /// The maximum number of doublings of that time while a VM rejects starts for lack of room, each of which costs a call and a
 /// record. The maximum of 8 s still lets a VM that has room again be used soon; a listed change of its room ends the
 /// exclusion at once.
-const MOST_ASIDE_DOUBLINGS: u32 = 4;
+const MAX_EXCLUSION_DOUBLINGS: u32 = 4;
 /// One incarnation of a VM.
 #[derive(Clone, Debug)]
 pub(super) struct Vm {
@@ -29,16 +29,16 @@
     /// Whether the platform lists the VM now.
     pub listed: bool,
     /// Whether the VM has answered under this owner's token, after which no older order can start a run there.
-    pub held: bool,
+    pub token_confirmed: bool,
     /// Whether the last call to the VM was answered.
     pub reachable: bool,
     /// When the VM became unresponsive, if it is.
-    pub silent_since: Option<Ms>,
+    pub unresponsive_since: Option<Ms>,
     /// When the VM was first seen to answer while the platform did not list it. An answer to a query sent before this time may
     /// come from before the VM left the listing.
     pub answered_unlisted: Option<Ms>,
     /// Whether the VM answered a query that was sent after it left the listing: it is leaving without an announcement.
-    pub left_the_list: bool,
+    pub leaving_unannounced: bool,
     /// Whether the VM's room has shrunk since unanswered starts were last checked.
     pub shrunk: bool,
     pub cordoned: bool,
@@ -48,13 +48,13 @@
     pub runs: BTreeMap<TaskId, Run>,
     /// Reported runs that are not in the schedule, with the time of the last stop order. The VM receives no new tasks meanwhile,
     /// because their demand is unknown.
-    pub strays: HashMap<RunId, Ms>,
+    pub unknown_runs: HashMap<RunId, Ms>,
     /// The highest sequence number of an applied run end.
-    pub ends_taken: u64,
-    strikes: Vec<JobId>,
-    pub aside_until: Ms,
+    pub last_end_sequence: u64,
+    failed_jobs: Vec<JobId>,
+    pub excluded_until: Ms,
     /// The number of consecutive starts rejected for lack of room.
-    pub without_room: u32,
+    pub room_rejections: u32,
 }
 impl Vm {
     pub fn new(id: VmLife) -> Self {
@@ -62,21 +62,21 @@
             id,
             facts: None,
             listed: false,
-            held: false,
+            token_confirmed: false,
             reachable: true,
-            silent_since: None,
+            unresponsive_since: None,
             answered_unlisted: None,
-            left_the_list: false,
+            leaving_unannounced: false,
             shrunk: false,
             cordoned: false,
             evacuated: false,
             used: Room::default(),
             runs: BTreeMap::new(),
-            strays: HashMap::new(),
-            ends_taken: 0,
-            strikes: Vec::new(),
-            aside_until: 0,
-            without_room: 0,
+            unknown_runs: HashMap::new(),
+            last_end_sequence: 0,
+            failed_jobs: Vec::new(),
+            excluded_until: 0,
+            room_rejections: 0,
         }
     }
 
@@ -94,7 +94,8 @@
 
     /// Returns whether new tasks may be placed on the VM, regardless of its free room.
     pub fn takes_work(&self) -> bool {
-        let fit = self.listed && self.held && self.reachable && self.strays.is_empty();
+        let fit =
+            self.listed && self.token_confirmed && self.reachable && self.unknown_runs.is_empty();
         let readable = self.facts.as_ref().is_some_and(|f| !f.unreadable);
         fit && readable && !self.cordoned && !self.evacuated && !self.draining()
     }
@@ -130,7 +131,7 @@
     }
 
     /// Marks unconfirmed runs as stopping until the others fit, and returns the marked runs.
-    pub fn stop_what_does_not_fit(&mut self, now: Ms) -> Vec<(TaskId, u32)> {
+    pub fn stop_runs_beyond_room(&mut self, now: Ms) -> Vec<(TaskId, u32)> {
         let (room, mut used) = (self.room(), self.used);
         let mut stopped = Vec::new();
         for (&task, run) in self.runs.iter_mut().rev() {
@@ -147,42 +148,42 @@
     }
 
     /// Records an answer to a query sent at `asked_at`.
-    pub fn note_answer(&mut self, asked_at: Ms, listing_is_sound: bool, now: Ms) {
+    pub fn record_answer(&mut self, asked_at: Ms, listing_is_sound: bool, now: Ms) {
         self.reachable = true;
-        self.silent_since = None;
+        self.unresponsive_since = None;
         if self.listed || !listing_is_sound {
             return;
         }
         let first = *self.answered_unlisted.get_or_insert(now);
-        self.left_the_list |= asked_at >= first;
+        self.leaving_unannounced |= asked_at >= first;
     }
 
-    pub fn note_success(&mut self) {
-        self.strikes.clear();
+    pub fn record_success(&mut self) {
+        self.failed_jobs.clear();
     }
 
     /// Records a failed run. Returns whether the VM is excluded because of it.
-    pub fn note_failure(&mut self, job: JobId, now: Ms) -> bool {
-        if !self.strikes.contains(&job) {
-            self.strikes.push(job);
+    pub fn record_failure(&mut self, job: JobId, now: Ms) -> bool {
+        if !self.failed_jobs.contains(&job) {
+            self.failed_jobs.push(job);
         }
-        if self.strikes.len() < STRIKES {
+        if self.failed_jobs.len() < FAILED_JOBS_TO_EXCLUDE {
             return false;
         }
         // One more failure after the exclusion excludes the VM again.
-        self.strikes.remove(0);
-        self.aside_until = now + ASIDE_MS;
+        self.failed_jobs.remove(0);
+        self.excluded_until = now + EXCLUSION_MS;
         true
     }
 
-    pub fn set_aside_briefly(&mut self, now: Ms) {
-        self.aside_until = self.aside_until.max(now + ASIDE_BRIEFLY_MS);
+    pub fn exclude_briefly(&mut self, now: Ms) {
+        self.excluded_until = self.excluded_until.max(now + BRIEF_EXCLUSION_MS);
     }
 
     /// Excludes the VM after it rejected a start for lack of room, for longer after each consecutive rejection.
-    pub fn set_aside_for_room(&mut self, now: Ms) {
-        let pause = ASIDE_BRIEFLY_MS << self.without_room.min(MOST_ASIDE_DOUBLINGS);
-        self.without_room += 1;
-        self.aside_until = self.aside_until.max(now + pause);
+    pub fn exclude_for_room(&mut self, now: Ms) {
+        let pause = BRIEF_EXCLUSION_MS << self.room_rejections.min(MAX_EXCLUSION_DOUBLINGS);
+        self.room_rejections += 1;
+        self.excluded_until = self.excluded_until.max(now + pause);
     }
 }
--- a/crates/schedule/src/pool/job.rs
+++ b/crates/schedule/src/pool/job.rs
@@ -14,37 +14,37 @@
 /// The maximum number of open repetitions of a job, several times as many as are ever due at once under the users' loads.
 /// Further repetitions wait for these, so that a job that is long overdue uses a bounded part of the owner's memory and
 /// time: planning 20,000 repetitions takes 65 s in a test build.
-const MOST_OPEN_TIMES: usize = 64;
+const MAX_OPEN_REPETITIONS: usize = 64;
 
 /// The state of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) enum Spot {
+pub(super) enum TaskState {
     #[default]
     Waiting,
-    On(VmKey),
+    Assigned(VmKey),
     Done,
 }
 
 /// The state of one task and its past attempts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Task {
-    pub spot: Spot,
+    pub state: TaskState,
     pub attempt: u32,
     pub failures: u32,
     pub checkpoint: String,
     /// The VM on which the last run failed or was lost, or which rejected the start.
     pub avoid: Option<VmKey>,
     /// Whether a lasting task has completed its start and is working.
-    pub at_work: bool,
+    pub working: bool,
     /// The number of consecutive failures of a lasting task soon after its start.
-    pub quick_failures: u32,
+    pub early_failures: u32,
     /// The earliest time of the next start.
     pub not_before: Ms,
 }
 
 /// The state of one step of one repetition.
 #[derive(Clone, Debug)]
-pub(super) struct StepRun {
+pub(super) struct StepState {
     pub tasks: Vec<Task>,
     pub done: usize,
     pub waiting: u32,
@@ -52,7 +52,7 @@
     pub failed_attempt: u32,
 }
 
-impl StepRun {
+impl StepState {
     fn new(count: u32) -> Self {
         let tasks = vec![Task::default(); usize::try_from(count).unwrap_or(0)];
         Self { tasks, done: 0, waiting: count, failed_attempt: 0 }
@@ -63,8 +63,8 @@
     }
 
     /// Returns the number of waiting tasks that resume from a checkpoint.
-    pub fn to_resume(&self) -> u32 {
-        let resumes = |t: &&Task| t.spot == Spot::Waiting && !t.checkpoint.is_empty();
+    pub fn waiting_to_resume(&self) -> u32 {
+        let resumes = |t: &&Task| t.state == TaskState::Waiting && !t.checkpoint.is_empty();
         u32::try_from(self.tasks.iter().filter(resumes).count()).unwrap_or(u32::MAX)
     }
 
@@ -74,33 +74,33 @@
     }
 
     /// Sets the state of a task and updates the counts.
-    pub fn set(&mut self, index: usize, spot: Spot) {
+    pub fn set(&mut self, index: usize, spot: TaskState) {
         let task = &mut self.tasks[index];
-        let was = task.spot;
-        task.spot = spot;
+        let was = task.state;
+        task.state = spot;
         if spot != was {
-            task.at_work = false;
+            task.working = false;
         }
-        self.waiting -= u32::from(was == Spot::Waiting);
-        self.waiting += u32::from(spot == Spot::Waiting);
-        self.done -= usize::from(was == Spot::Done);
-        self.done += usize::from(spot == Spot::Done);
+        self.waiting -= u32::from(was == TaskState::Waiting);
+        self.waiting += u32::from(spot == TaskState::Waiting);
+        self.done -= usize::from(was == TaskState::Done);
+        self.done += usize::from(spot == TaskState::Done);
     }
 }
 
 /// The state of one open repetition.
 #[derive(Clone, Debug)]
-pub(super) struct TimeRun {
-    pub steps: Vec<StepRun>,
+pub(super) struct RepetitionState {
+    pub steps: Vec<StepState>,
 }
 
-impl TimeRun {
+impl RepetitionState {
     fn new(spec: &JobSpec) -> Self {
-        Self { steps: spec.steps.iter().map(|s| StepRun::new(s.count)).collect() }
+        Self { steps: spec.steps.iter().map(|s| StepState::new(s.count)).collect() }
     }
 
     fn is_done(&self) -> bool {
-        self.steps.iter().all(StepRun::is_done)
+        self.steps.iter().all(StepState::is_done)
     }
 }
 
@@ -118,17 +118,17 @@
     pub begun: bool,
     pub settled_ms: u64,
     /// Open repetitions: those that are due and not done.
-    pub times: BTreeMap<u32, TimeRun>,
+    pub repetitions: BTreeMap<u32, RepetitionState>,
     /// The next repetition to open.
-    pub next_time: u32,
-    pub done_times: Vec<u32>,
+    pub next_repetition: u32,
+    pub done_repetitions: Vec<u32>,
     /// When the job was accepted, on the monotonic clock of this process.
     pub accepted: Ms,
     pub dirty: bool,
     /// The crash histories of its tasks. Most tasks have none.
-    pub harm: BTreeMap<TaskId, Harm>,
+    pub crash_histories: BTreeMap<TaskId, Harm>,
     /// When a crash history last changed, on the monotonic clock.
-    pub harm_at: Ms,
+    pub crash_history_changed_at: Ms,
 }
 
 impl Job {
@@ -142,63 +142,66 @@
             phase: Phase::Open,
             begun: false,
             settled_ms: 0,
-            times: BTreeMap::new(),
-            next_time: 0,
-            done_times: Vec::new(),
+            repetitions: BTreeMap::new(),
+            next_repetition: 0,
+            done_repetitions: Vec::new(),
             accepted: now.steady.saturating_sub(age),
             dirty: false,
-            harm: BTreeMap::new(),
-            harm_at: now.steady,
+            crash_histories: BTreeMap::new(),
+            crash_history_changed_at: now.steady,
             spec,
         }
     }
 
-    /// Opens the repetitions that are due, up to [`MOST_OPEN_TIMES`].
-    pub fn begin_due(&mut self, now: Now) {
-        while self.times.len() < MOST_OPEN_TIMES
-            && self.next_time < self.spec.times()
-            && self.spec.due_ms(self.next_time) <= now.wall
+    /// Opens the repetitions that are due, up to [`MAX_OPEN_REPETITIONS`].
+    pub fn open_due_repetitions(&mut self, now: Now) {
+        while self.repetitions.len() < MAX_OPEN_REPETITIONS
+            && self.next_repetition < self.spec.times()
+            && self.spec.due_ms(self.next_repetition) <= now.wall
         {
-            self.open_time(self.next_time);
-            self.next_time += 1;
+            self.open_repetition(self.next_repetition);
+            self.next_repetition += 1;
         }
     }
 
     /// Opens a repetition unless it is done or already open.
-    pub fn open_time(&mut self, time: u32) {
-        if !self.done_times.contains(&time) {
+    pub fn open_repetition(&mut self, time: u32) {
+        if !self.done_repetitions.contains(&time) {
             let spec = &self.spec;
-            self.times.entry(time).or_insert_with(|| TimeRun::new(spec));
+            self.repetitions.entry(time).or_insert_with(|| RepetitionState::new(spec));
         }
     }
 
     /// Opens all repetitions up to and including `last` that are not done.
-    pub fn open_times_up_to(&mut self, last: u32) {
-        let done: HashSet<u32> = self.done_times.iter().copied().collect();
-        for time in (self.next_time..=last).filter(|time| !done.contains(time)) {
+    pub fn open_repetitions_up_to(&mut self, last: u32) {
+        let done: HashSet<u32> = self.done_repetitions.iter().copied().collect();
+        for time in (self.next_repetition..=last).filter(|time| !done.contains(time)) {
             let spec = &self.spec;
-            self.times.entry(time).or_insert_with(|| TimeRun::new(spec));
+            self.repetitions.entry(time).or_insert_with(|| RepetitionState::new(spec));
         }
-        self.next_time = self.next_time.max(last + 1);
+        self.next_repetition = self.next_repetition.max(last + 1);
     }
 
     pub fn next_due(&self, now: Now) -> Option<Ms> {
-        let waits_for_others = self.times.len() >= MOST_OPEN_TIMES;
-        if self.phase != Phase::Open || self.next_time >= self.spec.times() || waits_for_others {
+        let waits_for_others = self.repetitions.len() >= MAX_OPEN_REPETITIONS;
+        if self.phase != Phase::Open
+            || self.next_repetition >= self.spec.times()
+            || waits_for_others
+        {
             return None;
         }
-        let wait = self.spec.due_ms(self.next_time).saturating_sub(now.wall);
+        let wait = self.spec.due_ms(self.next_repetition).saturating_sub(now.wall);
         Some(now.steady + wait)
     }
 
     pub fn task(&self, id: TaskId) -> Option<&Task> {
-        let step = self.times.get(&id.time)?.steps.get(usize::from(id.step))?;
+        let step = self.repetitions.get(&id.time)?.steps.get(usize::from(id.step))?;
         step.tasks.get(usize::try_from(id.index).ok()?)
     }
 
     /// Returns the step of a task and the task's index in it.
-    pub fn step_mut(&mut self, id: TaskId) -> Option<(&mut StepRun, usize)> {
-        let step = self.times.get_mut(&id.time)?.steps.get_mut(usize::from(id.step))?;
+    pub fn step_mut(&mut self, id: TaskId) -> Option<(&mut StepState, usize)> {
+        let step = self.repetitions.get_mut(&id.time)?.steps.get_mut(usize::from(id.step))?;
         let index = usize::try_from(id.index).ok().filter(|&i| i < step.tasks.len())?;
         Some((step, index))
     }
@@ -211,8 +214,8 @@
 
     /// Returns the repetition, step and number of waiting tasks of each step that is ready to start.
     pub fn ready_steps(&self) -> impl Iterator<Item = (u32, usize, u32)> {
-        self.times.iter().flat_map(move |(&time, run)| {
-            let ready = move |&(i, step): &(usize, &StepRun)| {
+        self.repetitions.iter().flat_map(move |(&time, run)| {
+            let ready = move |&(i, step): &(usize, &StepState)| {
                 let before = &self.spec.steps[i].depends_on;
                 step.waiting > 0 && before.iter().all(|&on| run.steps[usize::from(on)].is_done())
             };
@@ -221,12 +224,12 @@
     }
 
     /// Closes a repetition if all its tasks are done. Returns whether the whole job is done.
-    pub fn close_done_time(&mut self, time: u32) -> bool {
-        if self.times.get(&time).is_some_and(TimeRun::is_done) {
-            self.times.remove(&time);
-            self.done_times.push(time);
+    pub fn close_repetition_if_done(&mut self, time: u32) -> bool {
+        if self.repetitions.get(&time).is_some_and(RepetitionState::is_done) {
+            self.repetitions.remove(&time);
+            self.done_repetitions.push(time);
         }
-        self.times.is_empty() && self.next_time >= self.spec.times()
+        self.repetitions.is_empty() && self.next_repetition >= self.spec.times()
     }
 
     /// Returns the progress record of the job.
@@ -241,35 +244,35 @@
             phase: self.phase,
             begun: self.begun,
             settled_ms: self.settled_ms,
-            harms: self.harm.iter().map(crash_history).collect(),
+            harms: self.crash_histories.iter().map(crash_history).collect(),
             ..Progress::default()
         };
         let open = self.phase == Phase::Open;
         if open {
-            progress.done_times.clone_from(&self.done_times);
+            progress.done_times.clone_from(&self.done_repetitions);
         }
-        for (&time, run) in &self.times {
+        for (&time, run) in &self.repetitions {
             for (step, step_run) in (0..).zip(&run.steps) {
                 let tasks = (0..).zip(&step_run.tasks);
                 // A settled job's record lists only tasks that may still run: the next owner accounts for and stops them.
-                let counts = |t: &Task| match t.spot {
-                    Spot::On(_) => true,
-                    Spot::Done => open,
-                    Spot::Waiting => open && t.attempt > 0,
+                let counts = |t: &Task| match t.state {
+                    TaskState::Assigned(_) => true,
+                    TaskState::Done => open,
+                    TaskState::Waiting => open && t.attempt > 0,
                 };
                 for (index, task) in tasks.filter(|(_, t)| counts(t)) {
-                    let place = match task.spot {
-                        Spot::Waiting => Place::Waiting,
-                        Spot::Done => Place::Done,
-                        Spot::On(vm) => {
+                    let place = match task.state {
+                        TaskState::Waiting => Place::Waiting,
+                        TaskState::Done => Place::Done,
+                        TaskState::Assigned(vm) => {
                             vm_id(vm).map_or(Place::Waiting, |id| Place::On(id.to_string()))
                         }
                     };
                     let (attempt, failures) = (task.attempt, task.failures);
                     // Only a waiting task resumes from the recorded checkpoint; during a run, the VM has a newer one.
-                    let checkpoint = match task.spot {
-                        Spot::Waiting => task.checkpoint.clone(),
-                        Spot::On(_) | Spot::Done => String::new(),
+                    let checkpoint = match task.state {
+                        TaskState::Waiting => task.checkpoint.clone(),
+                        TaskState::Assigned(_) | TaskState::Done => String::new(),
                     };
                     progress.tasks.push(TaskRecord {
                         time,
--- a/crates/schedule/src/pool/losses.rs
+++ b/crates/schedule/src/pool/losses.rs
@@ -1,7 +1,7 @@
 //! Runs lost with a VM incarnation, and runs that may still start in the next incarnation.
 
 use super::incarnation::Vm;
-use super::job::Spot;
+use super::job::TaskState;
 use super::run::Run;
 use super::{Now, Pool, VmKey};
 use crate::Ms;
@@ -23,7 +23,7 @@
 impl Pool {
     /// Records that nothing runs in a VM incarnation any more, and returns the runs that were lost with it.
     pub fn vm_lost(&mut self, id: &VmLife, loss: VmLoss, now: Now) -> Vec<LostRun> {
-        self.end_life(id, loss, None, now)
+        self.end_incarnation(id, loss, None, now)
     }
 
     /// Records that a VM has restarted under its ID, and returns the runs that were lost with its previous incarnation.
@@ -33,13 +33,13 @@
     /// one. Unless that is impossible, a run counts in the new incarnation until its answer under this owner's token shows
     /// whether the run exists.
     pub fn vm_restarted(&mut self, previous: &VmLife, next: &VmLife, now: Now) -> Vec<LostRun> {
-        self.end_life(previous, VmLoss::Replaced, Some(next), now)
+        self.end_incarnation(previous, VmLoss::Replaced, Some(next), now)
     }
 
     /// Ends the previous incarnations of a VM, known from records, when the listed incarnation answers for the first time. The
     /// records were written before that incarnation was queried.
-    pub(super) fn end_former_lives(&mut self, current: &VmLife, now: Now) {
-        if self.vm_keys.get(current).is_some_and(|&key| self.vms[key].held) {
+    pub(super) fn end_previous_incarnations(&mut self, current: &VmLife, now: Now) {
+        if self.vm_keys.get(current).is_some_and(|&key| self.vms[key].token_confirmed) {
             return;
         }
         let previous = |vm: &&Vm| vm.id.is_other_life_of(current) && !vm.listed;
@@ -50,7 +50,7 @@
         }
     }
 
-    fn end_life(
+    fn end_incarnation(
         &mut self,
         id: &VmLife,
         loss: VmLoss,
@@ -58,19 +58,19 @@
         now: Now,
     ) -> Vec<LostRun> {
         if loss == VmLoss::Replaced {
-            self.resolve_silence(id, true, now);
+            self.resolve_unclear_loss(id, true, now);
         }
         let Some(&key) = self.vm_keys.get(id) else { return Vec::new() };
         let crashes = self.crashes_under(key, now);
         let vm = &mut self.vms[key];
-        vm.held = false;
+        vm.token_confirmed = false;
         vm.reachable = false;
-        vm.ends_taken = 0;
-        vm.strays.clear();
+        vm.last_end_sequence = 0;
+        vm.unknown_runs.clear();
         let lost = |(&task, run): (&TaskId, &Run)| LostRun {
             run: RunId { task, attempt: run.attempt },
             age: now.steady.saturating_sub(run.started),
-            may_be_there: next.is_some() && !run.ends_with_its_life(),
+            may_be_there: next.is_some() && !run.ends_with_incarnation(),
         };
         let lost: Vec<LostRun> = vm.runs.iter().map(lost).collect();
         let unclear = UnclearLoss {
@@ -80,31 +80,35 @@
         };
         for lost in &lost {
             match next {
-                Some(next) if lost.may_be_there => self.move_run(key, next, lost.run, now),
+                Some(next) if lost.may_be_there => {
+                    self.move_run_to_incarnation(key, next, lost.run, now)
+                }
                 Some(_) | None => self.release(key, lost.run, now),
             }
         }
         self.count_loss(&unclear, crashes, loss, now);
-        self.forget_vm_if_empty(key);
+        self.remove_vm_if_unused(key);
         lost
     }
 
     /// Moves a run to the VM's next incarnation, whose first answer shows whether the run exists.
-    fn move_run(&mut self, from: VmKey, to: &VmLife, id: RunId, now: Now) {
+    fn move_run_to_incarnation(&mut self, from: VmKey, to: &VmLife, id: RunId, now: Now) {
         let Some(run) = self.remove_run(from, id) else { return };
         let to = self.vm_key(to);
-        let mut run = run.in_next_life(now.steady);
+        let mut run = run.in_next_incarnation(now.steady);
         // If the incarnation has already answered, only a report requested from now on decides.
-        run.confirmed = self.vms[to].held.then_some(now.steady);
+        run.confirmed = self.vms[to].token_confirmed.then_some(now.steady);
         self.add_run(to, id.task, run);
         let Some(key) = self.job_key(id.task) else { return };
         let Some((step, index)) = self.jobs.get_mut(key).and_then(|job| job.step_mut(id.task))
         else {
             return;
         };
-        if step.tasks[index].attempt == id.attempt && step.tasks[index].spot == Spot::On(from) {
-            step.set(index, Spot::On(to));
+        if step.tasks[index].attempt == id.attempt
+            && step.tasks[index].state == TaskState::Assigned(from)
+        {
+            step.set(index, TaskState::Assigned(to));
         }
-        self.touch(key);
+        self.mark_changed(key);
     }
 }
--- a/crates/schedule/src/pool/mod.rs
+++ b/crates/schedule/src/pool/mod.rs
@@ -40,7 +40,7 @@
 use crate::spec::JobSpec;
 use crate::vm::Room;
 
-use advice::Advised;
+use advice::AdviceState;
 pub use advice::{Question, StepId};
 use arrivals::Arrivals;
 use estimate::Estimates;
@@ -105,30 +105,30 @@
     /// The stable names, which are the same in all incarnations, of VMs that are to be emptied.
     cordoned: HashSet<Arc<str>>,
     /// The stable names of cordoned VMs that another pool needs now.
-    hurried: HashSet<Arc<str>>,
+    urgent: HashSet<Arc<str>>,
     /// The stable names of VMs that maintenance will soon take down.
-    due: HashSet<Arc<str>>,
+    due_for_maintenance: HashSet<Arc<str>>,
     /// The state of the data halls, which may be evacuated.
     halls: Arc<Halls>,
     /// Whether more halls may be evacuated than this owner knows of.
     halls_unknown: bool,
     /// The earliest time at which a lasting task may be stopped to be moved.
-    moves_from: Ms,
+    moves_allowed_from: Ms,
     /// Whether the VM listing is believed complete. After an outage of the store, entries that expired during the
     /// outage take time to reappear.
-    listing_is_sound: bool,
+    listing_is_complete: bool,
     orders: Vec<Order>,
     dirty: Vec<JobKey>,
     acks: Vec<(VmLife, u64)>,
     /// Jobs with tasks that have a crash history.
-    harmed: BTreeSet<JobKey>,
-    given_up: Vec<GivenUp>,
+    affected: BTreeSet<JobKey>,
+    abandoned: Vec<GivenUp>,
     /// When the last crash of a VM with runs was detected.
-    crashed_at: Option<Ms>,
+    last_crash_at: Option<Ms>,
     estimates: Estimates,
     arrivals: Arrivals,
     /// The advice received for steps whose queue's policy restricts their VMs.
-    advice: BTreeMap<StepId, Advised>,
+    advice: BTreeMap<StepId, AdviceState>,
     /// The capacity in use by each workspace, and the workspaces' caps.
     quota: Ledger,
 }
@@ -149,7 +149,7 @@
         if self.job_keys.contains_key(&id) {
             return;
         }
-        self.note_arrival(&spec, now.steady);
+        self.record_arrival(&spec, now.steady);
         let job = self.new_job(id, spec, now);
         let key = self.jobs.insert(job);
         self.job_keys.insert(id, key);
@@ -164,9 +164,9 @@
 
     /// Returns the orders to be sent now.
     pub fn plan(&mut self, now: Now) -> Vec<Order> {
-        self.begin_due_times(now);
-        self.end_silences(now);
-        self.call_off_starts(now);
+        self.open_due_repetitions(now);
+        self.expire_unclear_losses(now);
+        self.cancel_starts_beyond_room(now);
         self.evacuate(now);
         if !self.halls_unknown {
             self.place_waiting(now);
@@ -184,7 +184,7 @@
             let vms = &self.vms;
             records.push((job.id, job.progress(|vm| vms.get(vm).map(|v| v.id.clone()))));
         }
-        self.forget_settled();
+        self.remove_settled();
         records
     }
 
@@ -221,7 +221,7 @@
                     continue;
                 }
                 let cpu = u64::from(job.spec.steps[step].room().cpu);
-                let resumed = job.times[&time].steps[step].to_resume();
+                let resumed = job.repetitions[&time].steps[step].waiting_to_resume();
                 load.waiting_cpu += cpu * u64::from(waiting - resumed);
                 load.used_cpu += cpu * u64::from(resumed);
             }
@@ -236,7 +236,7 @@
     }
 
     /// Marks a job as changed so that its progress is written.
-    fn touch(&mut self, key: JobKey) {
+    fn mark_changed(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get_mut(key) else { return };
         if !job.dirty {
             job.dirty = true;
@@ -253,7 +253,7 @@
         job.phase = phase;
         job.settled_ms = now.wall;
         let id = job.id;
-        self.touch(key);
+        self.mark_changed(key);
         let mut stops = Vec::new();
         for (vm_key, vm) in &mut self.vms {
             let of_job = vm.runs.iter_mut().filter(|(task, run)| task.job == id && !run.stopping);
@@ -269,7 +269,7 @@
     }
 
     /// Removes jobs that are settled, written and have no runs left.
-    fn forget_settled(&mut self) {
+    fn remove_settled(&mut self) {
         let vms = &self.vms;
         let runs = |id| vms.values().any(|vm| vm.runs.keys().any(|t| t.job == id));
         let removable = |j: &Job| j.phase != Phase::Open && !j.dirty && !runs(j.id);
@@ -277,7 +277,7 @@
         for id in ids {
             if let Some(key) = self.job_keys.remove(&id) {
                 self.jobs.remove(key);
-                self.harmed.remove(&key);
+                self.affected.remove(&key);
             }
             self.advice.retain(|step, _| step.job != id);
         }
--- a/crates/schedule/src/pool/need.rs
+++ b/crates/schedule/src/pool/need.rs
@@ -8,7 +8,7 @@
 use std::collections::{HashMap, HashSet};
 
 use super::incarnation::Vm;
-use super::job::{Job, TimeRun};
+use super::job::{Job, RepetitionState};
 use super::{Ms, Now, Pool};
 use crate::id::{JobId, TaskId};
 use crate::progress::Phase;
@@ -39,10 +39,10 @@
 /// The weight of the CPU demand of a waiting lasting task. Lasting tasks are placed first, so one that waits lacks memory or a VM
 /// without another task of its step, which its CPU demand does not show. With a weight of 1, such tasks waited for 12 s in a
 /// pool that used half of its CPU.
-const LASTING_WAIT_AS: u64 = 3;
+const LASTING_WAIT_WEIGHT: u64 = 3;
 
 /// The remaining time of each step with runs, until the last of its tasks ends.
-type Ending = HashMap<(JobId, u32, usize), Ms>;
+type RemainingTimes = HashMap<(JobId, u32, usize), Ms>;
 
 impl Pool {
     /// Returns the forecast demand in `lead` milliseconds.
@@ -50,7 +50,7 @@
         let mut demand =
             Demand { arriving: self.arrivals.arriving(lead, now.steady), ..Demand::default() };
         let late = self.late_jobs(now.steady);
-        let mut remaining = Ending::new();
+        let mut remaining = RemainingTimes::new();
         for vm in self.vms.values() {
             for (&task, run) in vm.runs.iter().filter(|(_, run)| !run.lasting) {
                 let left = self.time_left(task, run, now.steady);
@@ -67,13 +67,13 @@
             if vm.takes_work() {
                 let lasting = vm.runs.values().filter(|run| run.lasting);
                 demand.staying += lasting.map(|run| u64::from(run.demand.cpu)).sum::<u64>();
-                if vm.is_held_by_suspect(now.steady) {
+                if vm.is_occupied_by_suspect(now.steady) {
                     // Tasks of other jobs are not placed there.
                     demand.staying += u64::from(vm.free().cpu);
                 }
             }
         }
-        demand.waiting += self.held_back_by_suspects(now.steady);
+        demand.waiting += self.cpu_held_by_suspects(now.steady);
         let largest = self.largest_cpu();
         let mut capped: HashMap<WorkspaceKey, u64> = HashMap::new();
         for job in self.jobs.values().filter(|job| job.phase == Phase::Open) {
@@ -99,7 +99,7 @@
 
     /// Returns the CPU of the VMs that waiting suspects will occupy beyond their own demand, as each runs alone. At most as many
     /// VMs are added as the pool has now, so that many suspects do not claim all VMs at once.
-    fn held_back_by_suspects(&self, now: Ms) -> u64 {
+    fn cpu_held_by_suspects(&self, now: Ms) -> u64 {
         let vms: Vec<&Vm> = self.vms.values().filter(|vm| vm.takes_work()).collect();
         let cpu: u64 = vms.iter().map(|vm| u64::from(vm.room().cpu)).sum();
         let waiting = self.waiting_suspects(now).min(vms.len());
@@ -117,19 +117,19 @@
         &self,
         job: &Job,
         (lead, largest): (Ms, u32),
-        remaining: &Ending,
+        remaining: &RemainingTimes,
         now: Now,
         demand: &mut Demand,
     ) {
         let ready: Vec<(u32, usize)> =
             job.ready_steps().map(|(time, step, _)| (time, step)).collect();
         let of_use = ready.is_empty() || !self.rank(job, now.steady).is_too_late();
-        for (&time, run) in &job.times {
-            let spans = self.turns(job, time, run, remaining);
+        for (&time, run) in &job.repetitions {
+            let spans = self.expected_spans(job, time, run, remaining);
             for (i, step) in run.steps.iter().enumerate().filter(|(_, step)| step.waiting > 0) {
                 let shape = &job.spec.steps[i];
-                let weight = if shape.lasting { LASTING_WAIT_AS } else { 1 };
-                let each = room_taken_by(shape.room().cpu, largest);
+                let weight = if shape.lasting { LASTING_WAIT_WEIGHT } else { 1 };
+                let each = counted_cpu(shape.room().cpu, largest);
                 let cpu = each * u64::from(step.waiting) * weight;
                 if ready.contains(&(time, i)) {
                     if of_use && self.fits_somewhere(job.spec.steps[i].room()) {
@@ -150,8 +150,14 @@
 
     /// Returns when each step of a repetition is expected to run, or `None` for a step that has no expected time yet because the
     /// step itself or one that it depends on waits for room.
-    fn turns(&self, job: &Job, time: u32, run: &TimeRun, remaining: &Ending) -> Vec<Option<Turn>> {
-        let mut spans: Vec<Option<Turn>> = Vec::with_capacity(run.steps.len());
+    fn expected_spans(
+        &self,
+        job: &Job,
+        time: u32,
+        run: &RepetitionState,
+        remaining: &RemainingTimes,
+    ) -> Vec<Option<ExpectedSpan>> {
+        let mut spans: Vec<Option<ExpectedSpan>> = Vec::with_capacity(run.steps.len());
         for (i, step) in run.steps.iter().enumerate() {
             let before = &job.spec.steps[i].depends_on;
             let ends = |&on: &u16| spans.get(usize::from(on)).copied().flatten().map(|t| t.ends);
@@ -159,15 +165,17 @@
                 before.iter().map(ends).try_fold(0, |latest, ends| Some(latest.max(ends?)));
             let is_ready = before.iter().all(|&on| run.steps[usize::from(on)].is_done());
             let span = match begins {
-                _ if step.is_done() => Some(Turn::default()),
+                _ if step.is_done() => Some(ExpectedSpan::default()),
                 _ if step.waiting == 0 => {
                     let left = remaining.get(&(job.id, time, i)).copied();
-                    left.map(|ends| Turn { begins: 0, ends })
+                    left.map(|ends| ExpectedSpan { begins: 0, ends })
                 }
                 // A step that waits for room has no expected time, nor have the steps that depend on it.
                 None => None,
                 Some(_) if is_ready => None,
-                Some(begins) => Some(Turn { begins, ends: self.end_of(job, i, begins) }),
+                Some(begins) => {
+                    Some(ExpectedSpan { begins, ends: self.expected_end(job, i, begins) })
+                }
             };
             spans.push(span);
         }
@@ -175,7 +183,7 @@
     }
 
     /// Returns the expected end of a step that begins at `begins`.
-    fn end_of(&self, job: &Job, step: usize, begins: Ms) -> Ms {
+    fn expected_end(&self, job: &Job, step: usize, begins: Ms) -> Ms {
         if !self.policy.need.leaves_out_ended || job.spec.steps[step].lasting {
             return Ms::MAX;
         }
@@ -187,14 +195,14 @@
 
 /// The expected time span of a step, in milliseconds from now.
 #[derive(Clone, Copy, Debug, Default)]
-struct Turn {
+struct ExpectedSpan {
     begins: Ms,
     ends: Ms,
 }
 
 /// Returns the CPU that a waiting task is counted as using. A task that needs more than half of the largest VM counts as that
 /// whole VM: it fits only on a nearly empty VM and leaves little room for others.
-fn room_taken_by(cpu: u32, largest: u32) -> u64 {
+fn counted_cpu(cpu: u32, largest: u32) -> u64 {
     let takes_whole_vm = u64::from(cpu) * 2 > u64::from(largest);
     u64::from(if takes_whole_vm { cpu.max(largest) } else { cpu })
 }
--- a/crates/schedule/src/pool/order.rs
+++ b/crates/schedule/src/pool/order.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::job::Spot;
+use super::job::TaskState;
 use super::{Now, Pool, VmKey};
 use crate::id::{RunId, TaskId, VmLife};
 use crate::spec::JobSpec;
@@ -80,16 +80,16 @@
                 state.has_copies = result == StartResult::StartedWithCopies;
                 state.confirmed = Some(now.steady);
                 state.started = now.steady;
-                v.without_room = 0;
+                v.room_rejections = 0;
             }
             StartResult::Unclear => (state.confirmed, state.unclear) = (Some(now.steady), true),
             StartResult::NotTaken => self.release(vm_key, run, now),
             StartResult::NoRoom => {
-                v.set_aside_for_room(now.steady);
+                v.exclude_for_room(now.steady);
                 self.release(vm_key, run, now);
             }
             StartResult::Unhealthy => {
-                v.set_aside_briefly(now.steady);
+                v.exclude_briefly(now.steady);
                 self.release(vm_key, run, now);
             }
         }
@@ -110,13 +110,15 @@
         let Some(&key) = self.job_keys.get(&run.task.job) else { return };
         let Some(job) = self.jobs.get_mut(key) else { return };
         let Some((step, index)) = job.step_mut(run.task) else { return };
-        if step.tasks[index].attempt == run.attempt && step.tasks[index].spot == Spot::On(vm) {
-            step.set(index, Spot::Waiting);
+        if step.tasks[index].attempt == run.attempt
+            && step.tasks[index].state == TaskState::Assigned(vm)
+        {
+            step.set(index, TaskState::Waiting);
             step.tasks[index].avoid = Some(vm);
             if !removed.checkpoint.is_empty() {
                 step.tasks[index].checkpoint = removed.checkpoint;
             }
-            self.touch(key);
+            self.mark_changed(key);
         }
     }
 
--- a/crates/schedule/src/pool/place.rs
+++ b/crates/schedule/src/pool/place.rs
@@ -1,9 +1,9 @@
 //! Placement of waiting tasks on VMs.
 
 use super::incarnation::Vm;
-use super::job::Spot;
+use super::job::TaskState;
 use super::run::Run;
-use super::suspects::Care;
+use super::suspects::Isolation;
 use super::{JobKey, Now, Order, Pool, StartOrder, StepId, VmKey};
 use crate::Ms;
 use crate::harm::Verdict;
@@ -39,21 +39,21 @@
 }
 
 impl Pool {
-    pub(super) fn begin_due_times(&mut self, now: Now) {
+    pub(super) fn open_due_repetitions(&mut self, now: Now) {
         for job in self.jobs.values_mut().filter(|j| j.phase == Phase::Open) {
-            job.begin_due(now);
+            job.open_due_repetitions(now);
         }
     }
 
     /// Places waiting tasks in the order of their jobs' ranks while there is room.
     pub(super) fn place_waiting(&mut self, now: Now) {
-        if !self.vms.values().any(|vm| vm.takes_work() && vm.aside_until <= now.steady) {
+        if !self.vms.values().any(|vm| vm.takes_work() && vm.excluded_until <= now.steady) {
             return;
         }
         let mut ranked = Vec::new();
         for (key, job) in self.jobs.iter().filter(|(_, j)| j.phase == Phase::Open) {
             if job.ready_steps().next().is_some() {
-                let crashes = self.worst_crashes(key);
+                let crashes = self.max_crashes(key);
                 ranked.push((crashes, self.rank(job, now.steady), job.accepted, key));
             }
         }
@@ -66,7 +66,7 @@
 
     /// Returns, for each resource, the largest free amount on any VM. A task that needs more fits nowhere.
     fn most_free(&self, now: Ms) -> Room {
-        let takes = |vm: &&Vm| vm.takes_work() && vm.aside_until <= now;
+        let takes = |vm: &&Vm| vm.takes_work() && vm.excluded_until <= now;
         self.vms.values().filter(takes).map(Vm::free).fold(Room::default(), Room::greater_of_each)
     }
 
@@ -90,7 +90,7 @@
             }
             let waits = !self.waiting_tasks(step).is_empty();
             if let Some(policy) = spec.advice.filter(|_| waits) {
-                self.ask(step, shape, policy, now);
+                self.request_advice(step, shape, policy, now);
             }
         }
     }
@@ -98,16 +98,16 @@
     /// Places the waiting tasks of a step. Returns `false` if no VM was found for a task that is not a suspect.
     fn place_step(&mut self, ready: ReadyStep, shape: &Step, now: Now) -> bool {
         for index in self.waiting_tasks(ready) {
-            if self.is_put_off(ready, index, now.steady) {
+            if self.is_deferred(ready, index, now.steady) {
                 continue;
             }
             if !self.quota.may_start(self.jobs[ready.job].workspace, shape.demand) {
                 return true;
             }
-            let Some(mut isolation) = self.care(ready, index, now.steady) else { continue };
+            let Some(mut isolation) = self.isolation(ready, index, now.steady) else { continue };
             let suspect = self.verdict(ready.task(index)) == Verdict::Suspect;
-            if suspect && !self.may_hold_one_more(shape, isolation, now.steady) {
-                isolation = Care::BesideOwn;
+            if suspect && !self.may_occupy_one_more(shape, isolation, now.steady) {
+                isolation = Isolation::WithOwnSuspect;
             }
             // Apart from suspects, all tasks of a step fit on the same VMs: a VM to avoid is still used as a last resort. If one
             // task finds no VM, the others find none either.
@@ -124,17 +124,17 @@
     }
 
     pub(super) fn waiting_tasks(&self, ready: ReadyStep) -> Vec<usize> {
-        let step = &self.jobs[ready.job].times[&ready.time].steps[ready.step];
-        let waits = |&i: &usize| step.tasks[i].spot == Spot::Waiting;
+        let step = &self.jobs[ready.job].repetitions[&ready.time].steps[ready.step];
+        let waits = |&i: &usize| step.tasks[i].state == TaskState::Waiting;
         (0..step.tasks.len()).filter(waits).collect()
     }
 
     /// Returns whether the next start of a task is still deferred after a failure soon after the last start.
-    fn is_put_off(&self, ready: ReadyStep, index: usize, now: Ms) -> bool {
+    fn is_deferred(&self, ready: ReadyStep, index: usize, now: Ms) -> bool {
         self.jobs[ready.job].task(ready.task(index)).is_some_and(|t| now < t.not_before)
     }
 
-    fn avoids(&self, ready: ReadyStep, index: usize) -> Option<VmKey> {
+    fn avoided_vm(&self, ready: ReadyStep, index: usize) -> Option<VmKey> {
         self.jobs[ready.job].task(ready.task(index)).and_then(|t| t.avoid)
     }
 
@@ -149,34 +149,35 @@
         shape: &Step,
         index: usize,
         rack: Option<&str>,
-        isolation: Care,
+        isolation: Isolation,
         now: Ms,
     ) -> Option<VmKey> {
-        let avoid = self.avoids(ready, index);
+        let avoid = self.avoided_vm(ready, index);
         let needs_ticket = self.jobs[ready.job].spec.advice.is_some();
-        let crash_prone = self.is_crash_prone(now);
+        let crash_prone = self.has_recent_crash(now);
         let fits = |vm: &Vm| {
             vm.takes_work()
-                && vm.aside_until <= now
+                && vm.excluded_until <= now
                 && vm.free().holds(shape.room())
                 && vm.may_share(ready.id, isolation, now)
                 && rack.is_none_or(|r| vm.facts.as_ref().is_some_and(|f| &*f.rack == r))
                 && has_labels(vm, shape)
-                && below_spread(vm, ready, shape)
+                && within_anti_affinity(vm, ready, shape)
                 && (!needs_ticket || self.ticket(ready.id(), &vm.id, now).is_some())
         };
         // VMs are compared by these criteria in order. A VM on which the task failed is only a last resort.
         let score = |(key, vm): &(VmKey, &Vm)| {
             let near = shape.affinity.as_deref().is_some_and(|a| has_label(vm, a));
             // On a VM due for maintenance, a lasting task would have to move again.
-            let not_due = !shape.lasting || !vm.name().is_some_and(|n| self.due.contains(n));
+            let not_due =
+                !shape.lasting || !vm.name().is_some_and(|n| self.due_for_maintenance.contains(n));
             // A crash costs least on a VM without lasting tasks.
             let avoids_lasting = shape.lasting || !crash_prone || vm.lasting_runs() == 0;
             // Lasting tasks are packed on few VMs so that the others can be removed when load is low.
             let packed = if shape.lasting { vm.lasting_runs() } else { 0 };
             // Lasting tasks of the same step are still spread, so that the loss of a VM affects few of them.
             let spread = if shape.lasting {
-                std::cmp::Reverse(of_step(vm, ready))
+                std::cmp::Reverse(count_tasks_of_step(vm, ready))
             } else {
                 std::cmp::Reverse(0)
             };
@@ -187,7 +188,7 @@
             (
                 Some(*key) != avoid,
                 warm,
-                !disturbs(vm, shape),
+                !interferes(vm, shape),
                 not_due,
                 avoids_lasting,
                 near,
@@ -229,7 +230,7 @@
         let run = Run { ordered_at: Some(now.steady), from_start, unproven_for, ..run };
         self.add_run(vm, ready.task(index), run);
         if let Some((step, index)) = self.jobs[ready.job].step_mut(ready.task(index)) {
-            step.set(index, Spot::On(vm));
+            step.set(index, TaskState::Assigned(vm));
             step.tasks[index].attempt = attempt;
         }
     }
@@ -239,7 +240,7 @@
         // No order was issued for the run.
         let _ = self.remove_run(vm, run);
         if let Some((step, index)) = self.jobs[ready.job].step_mut(run.task) {
-            step.set(index, Spot::Waiting);
+            step.set(index, TaskState::Waiting);
             step.tasks[index].attempt = before;
         }
     }
@@ -265,7 +266,7 @@
             free_cpu: self.vms[vm].free().cpu,
         };
         self.orders.push(Order::Start(order));
-        self.touch(ready.job);
+        self.mark_changed(ready.job);
     }
 }
 
@@ -278,7 +279,7 @@
 }
 
 /// Returns the number of tasks of a step on a VM.
-fn of_step(vm: &Vm, ready: ReadyStep) -> usize {
+fn count_tasks_of_step(vm: &Vm, ready: ReadyStep) -> usize {
     let of_step = |t: &&TaskId| {
         t.job == ready.id && t.time == ready.time && usize::from(t.step) == ready.step
     };
@@ -286,15 +287,15 @@
 }
 
 /// Returns whether the step's anti-affinity limit allows one more task on the VM.
-fn below_spread(vm: &Vm, ready: ReadyStep, shape: &Step) -> bool {
+fn within_anti_affinity(vm: &Vm, ready: ReadyStep, shape: &Step) -> bool {
     if shape.anti_affinity == 0 {
         return true;
     }
-    of_step(vm, ready) < usize::try_from(shape.anti_affinity).unwrap_or(usize::MAX)
+    count_tasks_of_step(vm, ready) < usize::try_from(shape.anti_affinity).unwrap_or(usize::MAX)
 }
 
 /// Returns whether the placement would put a filling task and a serving task on the same VM.
-fn disturbs(vm: &Vm, shape: &Step) -> bool {
+fn interferes(vm: &Vm, shape: &Step) -> bool {
     if shape.fills {
         return vm.runs.values().any(|r| r.tail_target_ms > 0);
     }
--- a/crates/schedule/src/pool/rank.rs
+++ b/crates/schedule/src/pool/rank.rs
@@ -19,7 +19,7 @@
     /// 1: can finish in time; 0: late and must begin now to be of use; 2: late but can still be of use; 3: too late.
     lateness: u8,
     /// The due time or the latest start time of the job, or its remaining work if it is late and need not begin now.
-    then: u64,
+    tie_break: u64,
 }
 
 impl Rank {
@@ -60,7 +60,7 @@
             SharePolicy::BeyondLast => job.beyond_share,
         };
         let priority = job.spec.objective.priority;
-        Rank { not_lasting, priority, beyond_share, lateness, then }
+        Rank { not_lasting, priority, beyond_share, lateness, tie_break: then }
     }
 }
 
--- a/crates/schedule/src/pool/remaining.rs
+++ b/crates/schedule/src/pool/remaining.rs
@@ -12,7 +12,7 @@
 impl Pool {
     /// Returns the expected remaining time of a run that ends by itself, in milliseconds.
     pub(super) fn time_left(&self, task: TaskId, run: &Run, now: Ms) -> Ms {
-        let whole = run.measured_ms().unwrap_or_else(|| self.expected_ms(task));
+        let whole = run.projected_ms().unwrap_or_else(|| self.expected_ms(task));
         let undone = Ms::from(100u32.saturating_sub(run.progress));
         (whole * undone / 100).saturating_sub(now.saturating_sub(run.progress_at))
     }
@@ -25,7 +25,7 @@
     }
 
     /// Returns how soon a VM can be empty if resumable runs are stopped, in milliseconds.
-    pub(super) fn can_be_empty_in(&self, vm: &Vm, now: Ms) -> Ms {
+    pub(super) fn time_to_empty(&self, vm: &Vm, now: Ms) -> Ms {
         let time = |(&task, run): (&TaskId, &Run)| {
             let left = self.time_left(task, run, now);
             if run.can_be_resumed() { left.min(WORTH_STOPPING_MS) } else { left }
--- a/crates/schedule/src/pool/report.rs
+++ b/crates/schedule/src/pool/report.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashSet;
 
-use super::job::Spot;
+use super::job::TaskState;
 use super::run::Run;
 use super::{JobKey, Now, Pool, VmKey};
 use crate::Ms;
@@ -14,9 +14,9 @@
 const MAX_ENDS: usize = 500;
 /// The delay before the stop order for a run that is still listed is repeated, in milliseconds. It is longer than the 900 ms in
 /// which the users' VMs stop a run.
-const STOP_AGAIN_MS: Ms = 1_000;
+const STOP_RETRY_MS: Ms = 1_000;
 /// The progress, in percent, at which a lasting task has completed its start and is working.
-const STARTED: u32 = 100;
+const WORKING_PERCENT: u32 = 100;
 
 /// Unexpected changes found in a report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -30,15 +30,15 @@
 impl Pool {
     /// Applies a VM's report that was requested under this owner's token.
     pub fn report(&mut self, vm: &VmLife, report: &VmReport, now: Now) -> ReportNews {
-        self.resolve_silence(vm, false, now);
-        self.end_former_lives(vm, now);
+        self.resolve_unclear_loss(vm, false, now);
+        self.end_previous_incarnations(vm, now);
         let key = self.vm_key(vm);
         let mut changes = ReportNews::default();
         for end in &report.ended {
             let vm = &self.vms[key];
-            let is_new = end.sequence > vm.ends_taken && !vm.has_run(end.run);
-            self.take_end(key, end, now);
-            if is_new && self.is_of_given_up(end) {
+            let is_new = end.sequence > vm.last_end_sequence && !vm.has_run(end.run);
+            self.apply_end(key, end, now);
+            if is_new && self.is_of_abandoned_run(end) {
                 changes.of_given_up.push(end.clone());
             }
         }
@@ -48,29 +48,29 @@
         let complete = report.ended.len() < MAX_ENDS;
         let listed: HashSet<RunId> = report.running.iter().map(|r| r.run).collect();
         for row in &report.running {
-            self.take_row(key, row, report.asked_at, now);
+            self.apply_run_row(key, row, report.asked_at, now);
         }
         if complete {
-            changes.not_listed = self.drop_missing(key, report, &listed, now);
+            changes.not_listed = self.release_missing(key, report, &listed, now);
         }
-        self.pace(key, now);
-        let listing_is_complete = self.listing_is_sound;
+        self.throttle(key, now);
+        let listing_is_complete = self.listing_is_complete;
         let vm = &mut self.vms[key];
-        vm.note_answer(report.asked_at, listing_is_complete, now.steady);
-        vm.held |= complete;
-        vm.strays.retain(|run, _| listed.contains(run));
-        self.forget_vm_if_empty(key);
+        vm.record_answer(report.asked_at, listing_is_complete, now.steady);
+        vm.token_confirmed |= complete;
+        vm.unknown_runs.retain(|run, _| listed.contains(run));
+        self.remove_vm_if_unused(key);
         changes
     }
 
     /// Returns whether an unexpected end belongs to an abandoned run that did not complete its task.
-    fn is_of_given_up(&self, end: &RunEnd) -> bool {
+    fn is_of_abandoned_run(&self, end: &RunEnd) -> bool {
         let job = self.job_key(end.run.task).and_then(|key| self.jobs.get(key));
         let Some(task) = job.and_then(|job| job.task(end.run.task)) else { return false };
-        task.attempt != end.run.attempt || task.spot != Spot::Done
+        task.attempt != end.run.attempt || task.state != TaskState::Done
     }
 
-    fn take_row(&mut self, key: VmKey, row: &RunRow, asked_at: Ms, now: Now) {
+    fn apply_run_row(&mut self, key: VmKey, row: &RunRow, asked_at: Ms, now: Now) {
         let vm = &mut self.vms[key];
         let task = row.run.task;
         if let Some(run) = vm.runs.get_mut(&task).filter(|r| r.attempt == row.run.attempt) {
@@ -85,39 +85,39 @@
             // A run that is being stopped no longer counts as working.
             if !run.stopping {
                 let (lasting, started) = (run.lasting, run.started);
-                self.note_at_work(row);
+                self.update_working(row);
                 if lasting
-                    && row.percent >= STARTED
+                    && row.percent >= WORKING_PERCENT
                     && self.is_cleared_by_work(task, started, now.steady)
                 {
-                    self.clear(task);
+                    self.clear_crash_history(task);
                 }
-            } else if now.steady >= run.stop_ordered + STOP_AGAIN_MS {
+            } else if now.steady >= run.stop_ordered + STOP_RETRY_MS {
                 // The stop order may have been issued while there was no connection to the VM.
                 run.stop_ordered = now.steady;
                 self.order_stop(key, task, row.run.attempt);
             }
             return;
         }
-        let last_stop = vm.strays.entry(row.run).or_insert(0);
-        if *last_stop == 0 || now.steady >= *last_stop + STOP_AGAIN_MS {
+        let last_stop = vm.unknown_runs.entry(row.run).or_insert(0);
+        if *last_stop == 0 || now.steady >= *last_stop + STOP_RETRY_MS {
             *last_stop = now.steady;
             self.order_stop(key, task, row.run.attempt);
         }
     }
 
-    fn note_at_work(&mut self, row: &RunRow) {
+    fn update_working(&mut self, row: &RunRow) {
         let Some(job) = self.job_mut(row.run.task) else { return };
         let lasting = job.spec.steps.get(usize::from(row.run.task.step)).is_some_and(|s| s.lasting);
         let Some((step, index)) = job.step_mut(row.run.task) else { return };
         if lasting {
-            step.tasks[index].at_work = row.percent >= STARTED;
+            step.tasks[index].working = row.percent >= WORKING_PERCENT;
         }
     }
 
     /// Releases the runs that a complete report would list if they existed, and returns them. A report does not show whether a
     /// copy of a start is still to arrive: only a stop prevents that, so such a run counts until its stop is answered.
-    fn drop_missing(
+    fn release_missing(
         &mut self,
         key: VmKey,
         report: &VmReport,
@@ -125,7 +125,7 @@
         now: Now,
     ) -> Vec<RunId> {
         let vm = &self.vms[key];
-        let first = !vm.held;
+        let first = !vm.token_confirmed;
         let missing = |(&task, run): (&TaskId, &Run)| {
             let id = RunId { task, attempt: run.attempt };
             let confirmed_before = run.confirmed.is_some_and(|at| report.asked_at > at);
@@ -135,7 +135,7 @@
         let (unclear, gone): (Vec<RunId>, Vec<RunId>) =
             missing.into_iter().partition(|run| !first && vm.runs[&run.task].unclear);
         for run in unclear {
-            self.bar(key, run, now);
+            self.block_start(key, run, now);
         }
         for &run in &gone {
             self.release(key, run, now);
@@ -144,7 +144,7 @@
     }
 
     /// Orders the stop of a run that does not exist, so that no late copy of its start can begin it.
-    fn bar(&mut self, vm: VmKey, id: RunId, now: Now) {
+    fn block_start(&mut self, vm: VmKey, id: RunId, now: Now) {
         let Some(run) = self.vms[vm].runs.get_mut(&id.task) else { return };
         (run.unclear, run.confirmed) = (false, None);
         (run.stopping, run.stop_ordered) = (true, now.steady);
--- a/crates/schedule/src/pool/run.rs
+++ b/crates/schedule/src/pool/run.rs
@@ -8,7 +8,7 @@
 pub(super) const FULL_SPEED: u32 = 100;
 
 /// The progress, in percent, below which a run's duration cannot be estimated from its progress.
-const LEAST_PROGRESS: u32 = 5;
+const MIN_PROGRESS: u32 = 5;
 
 /// A run that a VM has, may have, or is about to receive.
 #[derive(Clone, Debug)]
@@ -25,7 +25,7 @@
     /// Whether an unanswered copy of the start order may still be executed.
     pub has_copies: bool,
     /// Whether the run counts here only because a copy of its start meant for the VM's previous incarnation may arrive.
-    pub of_former_life: bool,
+    pub of_previous_incarnation: bool,
     /// Whether a copy of the start was refused while an earlier copy may have run or still be in flight.
     pub unclear: bool,
     pub stopping: bool,
@@ -36,7 +36,7 @@
     pub fills: bool,
     pub lasting: bool,
     /// Whether the task saves checkpoints, so that it can be stopped and resumed elsewhere.
-    pub saves: bool,
+    pub checkpointing: bool,
     /// Whether the task is a member of a gang, which ends as a whole.
     pub in_gang: bool,
     /// When this owner ordered the run, if it did.
@@ -50,8 +50,8 @@
     /// When that report arrived.
     pub progress_at: Ms,
     /// The share of its full speed that was last ordered, in percent, or `None` if only a previous owner may have set it.
-    pub pace: Option<u32>,
-    pub paced_at: Ms,
+    pub speed_percent: Option<u32>,
+    pub speed_set_at: Ms,
     /// The latest figure that the run reported; see [`crate::vm::RunRow`].
     pub figure: Option<u64>,
     /// The latest checkpoint, from which the task resumes elsewhere if the VM is lost.
@@ -69,30 +69,30 @@
             started: now,
             listed: false,
             has_copies: true,
-            of_former_life: false,
+            of_previous_incarnation: false,
             unclear: false,
             stopping: false,
             stop_ordered: 0,
             tail_target_ms: shape.tail_target_ms,
             fills: shape.fills,
             lasting: shape.lasting,
-            saves: shape.checkpointing,
+            checkpointing: shape.checkpointing,
             in_gang: shape.gang,
             ordered_at: None,
             from_start: false,
             unproven_for: None,
             progress: 0,
             progress_at: now,
-            pace: Some(FULL_SPEED),
-            paced_at: 0,
+            speed_percent: Some(FULL_SPEED),
+            speed_set_at: 0,
             figure: None,
             checkpoint: String::new(),
         }
     }
 
     /// Returns the total duration projected from the progress so far, if it can be estimated.
-    pub fn measured_ms(&self) -> Option<Ms> {
-        if !self.from_start || self.progress < LEAST_PROGRESS {
+    pub fn projected_ms(&self) -> Option<Ms> {
+        if !self.from_start || self.progress < MIN_PROGRESS {
             return None;
         }
         let elapsed = self.progress_at.saturating_sub(self.started);
@@ -101,22 +101,22 @@
 
     /// Returns whether the run certainly ends with its VM incarnation: it existed there, and no copy of its start can begin it in
     /// the next one.
-    pub const fn ends_with_its_life(&self) -> bool {
+    pub const fn ends_with_incarnation(&self) -> bool {
         self.listed && !self.has_copies
     }
 
     /// Returns the run as it counts in the VM's next incarnation, which has not reported it.
-    pub fn in_next_life(self, now: Ms) -> Self {
+    pub fn in_next_incarnation(self, now: Ms) -> Self {
         Self {
             confirmed: None,
             listed: false,
             has_copies: true,
-            of_former_life: true,
+            of_previous_incarnation: true,
             unclear: false,
             started: now,
             progress: 0,
             progress_at: now,
-            pace: None,
+            speed_percent: None,
             figure: None,
             ..self
         }
@@ -124,6 +124,6 @@
 
     /// Returns whether the run can be stopped and resumed elsewhere without losing work.
     pub fn can_be_resumed(&self) -> bool {
-        self.saves && !self.in_gang && !self.lasting
+        self.checkpointing && !self.in_gang && !self.lasting
     }
 }
--- a/crates/schedule/src/pool/suspects.rs
+++ b/crates/schedule/src/pool/suspects.rs
@@ -1,7 +1,7 @@
 //! Tasks under which VMs crash: counting the crashes, isolating the tasks, and abandoning them.
 
 use super::incarnation::Vm;
-use super::job::Spot;
+use super::job::TaskState;
 use super::place::ReadyStep;
 use super::run::Run;
 use super::{JobKey, Now, Pool, VmKey};
@@ -22,12 +22,12 @@
 /// and after twice this time with any task. A task that could start but does not for 3 s counts as lost.
 const ALONE_WAIT_MS: Ms = 1_000;
 /// Unproven suspects occupy at most one VM in this many, but always may occupy one.
-const VMS_A_SUSPECT: usize = 4;
+const VMS_PER_SUSPECT: usize = 4;
 /// The same limit for suspects that have waited for twice [`ALONE_WAIT_MS`].
-const VMS_A_LATE_SUSPECT: usize = 2;
+const VMS_PER_LATE_SUSPECT: usize = 2;
 /// How long after a crash tasks that end by themselves are kept off VMs with lasting tasks if possible, in milliseconds. A lost
 /// lasting task takes longer to replace, and its step counts as absent meanwhile.
-const CRASH_PRONE_MS: Ms = 30_000;
+const RECENT_CRASH_MS: Ms = 30_000;
 
 /// A task that was abandoned because VMs crashed under it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -40,15 +40,15 @@
 
 /// How strictly a task is isolated from other tasks on its VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Care {
+pub(super) enum Isolation {
     /// Shares a VM with all tasks except suspects of other jobs.
-    Usual,
+    FromSuspects,
     /// Shares a VM only with tasks of its own job.
-    Alone,
+    OwnJobOnly,
     /// Shares a VM only with tasks of its own job, and only where a suspect of that job already runs.
-    BesideOwn,
+    WithOwnSuspect,
     /// Shares a VM with tasks that end by themselves, except suspects of other jobs.
-    OffLasting,
+    FromLasting,
 }
 
 impl Run {
@@ -60,18 +60,20 @@
 
 impl Vm {
     /// Returns whether a task of the job may share the VM, regardless of free room.
-    pub fn may_share(&self, job: JobId, isolation: Care, now: Ms) -> bool {
+    pub fn may_share(&self, job: JobId, isolation: Isolation, now: Ms) -> bool {
         let mut others = self.runs.iter().filter(|(task, _)| task.job != job);
         match isolation {
-            Care::Usual => !others.any(|(_, run)| run.is_unproven(now)),
-            Care::Alone => others.next().is_none(),
-            Care::BesideOwn => others.next().is_none() && self.is_held_by_suspect(now),
-            Care::OffLasting => !others.any(|(_, run)| run.lasting || run.is_unproven(now)),
+            Isolation::FromSuspects => !others.any(|(_, run)| run.is_unproven(now)),
+            Isolation::OwnJobOnly => others.next().is_none(),
+            Isolation::WithOwnSuspect => {
+                others.next().is_none() && self.is_occupied_by_suspect(now)
+            }
+            Isolation::FromLasting => !others.any(|(_, run)| run.lasting || run.is_unproven(now)),
         }
     }
 
     /// Returns whether a suspect occupies the VM: one that is unproven or may have crashed the VM.
-    pub(super) fn is_held_by_suspect(&self, now: Ms) -> bool {
+    pub(super) fn is_occupied_by_suspect(&self, now: Ms) -> bool {
         self.runs
             .values()
             .any(|r| r.is_unproven(now) || (r.unproven_for.is_some() && !self.reachable))
@@ -80,7 +82,7 @@
     /// Returns the crash to count against a run's task if the VM ended at `ended`, or `None` if the run may not have existed.
     fn crash_under(&self, task: TaskId, run: &Run, ended: Ms) -> Option<Crash> {
         let ordered_after = run.confirmed.is_none() && run.ordered_at.is_some_and(|at| at > ended);
-        if ordered_after || run.of_former_life && !run.listed {
+        if ordered_after || run.of_previous_incarnation && !run.listed {
             // The run was ordered after the VM ended, or it may never have existed there.
             return None;
         }
@@ -96,10 +98,10 @@
     /// Returns the crashes to count against tasks if the VM is lost; empty if the VM was leaving.
     pub(super) fn crashes_under(&self, key: VmKey, now: Now) -> Vec<(TaskId, Crash)> {
         let vm = &self.vms[key];
-        if vm.draining() || vm.left_the_list {
+        if vm.draining() || vm.leaving_unannounced {
             return Vec::new();
         }
-        let ended = vm.silent_since.unwrap_or(now.steady);
+        let ended = vm.unresponsive_since.unwrap_or(now.steady);
         let crash = |(&task, run): (&TaskId, &Run)| Some((task, vm.crash_under(task, run, ended)?));
         vm.runs.iter().filter_map(crash).collect()
     }
@@ -113,10 +115,10 @@
         now: Now,
     ) {
         if loss == VmLoss::Replaced && !crashes.is_empty() {
-            self.crashed_at = Some(now.steady);
+            self.last_crash_at = Some(now.steady);
         }
         for (task, crash) in crashes {
-            self.change_harm(task, now, |history| match loss {
+            self.update_crash_history(task, now, |history| match loss {
                 VmLoss::Replaced => history.add(crash),
                 VmLoss::LeaseOver => history.add_unclear(vm.clone()),
             });
@@ -124,12 +126,12 @@
     }
 
     /// Resolves whether a VM that was lost while unresponsive has crashed.
-    pub(super) fn resolve_silence(&mut self, id: &VmLife, crashed: bool, now: Now) {
-        if self.harmed.is_empty() {
+    pub(super) fn resolve_unclear_loss(&mut self, id: &VmLife, crashed: bool, now: Now) {
+        if self.affected.is_empty() {
             return;
         }
         let vm = id.to_string();
-        self.resolve_all(
+        self.resolve_matching_losses(
             now,
             |history| {
                 if history.unclear.iter().any(|loss| loss.vm == vm) {
@@ -143,20 +145,25 @@
     }
 
     /// Counts VMs that have been unresponsive for too long as crashed.
-    pub(super) fn end_silences(&mut self, now: Now) {
-        self.resolve_all(now, |history| history.overdue(now.wall), true);
+    pub(super) fn expire_unclear_losses(&mut self, now: Now) {
+        self.resolve_matching_losses(now, |history| history.overdue(now.wall), true);
     }
 
-    fn resolve_all(&mut self, now: Now, vms: impl Fn(&Harm) -> Vec<String>, crashed: bool) {
+    fn resolve_matching_losses(
+        &mut self,
+        now: Now,
+        vms: impl Fn(&Harm) -> Vec<String>,
+        crashed: bool,
+    ) {
         let mut known = Vec::new();
-        for &key in &self.harmed {
+        for &key in &self.affected {
             let Some(job) = self.jobs.get(key) else { continue };
-            for (&task, history) in &job.harm {
+            for (&task, history) in &job.crash_histories {
                 known.extend(vms(history).into_iter().map(|vm| (task, vm)));
             }
         }
         for (task, vm) in known {
-            self.change_harm(task, now, |history| {
+            self.update_crash_history(task, now, |history| {
                 let _ = history.resolve(&vm, crashed);
             });
         }
@@ -165,66 +172,67 @@
     /// Returns the VMs that became unresponsive while tasks ran there and whose fate is unclear, with their stable names if
     /// known.
     pub fn silent_losses(&self) -> Vec<(VmLife, String)> {
-        let affected = self.harmed.iter().filter_map(|&key| self.jobs.get(key));
-        let losses =
-            affected.flat_map(|job| job.harm.values()).flat_map(|history| &history.unclear);
+        let affected = self.affected.iter().filter_map(|&key| self.jobs.get(key));
+        let losses = affected
+            .flat_map(|job| job.crash_histories.values())
+            .flat_map(|history| &history.unclear);
         losses.map(|loss| (VmLife::from(loss.vm.as_str()), loss.name.clone())).collect()
     }
 
     /// Returns the tasks that were abandoned since the last call.
     pub fn take_given_up(&mut self) -> Vec<GivenUp> {
-        std::mem::take(&mut self.given_up)
+        std::mem::take(&mut self.abandoned)
     }
 
     /// Returns the crash history of a task, if it has one.
     pub fn harm_of(&self, task: TaskId) -> Option<&Harm> {
-        self.jobs.get(self.job_key(task)?)?.harm.get(&task)
+        self.jobs.get(self.job_key(task)?)?.crash_histories.get(&task)
     }
 
     /// Returns the highest number of crashes under one of a job's suspects. Jobs with fewer crashes go first, as their tasks are
     /// less likely to be the cause.
-    pub(super) fn worst_crashes(&self, key: JobKey) -> u32 {
-        let histories = self.jobs.get(key).into_iter().flat_map(|job| job.harm.values());
+    pub(super) fn max_crashes(&self, key: JobKey) -> u32 {
+        let histories = self.jobs.get(key).into_iter().flat_map(|job| job.crash_histories.values());
         let suspects = histories.filter(|history| history.verdict() != Verdict::Clear);
         suspects.map(|history| history.crashes).max().unwrap_or(0)
     }
 
-    fn change_harm(&mut self, task: TaskId, now: Now, change: impl FnOnce(&mut Harm)) {
+    fn update_crash_history(&mut self, task: TaskId, now: Now, change: impl FnOnce(&mut Harm)) {
         let Some(key) = self.job_key(task) else { return };
         let Some(job) = self.jobs.get_mut(key).filter(|job| job.phase == Phase::Open) else {
             return;
         };
-        let history = job.harm.entry(task).or_default();
+        let history = job.crash_histories.entry(task).or_default();
         change(history);
         let (verdict, history) = (history.verdict(), history.clone());
         if history == Harm::default() {
-            job.harm.remove(&task);
+            job.crash_histories.remove(&task);
         }
-        job.harm_at = now.steady;
-        self.note_harmed(key);
-        self.touch(key);
+        job.crash_history_changed_at = now.steady;
+        self.update_affected(key);
+        self.mark_changed(key);
         if verdict == Verdict::GivenUp {
-            self.given_up.push(GivenUp { task, harm: history });
+            self.abandoned.push(GivenUp { task, harm: history });
             self.settle(key, Phase::Failed, now);
         }
     }
 
     /// Updates whether a job is among those with a crash history.
-    pub(super) fn note_harmed(&mut self, key: JobKey) {
-        if self.jobs.get(key).is_some_and(|job| !job.harm.is_empty()) {
-            self.harmed.insert(key);
+    pub(super) fn update_affected(&mut self, key: JobKey) {
+        if self.jobs.get(key).is_some_and(|job| !job.crash_histories.is_empty()) {
+            self.affected.insert(key);
         } else {
-            self.harmed.remove(&key);
+            self.affected.remove(&key);
         }
     }
 
     /// Clears the crash history of a task that is done, or of a lasting task that has worked for long enough.
-    pub(super) fn clear(&mut self, task: TaskId) {
+    pub(super) fn clear_crash_history(&mut self, task: TaskId) {
         let Some(key) = self.job_key(task) else { return };
         let Some(job) = self.jobs.get_mut(key) else { return };
-        if job.harm.remove(&task).is_some() {
-            self.note_harmed(key);
-            self.touch(key);
+        if job.crash_histories.remove(&task).is_some() {
+            self.update_affected(key);
+            self.mark_changed(key);
         }
     }
 
@@ -244,37 +252,44 @@
     }
 
     /// Returns the isolation of a waiting task, or `None` while it may not be started.
-    pub(super) fn care(&self, ready: ReadyStep, index: usize, now: Ms) -> Option<Care> {
+    pub(super) fn isolation(&self, ready: ReadyStep, index: usize, now: Ms) -> Option<Isolation> {
         let task = ready.task(index);
-        let Some(history) = self.harm_of(task) else { return Some(Care::Usual) };
-        let lost_at =
-            self.job_key(task).and_then(|key| self.jobs.get(key)).map_or(0, |j| j.harm_at);
+        let Some(history) = self.harm_of(task) else { return Some(Isolation::FromSuspects) };
+        let lost_at = self
+            .job_key(task)
+            .and_then(|key| self.jobs.get(key))
+            .map_or(0, |j| j.crash_history_changed_at);
         let waited = now.checked_sub(lost_at + history.pause());
         match (history.verdict(), waited) {
-            (Verdict::Clear, _) => Some(Care::Usual),
+            (Verdict::Clear, _) => Some(Isolation::FromSuspects),
             (Verdict::Held | Verdict::GivenUp, _) | (Verdict::Suspect, None) => None,
             (Verdict::Suspect, Some(_)) if !self.policy.tasks.keep_suspects_apart => {
-                Some(Care::Usual)
+                Some(Isolation::FromSuspects)
+            }
+            (Verdict::Suspect, Some(waited)) if waited < ALONE_WAIT_MS => {
+                Some(Isolation::OwnJobOnly)
             }
-            (Verdict::Suspect, Some(waited)) if waited < ALONE_WAIT_MS => Some(Care::Alone),
             (Verdict::Suspect, Some(waited)) if waited < 2 * ALONE_WAIT_MS => {
-                Some(Care::OffLasting)
+                Some(Isolation::FromLasting)
             }
-            (Verdict::Suspect, Some(_)) => Some(Care::Usual),
+            (Verdict::Suspect, Some(_)) => Some(Isolation::FromSuspects),
         }
     }
 
     /// Returns whether suspects may occupy one more VM; their share of the VMs is limited. Lasting tasks and gangs are exempt
     /// after a short wait, as they may need many VMs.
-    pub(super) fn may_hold_one_more(&self, shape: &Step, isolation: Care, now: Ms) -> bool {
+    pub(super) fn may_occupy_one_more(&self, shape: &Step, isolation: Isolation, now: Ms) -> bool {
         if !self.policy.tasks.keep_suspects_apart
-            || (shape.lasting || shape.gang) && isolation == Care::Usual
+            || (shape.lasting || shape.gang) && isolation == Isolation::FromSuspects
         {
             return true;
         }
-        let vms_per_suspect =
-            if isolation == Care::Usual { VMS_A_LATE_SUSPECT } else { VMS_A_SUSPECT };
-        let held = self.vms.values().filter(|vm| vm.is_held_by_suspect(now)).count();
+        let vms_per_suspect = if isolation == Isolation::FromSuspects {
+            VMS_PER_LATE_SUSPECT
+        } else {
+            VMS_PER_SUSPECT
+        };
+        let held = self.vms.values().filter(|vm| vm.is_occupied_by_suspect(now)).count();
         held < (self.vms.len() / vms_per_suspect).max(1)
     }
 
@@ -283,20 +298,23 @@
         if !self.policy.tasks.keep_suspects_apart {
             return 0;
         }
-        let jobs = self.harmed.iter().filter_map(|&key| self.jobs.get(key));
+        let jobs = self.affected.iter().filter_map(|&key| self.jobs.get(key));
         let open = jobs.filter(|job| job.phase == Phase::Open);
         let of_use = open.filter(|job| !self.rank(job, now).is_too_late());
         let waits = |job: &&super::Job| {
-            let suspects =
-                job.harm.iter().filter(|(_, history)| history.verdict() == Verdict::Suspect);
-            let waits = |task: TaskId| job.task(task).is_some_and(|t| t.spot == Spot::Waiting);
+            let suspects = job
+                .crash_histories
+                .iter()
+                .filter(|(_, history)| history.verdict() == Verdict::Suspect);
+            let waits =
+                |task: TaskId| job.task(task).is_some_and(|t| t.state == TaskState::Waiting);
             suspects.filter(|(task, _)| waits(**task)).count()
         };
         of_use.map(|job| waits(&job)).sum()
     }
 
     /// Returns whether a VM has crashed recently.
-    pub(super) fn is_crash_prone(&self, now: Ms) -> bool {
-        self.crashed_at.is_some_and(|at| now < at + CRASH_PRONE_MS)
+    pub(super) fn has_recent_crash(&self, now: Ms) -> bool {
+        self.last_crash_at.is_some_and(|at| now < at + RECENT_CRASH_MS)
     }
 }
--- a/crates/schedule/src/pool/takeover.rs
+++ b/crates/schedule/src/pool/takeover.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::job::Spot;
+use super::job::TaskState;
 use super::run::Run;
 use super::{Ms, Now, Pool};
 use crate::harm::HarmRecord;
@@ -18,7 +18,7 @@
 impl Pool {
     /// Records that this owner has just taken over the pool.
     pub fn taken_over(&mut self, now: Now) {
-        self.moves_from = now.steady + self.policy.tasks.pause_after_takeover_ms;
+        self.moves_allowed_from = now.steady + self.policy.tasks.pause_after_takeover_ms;
     }
 
     /// Adds a job from its records. Tasks that were ordered to run on a VM count as running there until the VM has answered under
@@ -34,22 +34,22 @@
         }
         let mut job = self.new_job(id, spec.clone(), now);
         if now.steady.saturating_sub(job.accepted) < JUST_ACCEPTED_MS {
-            self.note_arrival(spec, now.steady);
+            self.record_arrival(spec, now.steady);
         }
         job.begun = entry.progress.begun;
-        job.done_times.clone_from(&entry.progress.done_times);
-        job.begin_due(now);
+        job.done_repetitions.clone_from(&entry.progress.done_times);
+        job.open_due_repetitions(now);
         if let Some(last) = entry.progress.tasks.iter().map(|record| record.time).max() {
             // All repetitions before a recorded one are due as well, whatever this node's clock says.
-            job.open_times_up_to(last);
+            job.open_repetitions_up_to(last);
         }
         for HarmRecord { time, step, index, harm } in &entry.progress.harms {
             let task = TaskId { job: id, time: *time, step: *step, index: *index };
-            job.harm.insert(task, harm.clone());
+            job.crash_histories.insert(task, harm.clone());
         }
         let key = self.jobs.insert(job);
         self.job_keys.insert(id, key);
-        self.note_harmed(key);
+        self.update_affected(key);
         for record in &entry.progress.tasks {
             self.adopt_task(id, record, now);
         }
@@ -66,7 +66,7 @@
         let mut job = self.new_job(id, spec.clone(), now);
         (job.phase, job.settled_ms, job.begun) = (progress.phase, progress.settled_ms, true);
         for record in &progress.tasks {
-            job.open_time(record.time);
+            job.open_repetition(record.time);
         }
         let key = self.jobs.insert(job);
         self.job_keys.insert(id, key);
@@ -83,9 +83,9 @@
     fn adopt_task(&mut self, job_id: JobId, record: &TaskRecord, now: Now) {
         let id = TaskId { job: job_id, time: record.time, step: record.step, index: record.index };
         let spot = match &record.place {
-            Place::Waiting => Spot::Waiting,
-            Place::Done => Spot::Done,
-            Place::On(vm) => Spot::On(self.vm_key(&VmLife::from(vm.as_str()))),
+            Place::Waiting => TaskState::Waiting,
+            Place::Done => TaskState::Done,
+            Place::On(vm) => TaskState::Assigned(self.vm_key(&VmLife::from(vm.as_str()))),
         };
         let Some(job) = self.job_mut(id) else { return };
         let shape = job.spec.steps.get(usize::from(id.step)).cloned();
@@ -95,10 +95,14 @@
         task.attempt = record.attempt;
         task.failures = record.failures;
         task.checkpoint.clone_from(&record.checkpoint);
-        let Spot::On(vm) = spot else { return };
+        let TaskState::Assigned(vm) = spot else { return };
         let Some(shape) = shape else { return };
         let unproven_for = self.unproven_for(id);
-        let run = Run { pace: None, unproven_for, ..Run::new(record.attempt, &shape, now.steady) };
+        let run = Run {
+            speed_percent: None,
+            unproven_for,
+            ..Run::new(record.attempt, &shape, now.steady)
+        };
         self.add_run(vm, id, run);
     }
 
--- a/crates/schedule/src/pool/throttle.rs
+++ b/crates/schedule/src/pool/throttle.rs
@@ -9,17 +9,17 @@
 use crate::id::{RunId, TaskId, VmLife};
 
 /// The share of the target, in percent, from which filling tasks are slowed down.
-const SLOW_ABOVE_PERCENT: u64 = 85;
+const SLOW_DOWN_ABOVE_PERCENT: u64 = 85;
 /// The share of the target, in percent, below which filling tasks are sped up.
-const LET_GO_BELOW_PERCENT: u64 = 60;
+const SPEED_UP_BELOW_PERCENT: u64 = 60;
 /// The divisor of a filling task's speed at each slowdown.
-const SLOW_BY: u32 = 4;
+const SLOW_DOWN_DIVISOR: u32 = 4;
 /// The lowest speed of a filling task that is not paused, in percent.
-const LEAST_SHARE: u32 = 10;
+const MIN_SPEED: u32 = 10;
 /// The increase of a filling task's speed at each speed-up, in percent of the full speed.
-const LET_GO_BY: u32 = 20;
+const SPEED_UP_STEP: u32 = 20;
 /// The minimum time between two changes, in milliseconds. The reported figures cover the last half second.
-const CHANGE_EVERY_MS: Ms = 500;
+const MIN_CHANGE_INTERVAL_MS: Ms = 500;
 
 /// The reason for polling a VM, which determines how often it is polled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
     }
 
     /// Adjusts the speed of a VM's filling tasks to the latest figures of its serving tasks.
-    pub(super) fn pace(&mut self, key: VmKey, now: Now) {
+    pub(super) fn throttle(&mut self, key: VmKey, now: Now) {
         if !self.policy.tasks.pacing {
             return;
         }
@@ -65,12 +65,13 @@
         let id = vm.id.clone();
         for (&task, run) in vm.runs.iter_mut().filter(|(_, run)| run.fills && !run.stopping) {
             // A new owner's first order is not delayed.
-            if run.pace.is_some() && now.steady < run.paced_at + CHANGE_EVERY_MS {
+            if run.speed_percent.is_some() && now.steady < run.speed_set_at + MIN_CHANGE_INTERVAL_MS
+            {
                 continue;
             }
-            let percent = next_share(run.pace, tail);
-            if percent != run.pace {
-                (run.pace, run.paced_at) = (percent, now.steady);
+            let percent = next_speed(run.speed_percent, tail);
+            if percent != run.speed_percent {
+                (run.speed_percent, run.speed_set_at) = (percent, now.steady);
                 let run = run_id(task, run);
                 let order = |percent| Order::Pace { vm: id.clone(), run, percent };
                 self.orders.extend(percent.map(order));
@@ -93,15 +94,15 @@
     match serving.filter_map(percent).max() {
         // No figure has been reported yet.
         None => Tail::Between,
-        Some(SLOW_ABOVE_PERCENT..) => Tail::Near,
-        Some(LET_GO_BELOW_PERCENT..) => Tail::Between,
+        Some(SLOW_DOWN_ABOVE_PERCENT..) => Tail::Near,
+        Some(SPEED_UP_BELOW_PERCENT..) => Tail::Between,
         Some(_) => Tail::Below,
     }
 }
 
 /// Returns the next speed of a filling task, in percent, given its current speed. Returns `None` if the current speed is unknown
 /// and need not change.
-const fn next_share(share: Option<u32>, tail: Tail) -> Option<u32> {
+const fn next_speed(share: Option<u32>, tail: Tail) -> Option<u32> {
     let Some(share) = share else {
         return match tail {
             Tail::Near => Some(0),
@@ -110,10 +111,10 @@
         };
     };
     Some(match tail {
-        Tail::Near if share / SLOW_BY < LEAST_SHARE => 0,
-        Tail::Near => share / SLOW_BY,
+        Tail::Near if share / SLOW_DOWN_DIVISOR < MIN_SPEED => 0,
+        Tail::Near => share / SLOW_DOWN_DIVISOR,
         Tail::Between => share,
-        Tail::Below if share + LET_GO_BY > FULL_SPEED => FULL_SPEED,
-        Tail::Below => share + LET_GO_BY,
+        Tail::Below if share + SPEED_UP_STEP > FULL_SPEED => FULL_SPEED,
+        Tail::Below => share + SPEED_UP_STEP,
     })
 }
--- a/crates/schedule/src/pool/vms.rs
+++ b/crates/schedule/src/pool/vms.rs
@@ -31,18 +31,18 @@
     /// Applies the platform's listing of a VM incarnation. Returns whether the VM was not listed before or its draining state
     /// changed.
     pub fn list_vm(&mut self, facts: Arc<VmFacts>) -> bool {
-        self.name_life(&facts.id);
+        self.name_incarnation(&facts.id);
         let key = self.vm_key(&facts.id);
         let cordoned = self.cordoned.contains(&facts.name);
         let evacuated = !self.halls.takes_work(&facts.hall);
         let vm = &mut self.vms[key];
         let is_change = !vm.listed || vm.draining() != facts.draining;
         vm.listed = true;
-        (vm.answered_unlisted, vm.left_the_list) = (None, false);
+        (vm.answered_unlisted, vm.leaving_unannounced) = (None, false);
         (vm.cordoned, vm.evacuated) = (cordoned, evacuated);
         vm.shrunk |= !facts.room.holds(vm.room());
-        if facts.room != vm.room() && vm.without_room > 0 {
-            (vm.without_room, vm.aside_until) = (0, 0);
+        if facts.room != vm.room() && vm.room_rejections > 0 {
+            (vm.room_rejections, vm.excluded_until) = (0, 0);
         }
         vm.facts = Some(facts);
         is_change
@@ -50,11 +50,11 @@
 
     /// Stops unconfirmed runs on VMs whose room has shrunk until the remaining runs fit. A start order is repeated for up to a
     /// lease and could otherwise exceed the room that its VM has by then.
-    pub(super) fn call_off_starts(&mut self, now: Now) {
+    pub(super) fn cancel_starts_beyond_room(&mut self, now: Now) {
         let shrunk = |(key, vm): (VmKey, &mut Vm)| std::mem::take(&mut vm.shrunk).then_some(key);
         let shrunk: Vec<VmKey> = self.vms.iter_mut().filter_map(shrunk).collect();
         for key in shrunk {
-            for (task, attempt) in self.vms[key].stop_what_does_not_fit(now.steady) {
+            for (task, attempt) in self.vms[key].stop_runs_beyond_room(now.steady) {
                 self.order_stop(key, task, attempt);
             }
         }
@@ -65,13 +65,13 @@
     pub fn unlist_vm(&mut self, id: &VmLife) -> bool {
         let Some(&key) = self.vm_keys.get(id) else { return false };
         let was_listed = std::mem::replace(&mut self.vms[key].listed, false);
-        self.forget_vm_if_empty(key);
+        self.remove_vm_if_unused(key);
         was_listed
     }
 
     /// Sets whether the VM listing is believed complete, so that an unlisted VM is treated as leaving.
     pub fn set_listing_is_sound(&mut self, sound: bool) {
-        self.listing_is_sound = sound;
+        self.listing_is_complete = sound;
     }
 
     /// Sets the stable names of the VMs that are to be emptied.
@@ -96,12 +96,12 @@
 
     /// Sets the stable names of the VMs that are emptied for a pool that needs them now.
     pub fn set_hurried(&mut self, names: HashSet<Arc<str>>) {
-        self.hurried = names;
+        self.urgent = names;
     }
 
     /// Sets the stable names of the VMs that maintenance will soon take down.
     pub fn set_due(&mut self, names: HashSet<Arc<str>>) {
-        self.due = names;
+        self.due_for_maintenance = names;
     }
 
     /// Returns the stable names of VMs that accept work and have no runs.
@@ -117,7 +117,7 @@
             .vms
             .values()
             .filter(ends)
-            .map(|vm| (self.can_be_empty_in(vm, now.steady), vm.used.cpu, vm))
+            .map(|vm| (self.time_to_empty(vm, now.steady), vm.used.cpu, vm))
             .collect();
         vms.sort_by_key(|&(time, cpu, _)| (time, cpu));
         vms.into_iter().filter_map(|(_, _, vm)| vm.name().cloned()).collect()
@@ -128,21 +128,23 @@
         let Some(&key) = self.vm_keys.get(id) else { return };
         let vm = &mut self.vms[key];
         vm.reachable = reachable;
-        vm.silent_since = match reachable {
+        vm.unresponsive_since = match reachable {
             true => None,
-            false => vm.silent_since.or(Some(now.steady)),
+            false => vm.unresponsive_since.or(Some(now.steady)),
         };
     }
 
     /// Returns the VMs that still have runs or unknown runs although the platform does not list them.
     pub fn unlisted_with_runs(&self) -> Vec<VmLife> {
-        let busy = |vm: &&Vm| !(vm.listed || vm.runs.is_empty() && vm.strays.is_empty());
+        let busy = |vm: &&Vm| !(vm.listed || vm.runs.is_empty() && vm.unknown_runs.is_empty());
         self.vms.values().filter(busy).map(|vm| vm.id.clone()).collect()
     }
 
     /// Returns the stable name and the incarnation of each cordoned VM that has no runs.
     pub fn emptied(&self) -> Vec<(Arc<str>, VmLife)> {
-        let empty = |vm: &&Vm| vm.cordoned && vm.runs.is_empty() && vm.strays.is_empty() && vm.held;
+        let empty = |vm: &&Vm| {
+            vm.cordoned && vm.runs.is_empty() && vm.unknown_runs.is_empty() && vm.token_confirmed
+        };
         let name = |vm: &Vm| vm.name().map(|n| (n.clone(), vm.id.clone()));
         self.vms.values().filter(empty).filter_map(name).collect()
     }
@@ -172,7 +174,7 @@
 
     /// Assigns runs to a listed incarnation if records of older program versions name the VM by its ID only, without a start
     /// time: this incarnation may have them.
-    fn name_life(&mut self, incarnation: &VmLife) {
+    fn name_incarnation(&mut self, incarnation: &VmLife) {
         let without_start_time = VmLife::new(incarnation.id().clone(), None);
         if *incarnation == without_start_time || self.vm_keys.contains_key(incarnation) {
             return;
@@ -183,9 +185,9 @@
         }
     }
 
-    pub(super) fn forget_vm_if_empty(&mut self, key: VmKey) {
+    pub(super) fn remove_vm_if_unused(&mut self, key: VmKey) {
         let Some(vm) = self.vms.get(key) else { return };
-        if !vm.listed && vm.runs.is_empty() && vm.strays.is_empty() {
+        if !vm.listed && vm.runs.is_empty() && vm.unknown_runs.is_empty() {
             self.vm_keys.remove(&vm.id);
             self.vms.remove(key);
         }
