--- a/crates/schedule/src/pool/advice.rs
+++ b/crates/schedule/src/pool/advice.rs
@@ -71,7 +71,7 @@
     pub(super) fn request_advice(
         &mut self,
         ready: ReadyStep,
-        shape: &Step,
+        step_spec: &Step,
         policy: AdvicePolicy,
         now: Now,
     ) {
@@ -80,7 +80,7 @@
         if state.in_flight || now.steady < state.retry_at {
             return;
         }
-        let fits = |vm: &&super::Vm| vm.takes_work() && vm.free().holds(shape.room());
+        let fits = |vm: &&super::Vm| vm.takes_work() && vm.free().holds(step_spec.room());
         let mut vms: Vec<&super::Vm> = self.vms.values().filter(fits).collect();
         vms.sort_by_key(|vm| std::cmp::Reverse(vm.free().cpu));
         let vms: Vec<VmLife> =
--- a/crates/schedule/src/pool/ends.rs
+++ b/crates/schedule/src/pool/ends.rs
@@ -55,7 +55,7 @@
         let Some(job) = self.jobs.get_mut(key).filter(|job| job.phase == Phase::Open) else {
             return;
         };
-        let ends_by_itself = |shape: &Step| !shape.lasting && !shape.gang;
+        let ends_by_itself = |step_spec: &Step| !step_spec.lasting && !step_spec.gang;
         if !job.spec.steps.get(usize::from(end.run.task.step)).is_some_and(ends_by_itself) {
             return;
         }
@@ -93,7 +93,7 @@
         let Some(job) = self.jobs.get_mut(key) else { return };
         let open = job.phase == Phase::Open;
         let spec = job.spec.clone();
-        let Some(shape) = spec.steps.get(usize::from(end.run.task.step)) else { return };
+        let Some(step_spec) = spec.steps.get(usize::from(end.run.task.step)) else { return };
         let Some((step, index)) = job.step_mut(end.run.task) else { return };
         let task = &mut step.tasks[index];
         if task.attempt != end.run.attempt || task.state != TaskState::Assigned(vm) {
@@ -107,9 +107,9 @@
         if !end.checkpoint.is_empty() {
             task.checkpoint.clone_from(&end.checkpoint);
         }
-        if end.kind == EndKind::Done && !shape.lasting {
+        if end.kind == EndKind::Done && !step_spec.lasting {
             step.set(index, TaskState::Done);
-            if shape.gang {
+            if step_spec.gang {
                 // The gang's work is done; the remaining members end by themselves.
                 for i in 0..step.tasks.len() {
                     step.set(i, TaskState::Done);
@@ -121,13 +121,14 @@
         }
         step.set(index, TaskState::Waiting);
         let mut failures = 0;
-        if end.kind == EndKind::Failed && !shape.lasting {
-            let already_counted = shape.gang && step.failed_attempt == end.run.attempt;
+        if end.kind == EndKind::Failed && !step_spec.lasting {
+            let already_counted = step_spec.gang && step.failed_attempt == end.run.attempt;
             step.failed_attempt = end.run.attempt;
             let task = &mut step.tasks[index];
             task.failures += u32::from(!already_counted);
             task.avoid = Some(vm);
-            failures = if shape.gang { step.gang_failures() } else { step.tasks[index].failures };
+            failures =
+                if step_spec.gang { step.gang_failures() } else { step.tasks[index].failures };
         } else if end.kind == EndKind::Failed {
             step.tasks[index].avoid = Some(vm);
         }
--- a/crates/schedule/src/pool/evacuate.rs
+++ b/crates/schedule/src/pool/evacuate.rs
@@ -54,7 +54,8 @@
 
     fn may_move(&self, vm: VmKey, task: TaskId, now: Now) -> bool {
         let Some(job) = self.job_key(task).and_then(|key| self.jobs.get(key)) else { return false };
-        let Some(shape) = job.spec.steps.get(usize::from(task.step)).filter(|s| s.lasting) else {
+        let Some(step_spec) = job.spec.steps.get(usize::from(task.step)).filter(|s| s.lasting)
+        else {
             return false;
         };
         let Some(step) =
@@ -68,15 +69,15 @@
         }
         // A draining VM soon ends all of its runs, so the limit on absent tasks does not apply.
         if self.vms[vm].draining() {
-            return self.fits_elsewhere(vm, task, shape, now);
+            return self.fits_elsewhere(vm, task, step_spec, now);
         }
         if now.steady < self.moves_allowed_from {
             return false;
         }
         let others = step.tasks.iter().enumerate().filter(|&(i, _)| i != index);
         let others_away = others.filter(|(_, t)| !self.is_working(t)).count();
-        let budget = usize::try_from(shape.may_miss.max(1)).unwrap_or(1);
-        others_away < budget && self.fits_elsewhere(vm, task, shape, now)
+        let budget = usize::try_from(step_spec.may_miss.max(1)).unwrap_or(1);
+        others_away < budget && self.fits_elsewhere(vm, task, step_spec, now)
     }
 
     /// Returns whether a lasting task is known to be working. On an unreachable VM it may have died.
@@ -85,16 +86,16 @@
         task.working && self.vms.get(vm).is_some_and(|vm| vm.reachable)
     }
 
-    fn fits_elsewhere(&self, vm: VmKey, task: TaskId, shape: &Step, now: Now) -> bool {
+    fn fits_elsewhere(&self, vm: VmKey, task: TaskId, step_spec: &Step, now: Now) -> bool {
         let same_step =
             |t: &TaskId| t.job == task.job && t.time == task.time && t.step == task.step;
         self.vms.iter().any(|(key, other)| {
             let same_step_count = other.runs.keys().filter(|t| same_step(t)).count();
-            let spread = usize::try_from(shape.anti_affinity).unwrap_or(usize::MAX);
+            let spread = usize::try_from(step_spec.anti_affinity).unwrap_or(usize::MAX);
             key != vm
                 && other.takes_work()
                 && other.excluded_until <= now.steady
-                && other.free().holds(shape.room())
+                && other.free().holds(step_spec.room())
                 && (spread == 0 || same_step_count < spread)
         })
     }
--- a/crates/schedule/src/pool/gang.rs
+++ b/crates/schedule/src/pool/gang.rs
@@ -10,21 +10,21 @@
 
 impl Pool {
     /// Places all tasks of a gang or none. A rack-local gang is placed on one rack if possible.
-    pub(super) fn place_gang(&mut self, ready: ReadyStep, shape: &Step, now: Now) {
+    pub(super) fn place_gang(&mut self, ready: ReadyStep, step_spec: &Step, now: Now) {
         let waiting = self.waiting_tasks(ready);
         let all = self.jobs[ready.job].repetitions[&ready.time].steps[ready.step].tasks.len();
         if waiting.len() < all {
             return;
         }
-        let whole = shape.demand.times(shape.count);
+        let whole = step_spec.demand.times(step_spec.count);
         if !self.quota.may_start(self.jobs[ready.job].workspace, whole) {
             return;
         }
-        let Some(isolation) = self.gang_isolation(ready, shape, &waiting, now.steady) else {
+        let Some(isolation) = self.gang_isolation(ready, step_spec, &waiting, now.steady) else {
             return;
         };
         let mut racks: Vec<Option<std::sync::Arc<str>>> = Vec::new();
-        if shape.rack_local {
+        if step_spec.rack_local {
             for vm in self.vms.values().filter_map(|vm| vm.facts.as_ref()) {
                 if !racks.iter().flatten().any(|r| *r == vm.rack) {
                     racks.push(Some(vm.rack.clone()));
@@ -37,12 +37,12 @@
             let mut placed = Vec::new();
             for &index in &waiting {
                 let Some(vm) =
-                    self.choose_vm(ready, shape, index, rack.as_deref(), isolation, now.steady)
+                    self.choose_vm(ready, step_spec, index, rack.as_deref(), isolation, now.steady)
                 else {
                     break;
                 };
                 let before = self.next_attempt(ready, index) - 1;
-                self.reserve(ready, shape, index, attempt, vm, now);
+                self.reserve(ready, step_spec, index, attempt, vm, now);
                 placed.push((index, vm, before));
             }
             if placed.len() == waiting.len() {
@@ -75,7 +75,7 @@
     pub(super) fn gang_isolation(
         &self,
         ready: ReadyStep,
-        shape: &Step,
+        step_spec: &Step,
         members: &[usize],
         now: Ms,
     ) -> Option<Isolation> {
@@ -84,6 +84,6 @@
             return Some(Isolation::FromSuspects);
         };
         let isolation = self.isolation(ready, suspect, now)?;
-        self.may_occupy_one_more(shape, isolation, now).then_some(isolation)
+        self.may_occupy_one_more(step_spec, isolation, now).then_some(isolation)
     }
 }
--- a/crates/schedule/src/pool/incarnation.rs
+++ b/crates/schedule/src/pool/incarnation.rs
@@ -148,10 +148,10 @@
     }
 
     /// Records an answer to a query sent at `asked_at`.
-    pub fn record_answer(&mut self, asked_at: Ms, listing_is_sound: bool, now: Ms) {
+    pub fn record_answer(&mut self, asked_at: Ms, listing_is_complete: bool, now: Ms) {
         self.reachable = true;
         self.unresponsive_since = None;
-        if self.listed || !listing_is_sound {
+        if self.listed || !listing_is_complete {
             return;
         }
         let first = *self.answered_unlisted.get_or_insert(now);
--- a/crates/schedule/src/pool/job.rs
+++ b/crates/schedule/src/pool/job.rs
@@ -74,17 +74,17 @@
     }
 
     /// Sets the state of a task and updates the counts.
-    pub fn set(&mut self, index: usize, spot: TaskState) {
+    pub fn set(&mut self, index: usize, new_state: TaskState) {
         let task = &mut self.tasks[index];
-        let was = task.state;
-        task.state = spot;
-        if spot != was {
+        let old_state = task.state;
+        task.state = new_state;
+        if new_state != old_state {
             task.working = false;
         }
-        self.waiting -= u32::from(was == TaskState::Waiting);
-        self.waiting += u32::from(spot == TaskState::Waiting);
-        self.done -= usize::from(was == TaskState::Done);
-        self.done += usize::from(spot == TaskState::Done);
+        self.waiting -= u32::from(old_state == TaskState::Waiting);
+        self.waiting += u32::from(new_state == TaskState::Waiting);
+        self.done -= usize::from(old_state == TaskState::Done);
+        self.done += usize::from(new_state == TaskState::Done);
     }
 }
 
--- a/crates/schedule/src/pool/need.rs
+++ b/crates/schedule/src/pool/need.rs
@@ -127,9 +127,9 @@
         for (&time, run) in &job.repetitions {
             let spans = self.expected_spans(job, time, run, remaining);
             for (i, step) in run.steps.iter().enumerate().filter(|(_, step)| step.waiting > 0) {
-                let shape = &job.spec.steps[i];
-                let weight = if shape.lasting { LASTING_WAIT_WEIGHT } else { 1 };
-                let each = counted_cpu(shape.room().cpu, largest);
+                let step_spec = &job.spec.steps[i];
+                let weight = if step_spec.lasting { LASTING_WAIT_WEIGHT } else { 1 };
+                let each = counted_cpu(step_spec.room().cpu, largest);
                 let cpu = each * u64::from(step.waiting) * weight;
                 if ready.contains(&(time, i)) {
                     if of_use && self.fits_somewhere(job.spec.steps[i].room()) {
--- a/crates/schedule/src/pool/order.rs
+++ b/crates/schedule/src/pool/order.rs
@@ -72,17 +72,19 @@
     pub fn start_result(&mut self, vm: &VmLife, run: RunId, result: StartResult, now: Now) {
         let Some(&vm_key) = self.vm_keys.get(vm) else { return };
         let Some(v) = self.vms.get_mut(vm_key) else { return };
-        let Some(state) = v.runs.get_mut(&run.task).filter(|r| r.attempt == run.attempt) else {
+        let Some(known_run) = v.runs.get_mut(&run.task).filter(|r| r.attempt == run.attempt) else {
             return;
         };
         match result {
             StartResult::Started | StartResult::StartedWithCopies => {
-                state.has_copies = result == StartResult::StartedWithCopies;
-                state.confirmed = Some(now.steady);
-                state.started = now.steady;
+                known_run.has_copies = result == StartResult::StartedWithCopies;
+                known_run.confirmed = Some(now.steady);
+                known_run.started = now.steady;
                 v.room_rejections = 0;
             }
-            StartResult::Unclear => (state.confirmed, state.unclear) = (Some(now.steady), true),
+            StartResult::Unclear => {
+                (known_run.confirmed, known_run.unclear) = (Some(now.steady), true)
+            }
             StartResult::NotTaken => self.release(vm_key, run, now),
             StartResult::NoRoom => {
                 v.exclude_for_room(now.steady);
@@ -99,8 +101,8 @@
     pub fn stop_answered(&mut self, vm: &VmLife, run: RunId, now: Now) {
         let Some(&vm_key) = self.vm_keys.get(vm) else { return };
         let Some(v) = self.vms.get_mut(vm_key) else { return };
-        if let Some(state) = v.runs.get_mut(&run.task).filter(|r| r.attempt == run.attempt) {
-            state.confirmed = Some(now.steady);
+        if let Some(known_run) = v.runs.get_mut(&run.task).filter(|r| r.attempt == run.attempt) {
+            known_run.confirmed = Some(now.steady);
         }
     }
 
--- a/crates/schedule/src/pool/place.rs
+++ b/crates/schedule/src/pool/place.rs
@@ -79,46 +79,47 @@
             .collect();
         for step in ready {
             let spec = self.jobs[key].spec.clone();
-            let shape = &spec.steps[step.step];
+            let step_spec = &spec.steps[step.step];
             // Placement only reduces free room, so `most_free` may be too large but never too small.
-            if !most_free.holds(shape.room()) {
+            if !most_free.holds(step_spec.room()) {
                 // No VM has enough room, so the search is skipped.
-            } else if shape.gang {
-                self.place_gang(step, shape, now);
-            } else if !self.place_step(step, shape, now) {
+            } else if step_spec.gang {
+                self.place_gang(step, step_spec, now);
+            } else if !self.place_step(step, step_spec, now) {
                 *most_free = self.most_free(now.steady);
             }
             let waits = !self.waiting_tasks(step).is_empty();
             if let Some(policy) = spec.advice.filter(|_| waits) {
-                self.request_advice(step, shape, policy, now);
+                self.request_advice(step, step_spec, policy, now);
             }
         }
     }
 
     /// Places the waiting tasks of a step. Returns `false` if no VM was found for a task that is not a suspect.
-    fn place_step(&mut self, ready: ReadyStep, shape: &Step, now: Now) -> bool {
+    fn place_step(&mut self, ready: ReadyStep, step_spec: &Step, now: Now) -> bool {
         for index in self.waiting_tasks(ready) {
             if self.is_deferred(ready, index, now.steady) {
                 continue;
             }
-            if !self.quota.may_start(self.jobs[ready.job].workspace, shape.demand) {
+            if !self.quota.may_start(self.jobs[ready.job].workspace, step_spec.demand) {
                 return true;
             }
             let Some(mut isolation) = self.isolation(ready, index, now.steady) else { continue };
             let suspect = self.verdict(ready.task(index)) == Verdict::Suspect;
-            if suspect && !self.may_occupy_one_more(shape, isolation, now.steady) {
+            if suspect && !self.may_occupy_one_more(step_spec, isolation, now.steady) {
                 isolation = Isolation::WithOwnSuspect;
             }
             // Apart from suspects, all tasks of a step fit on the same VMs: a VM to avoid is still used as a last resort. If one
             // task finds no VM, the others find none either.
-            let Some(vm) = self.choose_vm(ready, shape, index, None, isolation, now.steady) else {
+            let Some(vm) = self.choose_vm(ready, step_spec, index, None, isolation, now.steady)
+            else {
                 if suspect {
                     continue;
                 }
                 return false;
             };
             let attempt = self.next_attempt(ready, index);
-            self.start(ready, shape, index, attempt, vm, now);
+            self.start(ready, step_spec, index, attempt, vm, now);
         }
         true
     }
@@ -146,7 +147,7 @@
     pub(super) fn choose_vm(
         &self,
         ready: ReadyStep,
-        shape: &Step,
+        step_spec: &Step,
         index: usize,
         rack: Option<&str>,
         isolation: Isolation,
@@ -158,25 +159,25 @@
         let fits = |vm: &Vm| {
             vm.takes_work()
                 && vm.excluded_until <= now
-                && vm.free().holds(shape.room())
+                && vm.free().holds(step_spec.room())
                 && vm.may_share(ready.id, isolation, now)
                 && rack.is_none_or(|r| vm.facts.as_ref().is_some_and(|f| &*f.rack == r))
-                && has_labels(vm, shape)
-                && within_anti_affinity(vm, ready, shape)
+                && has_labels(vm, step_spec)
+                && within_anti_affinity(vm, ready, step_spec)
                 && (!needs_ticket || self.ticket(ready.id(), &vm.id, now).is_some())
         };
         // VMs are compared by these criteria in order. A VM on which the task failed is only a last resort.
         let score = |(key, vm): &(VmKey, &Vm)| {
-            let near = shape.affinity.as_deref().is_some_and(|a| has_label(vm, a));
+            let near = step_spec.affinity.as_deref().is_some_and(|a| has_label(vm, a));
             // On a VM due for maintenance, a lasting task would have to move again.
-            let not_due =
-                !shape.lasting || !vm.name().is_some_and(|n| self.due_for_maintenance.contains(n));
+            let not_due = !step_spec.lasting
+                || !vm.name().is_some_and(|n| self.due_for_maintenance.contains(n));
             // A crash costs least on a VM without lasting tasks.
-            let avoids_lasting = shape.lasting || !crash_prone || vm.lasting_runs() == 0;
+            let avoids_lasting = step_spec.lasting || !crash_prone || vm.lasting_runs() == 0;
             // Lasting tasks are packed on few VMs so that the others can be removed when load is low.
-            let packed = if shape.lasting { vm.lasting_runs() } else { 0 };
+            let packed = if step_spec.lasting { vm.lasting_runs() } else { 0 };
             // Lasting tasks of the same step are still spread, so that the loss of a VM affects few of them.
-            let spread = if shape.lasting {
+            let spread = if step_spec.lasting {
                 std::cmp::Reverse(count_tasks_of_step(vm, ready))
             } else {
                 std::cmp::Reverse(0)
@@ -188,7 +189,7 @@
             (
                 Some(*key) != avoid,
                 warm,
-                !interferes(vm, shape),
+                !interferes(vm, step_spec),
                 not_due,
                 avoids_lasting,
                 near,
@@ -203,13 +204,13 @@
     fn start(
         &mut self,
         ready: ReadyStep,
-        shape: &Step,
+        step_spec: &Step,
         index: usize,
         attempt: u32,
         vm: VmKey,
         now: Now,
     ) {
-        self.reserve(ready, shape, index, attempt, vm, now);
+        self.reserve(ready, step_spec, index, attempt, vm, now);
         self.order_start(ready, index, attempt, vm, now.steady);
     }
 
@@ -217,7 +218,7 @@
     pub(super) fn reserve(
         &mut self,
         ready: ReadyStep,
-        shape: &Step,
+        step_spec: &Step,
         index: usize,
         attempt: u32,
         vm: VmKey,
@@ -226,7 +227,7 @@
         let task = self.jobs[ready.job].task(ready.task(index));
         let from_start = task.is_some_and(|t| t.checkpoint.is_empty());
         let unproven_for = self.unproven_for(ready.task(index));
-        let run = Run::new(attempt, shape, now.steady);
+        let run = Run::new(attempt, step_spec, now.steady);
         let run = Run { ordered_at: Some(now.steady), from_start, unproven_for, ..run };
         self.add_run(vm, ready.task(index), run);
         if let Some((step, index)) = self.jobs[ready.job].step_mut(ready.task(index)) {
@@ -274,8 +275,8 @@
     vm.facts.as_ref().is_some_and(|f| f.labels.iter().any(|l| &**l == label))
 }
 
-fn has_labels(vm: &Vm, shape: &Step) -> bool {
-    shape.constraints.iter().all(|label| has_label(vm, label))
+fn has_labels(vm: &Vm, step_spec: &Step) -> bool {
+    step_spec.constraints.iter().all(|label| has_label(vm, label))
 }
 
 /// Returns the number of tasks of a step on a VM.
@@ -287,17 +288,17 @@
 }
 
 /// Returns whether the step's anti-affinity limit allows one more task on the VM.
-fn within_anti_affinity(vm: &Vm, ready: ReadyStep, shape: &Step) -> bool {
-    if shape.anti_affinity == 0 {
+fn within_anti_affinity(vm: &Vm, ready: ReadyStep, step_spec: &Step) -> bool {
+    if step_spec.anti_affinity == 0 {
         return true;
     }
-    count_tasks_of_step(vm, ready) < usize::try_from(shape.anti_affinity).unwrap_or(usize::MAX)
+    count_tasks_of_step(vm, ready) < usize::try_from(step_spec.anti_affinity).unwrap_or(usize::MAX)
 }
 
 /// Returns whether the placement would put a filling task and a serving task on the same VM.
-fn interferes(vm: &Vm, shape: &Step) -> bool {
-    if shape.fills {
+fn interferes(vm: &Vm, step_spec: &Step) -> bool {
+    if step_spec.fills {
         return vm.runs.values().any(|r| r.tail_target_ms > 0);
     }
-    shape.tail_target_ms > 0 && vm.runs.values().any(|r| r.fills)
+    step_spec.tail_target_ms > 0 && vm.runs.values().any(|r| r.fills)
 }
--- a/crates/schedule/src/pool/rank.rs
+++ b/crates/schedule/src/pool/rank.rs
@@ -45,7 +45,7 @@
         let due = job.accepted + objective;
         let finish = now + left;
         let last = job.accepted + objective * LATE_FACTOR;
-        let (lateness, then) = if finish <= due {
+        let (lateness, tie_break) = if finish <= due {
             (1, due)
         } else if finish <= last && last - finish < self.policy.tasks.rescue_ms {
             (0, last - left)
@@ -60,7 +60,7 @@
             SharePolicy::BeyondLast => job.beyond_share,
         };
         let priority = job.spec.objective.priority;
-        Rank { not_lasting, priority, beyond_share, lateness, tie_break: then }
+        Rank { not_lasting, priority, beyond_share, lateness, tie_break }
     }
 }
 
--- a/crates/schedule/src/pool/run.rs
+++ b/crates/schedule/src/pool/run.rs
@@ -60,11 +60,11 @@
 
 impl Run {
     /// Creates a run that its VM has not confirmed.
-    pub fn new(attempt: u32, shape: &Step, now: Ms) -> Self {
+    pub fn new(attempt: u32, step_spec: &Step, now: Ms) -> Self {
         Self {
             attempt,
-            demand: shape.room(),
-            charge: shape.demand,
+            demand: step_spec.room(),
+            charge: step_spec.demand,
             confirmed: None,
             started: now,
             listed: false,
@@ -73,11 +73,11 @@
             unclear: false,
             stopping: false,
             stop_ordered: 0,
-            tail_target_ms: shape.tail_target_ms,
-            fills: shape.fills,
-            lasting: shape.lasting,
-            checkpointing: shape.checkpointing,
-            in_gang: shape.gang,
+            tail_target_ms: step_spec.tail_target_ms,
+            fills: step_spec.fills,
+            lasting: step_spec.lasting,
+            checkpointing: step_spec.checkpointing,
+            in_gang: step_spec.gang,
             ordered_at: None,
             from_start: false,
             unproven_for: None,
--- a/crates/schedule/src/pool/suspects.rs
+++ b/crates/schedule/src/pool/suspects.rs
@@ -278,9 +278,14 @@
 
     /// Returns whether suspects may occupy one more VM; their share of the VMs is limited. Lasting tasks and gangs are exempt
     /// after a short wait, as they may need many VMs.
-    pub(super) fn may_occupy_one_more(&self, shape: &Step, isolation: Isolation, now: Ms) -> bool {
+    pub(super) fn may_occupy_one_more(
+        &self,
+        step_spec: &Step,
+        isolation: Isolation,
+        now: Ms,
+    ) -> bool {
         if !self.policy.tasks.keep_suspects_apart
-            || (shape.lasting || shape.gang) && isolation == Isolation::FromSuspects
+            || (step_spec.lasting || step_spec.gang) && isolation == Isolation::FromSuspects
         {
             return true;
         }
--- a/crates/schedule/src/pool/takeover.rs
+++ b/crates/schedule/src/pool/takeover.rs
@@ -82,26 +82,26 @@
 
     fn adopt_task(&mut self, job_id: JobId, record: &TaskRecord, now: Now) {
         let id = TaskId { job: job_id, time: record.time, step: record.step, index: record.index };
-        let spot = match &record.place {
+        let state = match &record.place {
             Place::Waiting => TaskState::Waiting,
             Place::Done => TaskState::Done,
             Place::On(vm) => TaskState::Assigned(self.vm_key(&VmLife::from(vm.as_str()))),
         };
         let Some(job) = self.job_mut(id) else { return };
-        let shape = job.spec.steps.get(usize::from(id.step)).cloned();
+        let step_spec = job.spec.steps.get(usize::from(id.step)).cloned();
         let Some((step, index)) = job.step_mut(id) else { return };
-        step.set(index, spot);
+        step.set(index, state);
         let task = &mut step.tasks[index];
         task.attempt = record.attempt;
         task.failures = record.failures;
         task.checkpoint.clone_from(&record.checkpoint);
-        let TaskState::Assigned(vm) = spot else { return };
-        let Some(shape) = shape else { return };
+        let TaskState::Assigned(vm) = state else { return };
+        let Some(step_spec) = step_spec else { return };
         let unproven_for = self.unproven_for(id);
         let run = Run {
             speed_percent: None,
             unproven_for,
-            ..Run::new(record.attempt, &shape, now.steady)
+            ..Run::new(record.attempt, &step_spec, now.steady)
         };
         self.add_run(vm, id, run);
     }
--- a/crates/schedule/src/pool/throttle.rs
+++ b/crates/schedule/src/pool/throttle.rs
@@ -102,8 +102,8 @@
 
 /// Returns the next speed of a filling task, in percent, given its current speed. Returns `None` if the current speed is unknown
 /// and need not change.
-const fn next_speed(share: Option<u32>, tail: Tail) -> Option<u32> {
-    let Some(share) = share else {
+const fn next_speed(speed: Option<u32>, tail: Tail) -> Option<u32> {
+    let Some(speed) = speed else {
         return match tail {
             Tail::Near => Some(0),
             Tail::Between => None,
@@ -111,10 +111,10 @@
         };
     };
     Some(match tail {
-        Tail::Near if share / SLOW_DOWN_DIVISOR < MIN_SPEED => 0,
-        Tail::Near => share / SLOW_DOWN_DIVISOR,
-        Tail::Between => share,
-        Tail::Below if share + SPEED_UP_STEP > FULL_SPEED => FULL_SPEED,
-        Tail::Below => share + SPEED_UP_STEP,
+        Tail::Near if speed / SLOW_DOWN_DIVISOR < MIN_SPEED => 0,
+        Tail::Near => speed / SLOW_DOWN_DIVISOR,
+        Tail::Between => speed,
+        Tail::Below if speed + SPEED_UP_STEP > FULL_SPEED => FULL_SPEED,
+        Tail::Below => speed + SPEED_UP_STEP,
     })
 }
--- a/crates/schedule/src/pool/vms.rs
+++ b/crates/schedule/src/pool/vms.rs
@@ -70,8 +70,8 @@
     }
 
     /// Sets whether the VM listing is believed complete, so that an unlisted VM is treated as leaving.
-    pub fn set_listing_is_sound(&mut self, sound: bool) {
-        self.listing_is_complete = sound;
+    pub fn set_listing_is_sound(&mut self, complete: bool) {
+        self.listing_is_complete = complete;
     }
 
     /// Sets the stable names of the VMs that are to be emptied.
