--- a/crates/schedule/src/pool/ends.rs
+++ b/crates/schedule/src/pool/ends.rs
@@ -37,10 +37,10 @@
         }
         let Some(key) = self.job_key(end.run.task) else { return };
         if end.kind == EndKind::Done {
-            self.learn(key, end.run, now.steady.saturating_sub(run.started));
+            self.learn_task_time(key, end.run, now.steady.saturating_sub(run.started));
             self.clear_crash_history(end.run.task);
         }
-        self.settle_run(key, vm_key, end, now);
+        self.apply_end_to_task(key, vm_key, end, now);
         if end.kind == EndKind::Failed && run.lasting {
             self.defer_after_failure(end.run.task, run.started, now);
         }
@@ -89,7 +89,7 @@
         task.not_before = now.steady + pause;
     }
 
-    fn settle_run(&mut self, key: JobKey, vm: VmKey, end: &RunEnd, now: Now) {
+    fn apply_end_to_task(&mut self, key: JobKey, vm: VmKey, end: &RunEnd, now: Now) {
         let Some(job) = self.jobs.get_mut(key) else { return };
         let open = job.phase == Phase::Open;
         let spec = job.spec.clone();
--- a/crates/schedule/src/pool/estimate.rs
+++ b/crates/schedule/src/pool/estimate.rs
@@ -22,7 +22,7 @@
         self.by_queue.get(queue).copied().unwrap_or(1.0)
     }
 
-    fn learn(&mut self, queue: &str, estimated_ms: u32, took: Ms) {
+    fn add_sample(&mut self, queue: &str, estimated_ms: u32, took: Ms) {
         if estimated_ms == 0 {
             return;
         }
@@ -35,11 +35,11 @@
 }
 
 impl Pool {
-    pub(super) fn learn(&mut self, key: JobKey, run: RunId, took: Ms) {
+    pub(super) fn learn_task_time(&mut self, key: JobKey, run: RunId, took: Ms) {
         let Some(job) = self.jobs.get(key) else { return };
         let Some(step) = job.spec.steps.get(usize::from(run.task.step)) else { return };
         if !step.lasting {
-            self.estimates.learn(&job.spec.queue, step.estimated_ms, took);
+            self.estimates.add_sample(&job.spec.queue, step.estimated_ms, took);
         }
     }
 }
--- a/crates/schedule/src/pool/job.rs
+++ b/crates/schedule/src/pool/job.rs
@@ -25,7 +25,7 @@
     Done,
 }
 
-/// The state of one task and its past attempts.
+/// A task with its state and its past attempts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Task {
     pub state: TaskState,
@@ -104,6 +104,7 @@
     }
 }
 
+/// A job with the state of its open repetitions.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     pub id: JobId,
@@ -214,12 +215,18 @@
 
     /// Returns the repetition, step and number of waiting tasks of each step that is ready to start.
     pub fn ready_steps(&self) -> impl Iterator<Item = (u32, usize, u32)> {
-        self.repetitions.iter().flat_map(move |(&time, run)| {
+        self.repetitions.iter().flat_map(move |(&time, repetition)| {
             let ready = move |&(i, step): &(usize, &StepState)| {
                 let before = &self.spec.steps[i].depends_on;
-                step.waiting > 0 && before.iter().all(|&on| run.steps[usize::from(on)].is_done())
+                step.waiting > 0
+                    && before.iter().all(|&on| repetition.steps[usize::from(on)].is_done())
             };
-            run.steps.iter().enumerate().filter(ready).map(move |(i, s)| (time, i, s.waiting))
+            repetition
+                .steps
+                .iter()
+                .enumerate()
+                .filter(ready)
+                .map(move |(i, s)| (time, i, s.waiting))
         })
     }
 
@@ -251,9 +258,9 @@
         if open {
             progress.done_times.clone_from(&self.done_repetitions);
         }
-        for (&time, run) in &self.repetitions {
-            for (step, step_run) in (0..).zip(&run.steps) {
-                let tasks = (0..).zip(&step_run.tasks);
+        for (&time, repetition) in &self.repetitions {
+            for (step, step_state) in (0..).zip(&repetition.steps) {
+                let tasks = (0..).zip(&step_state.tasks);
                 // A settled job's record lists only tasks that may still run: the next owner accounts for and stops them.
                 let counts = |t: &Task| match t.state {
                     TaskState::Assigned(_) => true,
--- a/crates/schedule/src/pool/losses.rs
+++ b/crates/schedule/src/pool/losses.rs
@@ -80,9 +80,7 @@
         };
         for lost in &lost {
             match next {
-                Some(next) if lost.may_be_there => {
-                    self.move_run_to_incarnation(key, next, lost.run, now)
-                }
+                Some(next) if lost.may_be_there => self.move_run(key, next, lost.run, now),
                 Some(_) | None => self.release(key, lost.run, now),
             }
         }
@@ -92,7 +90,7 @@
     }
 
     /// Moves a run to the VM's next incarnation, whose first answer shows whether the run exists.
-    fn move_run_to_incarnation(&mut self, from: VmKey, to: &VmLife, id: RunId, now: Now) {
+    fn move_run(&mut self, from: VmKey, to: &VmLife, id: RunId, now: Now) {
         let Some(run) = self.remove_run(from, id) else { return };
         let to = self.vm_key(to);
         let mut run = run.in_next_incarnation(now.steady);
--- a/crates/schedule/src/pool/need.rs
+++ b/crates/schedule/src/pool/need.rs
@@ -124,9 +124,11 @@
         let ready: Vec<(u32, usize)> =
             job.ready_steps().map(|(time, step, _)| (time, step)).collect();
         let of_use = ready.is_empty() || !self.rank(job, now.steady).is_too_late();
-        for (&time, run) in &job.repetitions {
-            let spans = self.expected_spans(job, time, run, remaining);
-            for (i, step) in run.steps.iter().enumerate().filter(|(_, step)| step.waiting > 0) {
+        for (&time, repetition) in &job.repetitions {
+            let spans = self.expected_spans(job, time, repetition, remaining);
+            for (i, step) in
+                repetition.steps.iter().enumerate().filter(|(_, step)| step.waiting > 0)
+            {
                 let step_spec = &job.spec.steps[i];
                 let weight = if step_spec.lasting { LASTING_WAIT_WEIGHT } else { 1 };
                 let each = counted_cpu(step_spec.room().cpu, largest);
@@ -154,16 +156,16 @@
         &self,
         job: &Job,
         time: u32,
-        run: &RepetitionState,
+        repetition: &RepetitionState,
         remaining: &RemainingTimes,
     ) -> Vec<Option<ExpectedSpan>> {
-        let mut spans: Vec<Option<ExpectedSpan>> = Vec::with_capacity(run.steps.len());
-        for (i, step) in run.steps.iter().enumerate() {
+        let mut spans: Vec<Option<ExpectedSpan>> = Vec::with_capacity(repetition.steps.len());
+        for (i, step) in repetition.steps.iter().enumerate() {
             let before = &job.spec.steps[i].depends_on;
             let ends = |&on: &u16| spans.get(usize::from(on)).copied().flatten().map(|t| t.ends);
             let begins =
                 before.iter().map(ends).try_fold(0, |latest, ends| Some(latest.max(ends?)));
-            let is_ready = before.iter().all(|&on| run.steps[usize::from(on)].is_done());
+            let is_ready = before.iter().all(|&on| repetition.steps[usize::from(on)].is_done());
             let span = match begins {
                 _ if step.is_done() => Some(ExpectedSpan::default()),
                 _ if step.waiting == 0 => {
--- a/crates/schedule/src/pool/order.rs
+++ b/crates/schedule/src/pool/order.rs
@@ -72,19 +72,17 @@
     pub fn start_result(&mut self, vm: &VmLife, run: RunId, result: StartResult, now: Now) {
         let Some(&vm_key) = self.vm_keys.get(vm) else { return };
         let Some(v) = self.vms.get_mut(vm_key) else { return };
-        let Some(known_run) = v.runs.get_mut(&run.task).filter(|r| r.attempt == run.attempt) else {
+        let Some(found) = v.runs.get_mut(&run.task).filter(|r| r.attempt == run.attempt) else {
             return;
         };
         match result {
             StartResult::Started | StartResult::StartedWithCopies => {
-                known_run.has_copies = result == StartResult::StartedWithCopies;
-                known_run.confirmed = Some(now.steady);
-                known_run.started = now.steady;
+                found.has_copies = result == StartResult::StartedWithCopies;
+                found.confirmed = Some(now.steady);
+                found.started = now.steady;
                 v.room_rejections = 0;
             }
-            StartResult::Unclear => {
-                (known_run.confirmed, known_run.unclear) = (Some(now.steady), true)
-            }
+            StartResult::Unclear => (found.confirmed, found.unclear) = (Some(now.steady), true),
             StartResult::NotTaken => self.release(vm_key, run, now),
             StartResult::NoRoom => {
                 v.exclude_for_room(now.steady);
@@ -101,8 +99,8 @@
     pub fn stop_answered(&mut self, vm: &VmLife, run: RunId, now: Now) {
         let Some(&vm_key) = self.vm_keys.get(vm) else { return };
         let Some(v) = self.vms.get_mut(vm_key) else { return };
-        if let Some(known_run) = v.runs.get_mut(&run.task).filter(|r| r.attempt == run.attempt) {
-            known_run.confirmed = Some(now.steady);
+        if let Some(found) = v.runs.get_mut(&run.task).filter(|r| r.attempt == run.attempt) {
+            found.confirmed = Some(now.steady);
         }
     }
 
