--- a/crates/schedule/src/pool/place.rs
+++ b/crates/schedule/src/pool/place.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Places waiting tasks in the order of their jobs' ranks while there is room.
+    /// Places waiting tasks while there is room. Jobs are ordered by the crashes under their suspects, then by rank.
     pub(super) fn place_waiting(&mut self, now: Now) {
         if !self.vms.values().any(|vm| vm.takes_work() && vm.excluded_until <= now.steady) {
             return;
--- a/crates/schedule/src/pool/throttle.rs
+++ b/crates/schedule/src/pool/throttle.rs
@@ -35,8 +35,11 @@
 /// The highest tail latency of a VM's serving tasks, relative to their targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Tail {
+    /// Near or above the target: filling tasks are slowed down.
     Near,
+    /// Neither near nor well below the target, or unknown.
     Between,
+    /// Well below the target: filling tasks are sped up.
     Below,
 }
 
