--- a/crates/schedule/src/pool/mod.rs
+++ b/crates/schedule/src/pool/mod.rs
@@ -3,6 +3,8 @@
 //! The pool's owner passes in every event and calls [`Pool::plan`] for the resulting orders. The records from
 //! [`Pool::take_records`] must be written before the orders are sent and before run ends are acknowledged to VMs
 //! ([`Pool::take_acks`]), so that the next owner finds every order and every run end in the records.
+//!
+//! A lasting task runs until its job is cancelled and is restarted however it ends; other tasks end by themselves.
 
 mod advice;
 mod arrivals;
--- a/crates/schedule/src/pool/throttle.rs
+++ b/crates/schedule/src/pool/throttle.rs
@@ -1,7 +1,8 @@
 //! Throttling of filling tasks that share a VM with serving tasks.
 //!
-//! A serving task reports its tail latency. While the latency is near its target, filling tasks on the same VM are slowed down
-//! quickly; once it is well below the target, they are sped up again slowly.
+//! Filling tasks use CPU that others leave idle. A serving task has a target tail latency and reports its tail latency. While the
+//! latency is near its target, filling tasks on the same VM are slowed down quickly; once it is well below the target, they are
+//! sped up again slowly.
 
 use super::run::{FULL_SPEED, Run};
 use super::{Now, Order, Pool, VmKey};
