--- a/crates/schedule/src/pool/evacuate.rs
+++ b/crates/schedule/src/pool/evacuate.rs
@@ -1,7 +1,7 @@
-//! Moving tasks off VMs that are to be emptied or are leaving: lasting ones, and for a pool that
-//! needs the VM now also those that can be resumed elsewhere.
+//! Moving tasks off VMs that are cordoned or leaving. Lasting tasks are moved, and if another pool urgently needs the VM, also
+//! tasks that can be resumed elsewhere.
 
-use super::job::{Spot, Task};
+use super::job::{Task, TaskState};
 use super::remaining::WORTH_STOPPING_MS;
 use super::run::Run;
 use super::{Now, Pool, VmKey};
@@ -9,44 +9,44 @@
 use crate::spec::Step;
 
 impl Pool {
-    /// Stops lasting tasks on VMs that are to be emptied, as far as each step's budget of absent
-    /// tasks allows and there is room for them elsewhere.
+    /// Stops lasting tasks on VMs that are cordoned or leaving, as far as each step's limit on absent tasks allows and there is
+    /// room elsewhere. Also stops resumable tasks on VMs that another pool urgently needs.
     pub(super) fn evacuate(&mut self, now: Now) {
         let leaving = |key: VmKey| {
             let vm = &self.vms[key];
-            // Some VMs leave without a word: they are no longer listed and go on for a while.
-            let left_the_list = self.listing_is_sound && !vm.listed;
+            // Some VMs leave unannounced: they are no longer listed but keep running for a while.
+            let left_the_list = self.listing_is_complete && !vm.listed;
             let leaves = vm.cordoned || vm.draining() || left_the_list;
             leaves && vm.reachable && !vm.runs.is_empty()
         };
         let mut vms: Vec<VmKey> = self.vms.keys().filter(|&k| leaving(k)).collect();
-        // What must leave with its VM counts as away for what may wait.
+        // Draining VMs go first: tasks that must move with them count as absent for tasks whose move can wait.
         vms.sort_by_key(|&key| !self.vms[key].draining());
         for key in vms {
-            let waits = |(_, run): &(&TaskId, &Run)| !run.stopping && run.confirmed.is_some();
+            let can_stop = |(_, run): &(&TaskId, &Run)| !run.stopping && run.confirmed.is_some();
             let runs: Vec<(TaskId, u32)> = self.vms[key]
                 .runs
                 .iter()
-                .filter(waits)
+                .filter(can_stop)
                 .map(|(&task, run)| (task, run.attempt))
                 .collect();
             for (task, attempt) in runs {
-                if self.may_move(key, task, now) || self.hurries(key, task, now) {
+                if self.may_move(key, task, now) || self.is_urgent(key, task, now) {
                     self.stop_to_move(key, task, attempt, now);
                 }
             }
         }
     }
 
-    /// Returns whether a run is to be stopped for the sake of the pool that needs its VM. The task
-    /// may have to wait for room: its pool was found to need the VM less.
-    fn hurries(&self, vm: VmKey, task: TaskId, now: Now) -> bool {
+    /// Returns whether a run is to be stopped because another pool urgently needs its VM. The task may have to wait for room, as
+    /// its own pool needs the VM less.
+    fn is_urgent(&self, vm: VmKey, task: TaskId, now: Now) -> bool {
         if !self.policy.moves.stop_tasks {
             return false;
         }
         let vm = &self.vms[vm];
-        let hurried = vm.cordoned && vm.name().is_some_and(|name| self.hurried.contains(name));
-        let Some(run) = vm.runs.get(&task).filter(|run| hurried && run.can_be_resumed()) else {
+        let urgent = vm.cordoned && vm.name().is_some_and(|name| self.urgent.contains(name));
+        let Some(run) = vm.runs.get(&task).filter(|run| urgent && run.can_be_resumed()) else {
             return false;
         };
         self.time_left(task, run, now.steady) > WORTH_STOPPING_MS
@@ -54,49 +54,49 @@
 
     fn may_move(&self, vm: VmKey, task: TaskId, now: Now) -> bool {
         let Some(job) = self.job_key(task).and_then(|key| self.jobs.get(key)) else { return false };
-        let Some(shape) = job.spec.steps.get(usize::from(task.step)).filter(|s| s.lasting) else {
+        let Some(step_spec) = job.spec.steps.get(usize::from(task.step)).filter(|s| s.lasting)
+        else {
             return false;
         };
         let Some(step) =
-            job.times.get(&task.time).and_then(|t| t.steps.get(usize::from(task.step)))
+            job.repetitions.get(&task.time).and_then(|t| t.steps.get(usize::from(task.step)))
         else {
             return false;
         };
         let index = usize::try_from(task.index).unwrap_or(usize::MAX);
-        if step.tasks.get(index).is_none_or(|t| t.spot != Spot::On(vm)) {
+        if step.tasks.get(index).is_none_or(|t| t.state != TaskState::Assigned(vm)) {
             return false;
         }
-        // One that is about to leave takes all down with it.
+        // A draining VM soon ends all of its runs, so the limit on absent tasks does not apply.
         if self.vms[vm].draining() {
-            return self.fits_elsewhere(vm, task, shape, now);
+            return self.fits_elsewhere(vm, task, step_spec, now);
         }
-        if now.steady < self.moves_from {
+        if now.steady < self.moves_allowed_from {
             return false;
         }
         let others = step.tasks.iter().enumerate().filter(|&(i, _)| i != index);
-        let others_away = others.filter(|(_, t)| !self.is_at_work(t)).count();
-        let budget = usize::try_from(shape.may_miss.max(1)).unwrap_or(1);
-        others_away < budget && self.fits_elsewhere(vm, task, shape, now)
+        let others_away = others.filter(|(_, t)| !self.is_working(t)).count();
+        let budget = usize::try_from(step_spec.may_miss.max(1)).unwrap_or(1);
+        others_away < budget && self.fits_elsewhere(vm, task, step_spec, now)
     }
 
-    /// Returns whether a lasting task does its work, as far as is known: on a VM that does not
-    /// answer it may have died.
-    fn is_at_work(&self, task: &Task) -> bool {
-        let Spot::On(vm) = task.spot else { return false };
-        task.at_work && self.vms.get(vm).is_some_and(|vm| vm.reachable)
+    /// Returns whether a lasting task is known to be working. On an unreachable VM it may have died.
+    fn is_working(&self, task: &Task) -> bool {
+        let TaskState::Assigned(vm) = task.state else { return false };
+        task.working && self.vms.get(vm).is_some_and(|vm| vm.reachable)
     }
 
-    fn fits_elsewhere(&self, vm: VmKey, task: TaskId, shape: &Step, now: Now) -> bool {
+    fn fits_elsewhere(&self, vm: VmKey, task: TaskId, step_spec: &Step, now: Now) -> bool {
         let same_step =
             |t: &TaskId| t.job == task.job && t.time == task.time && t.step == task.step;
         self.vms.iter().any(|(key, other)| {
-            let there = other.runs.keys().filter(|t| same_step(t)).count();
-            let spread = usize::try_from(shape.anti_affinity).unwrap_or(usize::MAX);
+            let same_step_count = other.runs.keys().filter(|t| same_step(t)).count();
+            let spread = usize::try_from(step_spec.anti_affinity).unwrap_or(usize::MAX);
             key != vm
                 && other.takes_work()
-                && other.aside_until <= now.steady
-                && other.free().holds(shape.room())
-                && (spread == 0 || there < spread)
+                && other.excluded_until <= now.steady
+                && other.free().holds(step_spec.room())
+                && (spread == 0 || same_step_count < spread)
         })
     }
 
@@ -106,7 +106,7 @@
             run.stop_ordered = now.steady;
         }
         if let Some((step, index)) = self.job_mut(task).and_then(|j| j.step_mut(task)) {
-            step.tasks[index].at_work = false;
+            step.tasks[index].working = false;
         }
         self.order_stop(vm, task, attempt);
     }
--- a/crates/schedule/src/pool/need.rs
+++ b/crates/schedule/src/pool/need.rs
@@ -1,60 +1,60 @@
-//! How much of its VMs a pool will use when VMs that are ordered now have come.
+//! Forecast of a pool's demand at the time when VMs ordered now become available.
 //!
-//! A VM takes about two seconds to come, and load turns within as many. What runs now says little
-//! about then: much of it has ended, and what has begun to come has only begun to wait. Against a need
-//! by what runs and waits now, the two worst spans of two seconds of a calm day serve 0.89 in
-//! place of 0.84 of what is owed (means of four and five plays of 49 VMs).
+//! A VM takes about two seconds to become available, and the load can change completely within that time: many current runs end,
+//! and much of the new load has not arrived yet. With this forecast instead of the current load of running and waiting tasks, the
+//! two worst spans of two seconds of a calm day serve 0.89 in place of 0.84 of the work due (means of four and five runs with 49
+//! VMs).
 
 use std::collections::{HashMap, HashSet};
 
 use super::incarnation::Vm;
-use super::job::{Job, TimeRun};
+use super::job::{Job, RepetitionState};
 use super::{Ms, Now, Pool};
 use crate::id::{JobId, TaskId};
 use crate::progress::Phase;
 use crate::quota::WorkspaceKey;
 
-/// Processor that a pool will use at a time to come, in thousandths of a core, by what makes it up.
+/// The forecast CPU demand of a pool by component, in thousandths of a core.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// Tasks that run now, on VMs that take work, and will not have ended.
+    /// Tasks that run now on VMs that accept work and will still be running.
     pub staying: u64,
-    /// Tasks whose turn has come and that wait, of jobs that can still be of use.
+    /// Waiting tasks that are ready to start, of jobs that can still be of use.
     pub waiting: u64,
-    /// Tasks whose turn comes when what runs now has ended.
+    /// Tasks that become ready when the steps they depend on have ended.
     pub following: u64,
-    /// Tasks of jobs that have not come yet, if they go on coming as they came of late.
+    /// Tasks of jobs that have not arrived yet, at the recent arrival rate.
     pub arriving: u64,
-    /// What of all this is of jobs that can no longer be in time; it is not in the other figures.
+    /// Tasks of jobs that can no longer finish in time, which are not included in the other components.
     pub late: u64,
 }
 
 impl Demand {
-    /// Returns what is of jobs that can be in time, in thousandths of a core.
+    /// Returns the demand of jobs that can finish in time, in thousandths of a core.
     pub const fn in_time(&self) -> u64 {
         self.staying + self.waiting + self.following + self.arriving
     }
 }
 
-/// As how many a lasting task counts that waits: it is placed first, so that it has found no place for
-/// want of memory, or of VMs on which none of its step runs, and its processor says too little. Counted
-/// once, such tasks waited for 12 s in a pool that used half of its processor.
-const LASTING_WAIT_AS: u64 = 3;
+/// The weight of the CPU demand of a waiting lasting task. Lasting tasks are placed first, so one that waits lacks memory or a VM
+/// without another task of its step, which its CPU demand does not show. With a weight of 1, such tasks waited for 12 s in a
+/// pool that used half of its CPU.
+const LASTING_WAIT_WEIGHT: u64 = 3;
 
-/// Steps that run now, with the time until the last of their tasks ends.
-type Ending = HashMap<(JobId, u32, usize), Ms>;
+/// The remaining time of each step with runs, until the last of its tasks ends.
+type RemainingTimes = HashMap<(JobId, u32, usize), Ms>;
 
 impl Pool {
-    /// Returns what the pool will use in `lead` milliseconds.
+    /// Returns the forecast demand in `lead` milliseconds.
     pub fn demand(&self, lead: Ms, now: Now) -> Demand {
         let mut demand =
             Demand { arriving: self.arrivals.arriving(lead, now.steady), ..Demand::default() };
         let late = self.late_jobs(now.steady);
-        let mut ending = Ending::new();
+        let mut remaining = RemainingTimes::new();
         for vm in self.vms.values() {
             for (&task, run) in vm.runs.iter().filter(|(_, run)| !run.lasting) {
                 let left = self.time_left(task, run, now.steady);
-                let end = ending.entry(step_of(task)).or_default();
+                let end = remaining.entry(step_of(task)).or_default();
                 *end = left.max(*end);
                 if left > lead && vm.takes_work() {
                     let cpu = u64::from(run.demand.cpu);
@@ -67,22 +67,22 @@
             if vm.takes_work() {
                 let lasting = vm.runs.values().filter(|run| run.lasting);
                 demand.staying += lasting.map(|run| u64::from(run.demand.cpu)).sum::<u64>();
-                if vm.is_held_by_suspect(now.steady) {
-                    // Nothing of other jobs goes there.
+                if vm.is_occupied_by_suspect(now.steady) {
+                    // Tasks of other jobs are not placed there.
                     demand.staying += u64::from(vm.free().cpu);
                 }
             }
         }
-        demand.waiting += self.held_back_by_suspects(now.steady);
+        demand.waiting += self.cpu_held_by_suspects(now.steady);
         let largest = self.largest_cpu();
         let mut capped: HashMap<WorkspaceKey, u64> = HashMap::new();
         for job in self.jobs.values().filter(|job| job.phase == Phase::Open) {
             let mut waiting = Demand::default();
-            self.add_waiting(job, (lead, largest), &ending, now, &mut waiting);
+            self.add_waiting(job, (lead, largest), &remaining, now, &mut waiting);
             if let Some((key, left)) =
                 job.workspace.and_then(|w| Some((w, self.quota.cpu_left(w)?)))
             {
-                // What its cap holds back needs no VMs.
+                // Tasks that are held back by the workspace's cap need no VMs.
                 let left = capped.entry(key).or_insert(left);
                 waiting.waiting = waiting.waiting.min(*left);
                 *left -= waiting.waiting;
@@ -97,9 +97,9 @@
         demand
     }
 
-    /// Returns the processor of the VMs that suspects which wait will hold, beyond what they ask for themselves: each runs
-    /// alone. As many more as the pool has now at most, so that a crowd of them does not take all VMs at once.
-    fn held_back_by_suspects(&self, now: Ms) -> u64 {
+    /// Returns the CPU of the VMs that waiting suspects will occupy beyond their own demand, as each runs alone. At most as many
+    /// VMs are added as the pool has now, so that many suspects do not claim all VMs at once.
+    fn cpu_held_by_suspects(&self, now: Ms) -> u64 {
         let vms: Vec<&Vm> = self.vms.values().filter(|vm| vm.takes_work()).collect();
         let cpu: u64 = vms.iter().map(|vm| u64::from(vm.room().cpu)).sum();
         let waiting = self.waiting_suspects(now).min(vms.len());
@@ -107,7 +107,7 @@
         held.checked_div(u64::try_from(vms.len()).unwrap_or(u64::MAX)).unwrap_or(0)
     }
 
-    /// Returns the jobs that can no longer be in time.
+    /// Returns the jobs that can no longer finish in time.
     fn late_jobs(&self, now: Ms) -> HashSet<JobId> {
         let open = self.jobs.values().filter(|job| job.phase == Phase::Open);
         open.filter(|job| self.rank(job, now).is_late()).map(|job| job.id).collect()
@@ -117,64 +117,75 @@
         &self,
         job: &Job,
         (lead, largest): (Ms, u32),
-        ending: &Ending,
+        remaining: &RemainingTimes,
         now: Now,
         demand: &mut Demand,
     ) {
         let ready: Vec<(u32, usize)> =
             job.ready_steps().map(|(time, step, _)| (time, step)).collect();
         let of_use = ready.is_empty() || !self.rank(job, now.steady).is_too_late();
-        for (&time, run) in &job.times {
-            let turns = self.turns(job, time, run, ending);
-            for (i, step) in run.steps.iter().enumerate().filter(|(_, step)| step.waiting > 0) {
-                let shape = &job.spec.steps[i];
-                let times = if shape.lasting { LASTING_WAIT_AS } else { 1 };
-                let each = room_taken_by(shape.room().cpu, largest);
-                let cpu = each * u64::from(step.waiting) * times;
+        for (&time, repetition) in &job.repetitions {
+            let spans = self.expected_spans(job, time, repetition, remaining);
+            for (i, step) in
+                repetition.steps.iter().enumerate().filter(|(_, step)| step.waiting > 0)
+            {
+                let step_spec = &job.spec.steps[i];
+                let weight = if step_spec.lasting { LASTING_WAIT_WEIGHT } else { 1 };
+                let each = counted_cpu(step_spec.room().cpu, largest);
+                let cpu = each * u64::from(step.waiting) * weight;
                 if ready.contains(&(time, i)) {
                     if of_use && self.fits_somewhere(job.spec.steps[i].room()) {
                         demand.waiting += cpu;
                     }
-                } else if turns[i].is_some_and(|turn| turn.begins <= lead && lead < turn.ends) {
+                } else if spans[i].is_some_and(|span| span.begins <= lead && lead < span.ends) {
                     demand.following += cpu;
                 }
             }
         }
     }
 
-    /// Returns the processor of the largest VM that takes work.
+    /// Returns the CPU capacity of the largest VM that accepts work.
     fn largest_cpu(&self) -> u32 {
         let rooms = self.vms.values().filter(|vm| vm.takes_work()).map(|vm| vm.room().cpu);
         rooms.max().unwrap_or(0)
     }
 
-    /// Returns when each step of a repetition is expected to begin and to end, as far as what it waits for runs or is done.
-    fn turns(&self, job: &Job, time: u32, run: &TimeRun, ending: &Ending) -> Vec<Option<Turn>> {
-        let mut turns: Vec<Option<Turn>> = Vec::with_capacity(run.steps.len());
-        for (i, step) in run.steps.iter().enumerate() {
+    /// Returns when each step of a repetition is expected to run, or `None` for a step that has no expected time yet because the
+    /// step itself or one that it depends on waits for room.
+    fn expected_spans(
+        &self,
+        job: &Job,
+        time: u32,
+        repetition: &RepetitionState,
+        remaining: &RemainingTimes,
+    ) -> Vec<Option<ExpectedSpan>> {
+        let mut spans: Vec<Option<ExpectedSpan>> = Vec::with_capacity(repetition.steps.len());
+        for (i, step) in repetition.steps.iter().enumerate() {
             let before = &job.spec.steps[i].depends_on;
-            let ends = |&on: &u16| turns.get(usize::from(on)).copied().flatten().map(|t| t.ends);
+            let ends = |&on: &u16| spans.get(usize::from(on)).copied().flatten().map(|t| t.ends);
             let begins =
                 before.iter().map(ends).try_fold(0, |latest, ends| Some(latest.max(ends?)));
-            let is_ready = before.iter().all(|&on| run.steps[usize::from(on)].is_done());
-            let turn = match begins {
-                _ if step.is_done() => Some(Turn::default()),
+            let is_ready = before.iter().all(|&on| repetition.steps[usize::from(on)].is_done());
+            let span = match begins {
+                _ if step.is_done() => Some(ExpectedSpan::default()),
                 _ if step.waiting == 0 => {
-                    let left = ending.get(&(job.id, time, i)).copied();
-                    left.map(|ends| Turn { begins: 0, ends })
+                    let left = remaining.get(&(job.id, time, i)).copied();
+                    left.map(|ends| ExpectedSpan { begins: 0, ends })
                 }
-                // What waits for room has no time yet, nor has what waits for that.
+                // A step that waits for room has no expected time, nor have the steps that depend on it.
                 None => None,
                 Some(_) if is_ready => None,
-                Some(begins) => Some(Turn { begins, ends: self.end_of(job, i, begins) }),
+                Some(begins) => {
+                    Some(ExpectedSpan { begins, ends: self.expected_end(job, i, begins) })
+                }
             };
-            turns.push(turn);
+            spans.push(span);
         }
-        turns
+        spans
     }
 
-    /// Returns when a step is expected to end that begins at some time.
-    fn end_of(&self, job: &Job, step: usize, begins: Ms) -> Ms {
+    /// Returns the expected end of a step that begins at `begins`.
+    fn expected_end(&self, job: &Job, step: usize, begins: Ms) -> Ms {
         if !self.policy.need.leaves_out_ended || job.spec.steps[step].lasting {
             return Ms::MAX;
         }
@@ -184,18 +195,18 @@
     }
 }
 
-/// When a step is expected to run, in milliseconds from now.
+/// The expected time span of a step, in milliseconds from now.
 #[derive(Clone, Copy, Debug, Default)]
-struct Turn {
+struct ExpectedSpan {
     begins: Ms,
     ends: Ms,
 }
 
-/// Returns as how much processor a task counts that waits, by the processor of the largest VM: one that asks for more than half of it
-/// finds room on an empty VM only, or nearly so, and leaves what remains to few others.
-fn room_taken_by(cpu: u32, largest: u32) -> u64 {
-    let fills = u64::from(cpu) * 2 > u64::from(largest);
-    u64::from(if fills { cpu.max(largest) } else { cpu })
+/// Returns the CPU that a waiting task is counted as using. A task that needs more than half of the largest VM counts as that
+/// whole VM: it fits only on a nearly empty VM and leaves little room for others.
+fn counted_cpu(cpu: u32, largest: u32) -> u64 {
+    let takes_whole_vm = u64::from(cpu) * 2 > u64::from(largest);
+    u64::from(if takes_whole_vm { cpu.max(largest) } else { cpu })
 }
 
 fn step_of(task: TaskId) -> (JobId, u32, usize) {
--- a/crates/schedule/src/pool/order.rs
+++ b/crates/schedule/src/pool/order.rs
@@ -1,8 +1,8 @@
-//! Orders to VMs and what comes of them.
+//! Orders to VMs and their results.
 
 use std::sync::Arc;
 
-use super::job::Spot;
+use super::job::TaskState;
 use super::{Now, Pool, VmKey};
 use crate::id::{RunId, TaskId, VmLife};
 use crate::spec::JobSpec;
@@ -10,17 +10,17 @@
 /// An order to start a run.
 #[derive(Clone, Debug)]
 pub struct StartOrder {
-    /// Where.
+    /// The VM incarnation.
     pub vm: VmLife,
-    /// Which run.
+    /// The run.
     pub run: RunId,
-    /// The job, whose text goes along.
+    /// The job's specification, whose text is sent with the order.
     pub spec: Arc<JobSpec>,
-    /// Where to resume, empty for the start.
+    /// The checkpoint to resume from; empty to start from the beginning.
     pub checkpoint: String,
-    /// The ticket of the queue's policy, if it has one.
+    /// The ticket, if the queue has a policy that requires one.
     pub ticket: Option<String>,
-    /// Processor left on the VM with this run, in thousandths of a core; for the log line.
+    /// CPU that remains free on the VM with this run, in thousandths of a core; for the log line.
     pub free_cpu: u32,
 }
 
@@ -29,94 +29,96 @@
 pub enum Order {
     /// Start a run.
     Start(StartOrder),
-    /// Stop a run, and bar it if it has not arrived yet.
+    /// Stop a run, or block its start if the start has not arrived yet.
     Stop {
-        /// Where.
+        /// The VM incarnation.
         vm: VmLife,
-        /// Which run.
+        /// The run.
         run: RunId,
     },
-    /// Ask which VMs may run a step.
+    /// Request advice on which VMs may run a step.
     Ask(super::Question),
-    /// Let a run work at a share of its full speed.
+    /// Limit a run to a share of its full speed.
     Pace {
-        /// Where.
+        /// The VM incarnation.
         vm: VmLife,
-        /// Which run.
+        /// The run.
         run: RunId,
-        /// The share.
+        /// The share of the full speed, in percent.
         percent: u32,
     },
 }
 
-/// What came of an order to start a run.
+/// The result of an order to start a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartResult {
     /// The VM has the run.
     Started,
-    /// The VM has the run, and a copy of the order that had no answer may still be carried out.
+    /// The VM has the run, and an unanswered copy of the order may still be executed.
     StartedWithCopies,
-    /// The VM has not taken it, and no copy of the order is under way.
+    /// The VM did not accept the run, and no copy of the order is in flight.
     NotTaken,
-    /// The VM has no room for it; nothing was started.
+    /// The VM has no room for the run; nothing was started.
     NoRoom,
-    /// The VM turned it away because it is not healthy; nothing was started.
+    /// The VM rejected the run because the VM is unhealthy; nothing was started.
     Unhealthy,
-    /// The VM refused a repeated order: an earlier copy may have run, or be under way. Its next report tells of the one, and a
-    /// stop bars the other.
+    /// The VM refused a repeated order: an earlier copy may have been executed or still be in flight. The VM's next report shows
+    /// the former, and a stop prevents the latter.
     Unclear,
 }
 
 impl Pool {
-    /// Takes in what came of a start.
+    /// Applies the result of a start order.
     pub fn start_result(&mut self, vm: &VmLife, run: RunId, result: StartResult, now: Now) {
         let Some(&vm_key) = self.vm_keys.get(vm) else { return };
         let Some(v) = self.vms.get_mut(vm_key) else { return };
-        let Some(state) = v.runs.get_mut(&run.task).filter(|r| r.attempt == run.attempt) else {
+        let Some(found) = v.runs.get_mut(&run.task).filter(|r| r.attempt == run.attempt) else {
             return;
         };
         match result {
             StartResult::Started | StartResult::StartedWithCopies => {
-                state.has_copies = result == StartResult::StartedWithCopies;
-                state.confirmed = Some(now.steady);
-                state.started = now.steady;
-                v.without_room = 0;
+                found.has_copies = result == StartResult::StartedWithCopies;
+                found.confirmed = Some(now.steady);
+                found.started = now.steady;
+                v.room_rejections = 0;
             }
-            StartResult::Unclear => (state.confirmed, state.unclear) = (Some(now.steady), true),
+            StartResult::Unclear => (found.confirmed, found.unclear) = (Some(now.steady), true),
             StartResult::NotTaken => self.release(vm_key, run, now),
             StartResult::NoRoom => {
-                v.set_aside_for_room(now.steady);
+                v.exclude_for_room(now.steady);
                 self.release(vm_key, run, now);
             }
             StartResult::Unhealthy => {
-                v.set_aside_briefly(now.steady);
+                v.exclude_briefly(now.steady);
                 self.release(vm_key, run, now);
             }
         }
     }
 
-    /// Takes in that a VM has answered a stop: the run is barred or about to end.
+    /// Records that a VM has answered a stop: the run is about to end, or its start is blocked.
     pub fn stop_answered(&mut self, vm: &VmLife, run: RunId, now: Now) {
         let Some(&vm_key) = self.vm_keys.get(vm) else { return };
         let Some(v) = self.vms.get_mut(vm_key) else { return };
-        if let Some(state) = v.runs.get_mut(&run.task).filter(|r| r.attempt == run.attempt) {
-            state.confirmed = Some(now.steady);
+        if let Some(found) = v.runs.get_mut(&run.task).filter(|r| r.attempt == run.attempt) {
+            found.confirmed = Some(now.steady);
         }
     }
 
-    /// Frees the room of a run that is surely not there, and lets its task wait again.
+    /// Frees the room of a run that certainly does not exist, and returns its task to the waiting state.
     pub(super) fn release(&mut self, vm: VmKey, run: RunId, _now: Now) {
-        let Some(gone) = self.remove_run(vm, run) else { return };
+        let Some(removed) = self.remove_run(vm, run) else { return };
         let Some(&key) = self.job_keys.get(&run.task.job) else { return };
         let Some(job) = self.jobs.get_mut(key) else { return };
         let Some((step, index)) = job.step_mut(run.task) else { return };
-        if step.tasks[index].attempt == run.attempt && step.tasks[index].spot == Spot::On(vm) {
-            step.set(index, Spot::Waiting);
+        if step.tasks[index].attempt == run.attempt
+            && step.tasks[index].state == TaskState::Assigned(vm)
+        {
+            step.set(index, TaskState::Waiting);
             step.tasks[index].avoid = Some(vm);
-            if !gone.checkpoint.is_empty() {
-                step.tasks[index].checkpoint = gone.checkpoint;
+            if !removed.checkpoint.is_empty() {
+                step.tasks[index].checkpoint = removed.checkpoint;
             }
-            self.touch(key);
+            self.mark_changed(key);
         }
     }
 
