--- a/crates/schedule/src/harm.rs
+++ b/crates/schedule/src/harm.rs
@@ -1,79 +1,80 @@
-//! Which losses of VMs speak against a task that ran there, and when it is given up.
+//! The crash history of a task: which VM losses count against it, and when it is abandoned.
 //!
-//! A task may crash each VM on which it starts, and a VM that has crashed lists no end. Of the runs that go with
-//! a VM one at most has done it, and bad luck looks the same once. So a loss is weighed by what it tells:
+//! A task may crash every VM on which it starts, and a crashed VM does not report how its runs ended. At most one of the
+//! runs that were lost with a VM caused the crash, and a single crash may be a coincidence. The rules are:
 //!
-//! - Only a crash counts: another incarnation of the VM is there, and it was not leaving. A VM that fell silent may
-//!   have been cut off; its loss is kept until it answers again (not counted) or is replaced (counted).
-//! - A crash right after the task's start makes it a suspect, and so does a second one at any time. Suspects run with no
-//!   other job's tasks beside them, so that the next crash tells more and costs others nothing.
-//! - Two crashes right after its start with nothing of other jobs beside it, or four in all, and it is given up.
+//! - Only a crash counts: the VM has a new incarnation and was not leaving. An unresponsive VM may only be
+//!   disconnected, so its loss is unclear until the VM answers again (not counted) or is replaced (counted).
+//! - A crash right after the task's start makes the task a suspect, and so does a second crash at any time. A suspect does
+//!   not share a VM with tasks of other jobs, so that its next crash is conclusive and harms no other job.
+//! - A task is abandoned after two crashes right after its start on a VM without tasks of other jobs, after four crashes
+//!   of which two came right after its start, or after five crashes in all.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Ms;
 
-/// A VM that stops answering within this time of a run's start may have been crashed by it, in milliseconds: with the users'
-/// VMs it took 10 ms from the start to the crash, and up to 70 ms more until the owner heard that its connections were
-/// closed.
+/// The time after a run's start within which the run may have crashed a VM that stops answering, in milliseconds. A VM may
+/// crash 10 ms after the start, and its owner may notice the closed connections 70 ms later.
 pub const AT_START_MS: Ms = 250;
-/// Crashes right after its start, with nothing of other jobs beside it, with which a task is given up: one may be bad luck.
-const CRASHES_ALONE: u32 = 2;
-/// Crashes with which a task is given up whatever ran beside it, if two of them came right after its start.
-const CRASHES: u32 = 4;
-/// Crashes with which any task is given up: the platform allows two starts after the third.
-const CRASHES_AT_ANY_TIME: u32 = 5;
-/// How long it may stay unknown whether a VM that fell silent has crashed, in milliseconds; then it counts as crashed, as it
-/// is not coming back. The users' VMs are back within seconds, and their cuts last up to 12 s.
-const UNCLEAR_MS: u64 = 30_000;
-/// The first pause before a suspect is started again, in milliseconds; it doubles with each crash.
-const PAUSE_MS: Ms = 250;
-/// The longest such pause, in milliseconds: a task that may start and does not for 3 s counts as lost.
+/// The number of crashes right after its start, on VMs without tasks of other jobs, at which a task is abandoned. One may be
+/// a coincidence.
+const MAX_CRASHES_ALONE: u32 = 2;
+/// The number of crashes at which a task is abandoned whatever else ran on the VMs, if two of them came right after its start.
+const MAX_CRASHES_WITH_STARTS: u32 = 4;
+/// The number of crashes at which any task is abandoned. The platform allows two starts after the third crash.
+const MAX_CRASHES: u32 = 5;
+/// How long a VM may be unresponsive before it counts as crashed, in milliseconds. VMs restart within seconds, and network
+/// partitions last up to 12 s.
+const UNCLEAR_TIMEOUT_MS: u64 = 30_000;
+/// The delay before a suspect is started again after its first crash, in milliseconds. It doubles with each crash.
+const FIRST_RESTART_DELAY_MS: Ms = 250;
+/// The longest such delay, in milliseconds. A task that may start and does not for 3 s counts as lost.
 pub const MOST_PAUSE_MS: Ms = 2_000;
 
-/// A VM that fell silent under a task until its lease was over.
+/// A VM that ran a task and was unresponsive until its lease expired.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnclearLoss {
-    /// The incarnation.
+    /// The incarnation of the VM.
     pub vm: String,
-    /// The VM's lasting name, empty if it was not known.
+    /// The VM's name over all of its incarnations, empty if it was not known.
     pub name: String,
-    /// When its lease was over, in milliseconds since 1970.
+    /// When the VM's lease expired, in milliseconds since 1970.
     pub at_ms: u64,
 }
 
-/// What the crash of a VM tells of a run that went with it.
+/// How the crash of a VM relates to a run that was lost with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Crash {
-    /// It came right after the run's start.
+    /// The crash came right after the run's start.
     pub at_start: bool,
-    /// Nothing of other jobs ran there.
+    /// The VM ran no tasks of other jobs.
     pub alone: bool,
 }
 
-/// What speaks against a task.
+/// The crash history of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Harm {
-    /// VMs that crashed under it.
+    /// The number of VMs that crashed while they ran the task.
     pub crashes: u32,
-    /// Those among them that crashed right after its start.
+    /// The number of these that crashed right after the task's start.
     pub at_start: u32,
-    /// Those among these on which nothing of other jobs ran.
+    /// The number of those in `at_start` that ran no tasks of other jobs.
     pub alone: u32,
-    /// VMs of which it is not known whether they crashed.
+    /// VMs that became unresponsive and may have crashed.
     pub unclear: Vec<UnclearLoss>,
 }
 
-/// How a task is to be treated.
+/// How the scheduler treats a task, by its crash history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// As any other.
+    /// The task is not restricted.
     Clear,
-    /// It is started with nothing of other jobs beside it.
+    /// The task starts only on VMs without tasks of other jobs.
     Suspect,
-    /// It is not started until it is known whether the VMs that fell silent under it have crashed.
+    /// The task does not start until it is known whether the VMs in `unclear` have crashed.
     Held,
-    /// It is not started any more, and its job has failed.
+    /// The task is abandoned, and its job has failed.
     GivenUp,
 }
 
@@ -85,38 +86,39 @@
         self.alone += u32::from(crash.at_start && crash.alone);
     }
 
-    /// Keeps in mind that a VM fell silent.
+    /// Records that a VM became unresponsive.
     pub fn add_unclear(&mut self, loss: UnclearLoss) {
         if !self.unclear.iter().any(|known| known.vm == loss.vm) {
             self.unclear.push(loss);
         }
     }
 
-    /// Takes in that it is known of a VM whether it crashed; returns whether that is news.
+    /// Records whether an unresponsive VM crashed, and returns whether its loss was unclear before.
     pub fn resolve(&mut self, vm: &str, crashed: bool) -> bool {
         let before = self.unclear.len();
         self.unclear.retain(|loss| loss.vm != vm);
-        let news = self.unclear.len() < before;
-        if news && crashed {
-            // What else ran there then is not kept.
+        let was_unclear = self.unclear.len() < before;
+        if was_unclear && crashed {
+            // An unclear loss does not record what else ran on the VM.
             self.add(Crash { at_start: false, alone: false });
         }
-        news
+        was_unclear
     }
 
-    /// Returns the VMs that have been silent for so long that they count as crashed.
+    /// Returns the VMs that have been unresponsive for so long that they count as crashed.
     pub fn overdue(&self, now_ms: u64) -> Vec<String> {
-        let is_over = |loss: &&UnclearLoss| now_ms >= loss.at_ms.saturating_add(UNCLEAR_MS);
+        let is_over = |loss: &&UnclearLoss| now_ms >= loss.at_ms.saturating_add(UNCLEAR_TIMEOUT_MS);
         self.unclear.iter().filter(is_over).map(|loss| loss.vm.clone()).collect()
     }
 
-    /// Returns how the task is to be treated.
+    /// Returns how the scheduler treats the task.
     pub fn verdict(&self) -> Verdict {
         let unclear = u32::try_from(self.unclear.len()).unwrap_or(u32::MAX);
-        let most = if self.at_start >= CRASHES_ALONE { CRASHES } else { CRASHES_AT_ANY_TIME };
-        if self.alone >= CRASHES_ALONE || self.crashes >= most {
+        let max =
+            if self.at_start >= MAX_CRASHES_ALONE { MAX_CRASHES_WITH_STARTS } else { MAX_CRASHES };
+        if self.alone >= MAX_CRASHES_ALONE || self.crashes >= max {
             Verdict::GivenUp
-        } else if self.crashes.saturating_add(unclear) >= most {
+        } else if self.crashes.saturating_add(unclear) >= max {
             Verdict::Held
         } else if self.at_start > 0 || self.crashes > 1 {
             Verdict::Suspect
@@ -125,19 +127,20 @@
         }
     }
 
-    /// Returns how long a suspect waits after a loss before it is started again.
+    /// Returns the delay after a loss before a suspect is started again.
     pub fn pause(&self) -> Ms {
         match self.verdict() {
             Verdict::Clear => 0,
             Verdict::Suspect | Verdict::Held | Verdict::GivenUp => {
-                let doubled = PAUSE_MS << self.crashes.saturating_sub(1).min(CRASHES);
+                let doubled = FIRST_RESTART_DELAY_MS
+                    << self.crashes.saturating_sub(1).min(MAX_CRASHES_WITH_STARTS);
                 doubled.min(MOST_PAUSE_MS)
             }
         }
     }
 }
 
-/// What speaks against one task, as it stands in the record of its job.
+/// The crash history of one task within its job's record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HarmRecord {
     /// The repetition.
@@ -146,6 +149,6 @@
     pub step: u16,
     /// The task within the step.
     pub index: u32,
-    /// What speaks against it.
+    /// The task's crash history.
     pub harm: Harm,
 }
--- a/crates/schedule/src/id.rs
+++ b/crates/schedule/src/id.rs
@@ -1,4 +1,4 @@
-//! Names of jobs, tasks, runs and lives of VMs.
+//! Identifiers of jobs, tasks, runs and VM incarnations.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,20 +6,20 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Digits of a job's ID.
+/// The number of digits in a job ID.
 const JOB_ID_DIGITS: usize = 16;
 
-/// A job's ID: 16 lower-case hexadecimal digits, chosen by the caller.
+/// The ID of a job: 16 lower-case hexadecimal digits, assigned by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JobId(pub u64);
 
-/// A text that names no job, task or run.
+/// A string that is not a valid job or task ID.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IdError(pub String);
 
 impl fmt::Display for IdError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "'{}' is no ID: use 16 hexadecimal digits in lower case", self.0)
+        write!(f, "'{}' is not a valid ID: use 16 hexadecimal digits in lower case", self.0)
     }
 }
 
@@ -43,16 +43,16 @@
     }
 }
 
-/// One task of a job: which repetition, which step, which of the step's tasks.
+/// The ID of a task: its job, repetition, step and index within the step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskId {
     /// The job.
     pub job: JobId,
-    /// The repetition, from 0.
+    /// The repetition, counted from 0.
     pub time: u32,
-    /// The step, from 0.
+    /// The step, counted from 0.
     pub step: u16,
-    /// The task within the step, from 0.
+    /// The task within the step, counted from 0.
     pub index: u32,
 }
 
@@ -66,26 +66,26 @@
     type Err = IdError;
 
     fn from_str(s: &str) -> Result<Self, IdError> {
-        let wrong = || IdError(s.to_owned());
+        let invalid = || IdError(s.to_owned());
         let mut parts = s.split('.');
-        let mut next = || parts.next().ok_or_else(wrong);
+        let mut next = || parts.next().ok_or_else(invalid);
         let job = next()?.parse()?;
-        let time = next()?.parse().map_err(|_| wrong())?;
-        let step = next()?.parse().map_err(|_| wrong())?;
-        let index = next()?.parse().map_err(|_| wrong())?;
+        let time = next()?.parse().map_err(|_| invalid())?;
+        let step = next()?.parse().map_err(|_| invalid())?;
+        let index = next()?.parse().map_err(|_| invalid())?;
         if parts.next().is_some() {
-            return Err(wrong());
+            return Err(invalid());
         }
         Ok(Self { job, time, step, index })
     }
 }
 
-/// One run of a task.
+/// The ID of a run, which is one attempt at a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunId {
     /// The task.
     pub task: TaskId,
-    /// Which of its runs, counted from 1.
+    /// The number of the run among the task's runs, counted from 1.
     pub attempt: u32,
 }
 
@@ -95,60 +95,63 @@
     }
 }
 
-/// Stands between the ID and the start of a life of a VM in text.
-const BORN_SIGN: char = '@';
+/// Separates the VM's ID from its start time in the text form of an incarnation.
+const START_TIME_SEPARATOR: char = '@';
 
-/// One life of a VM. A VM that crashed, moved or was maintained may come back under its ID or under another one, with
-/// nothing running and all that it counts beginning anew; when it started tells its lives apart.
+/// One incarnation of a VM. A VM that crashed, moved or was maintained may restart under the same ID or another one, with
+/// nothing running and all of its counters reset. The start time distinguishes incarnations of one ID.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct VmLife {
     id: Arc<str>,
-    born: Option<u64>,
+    started_at: Option<u64>,
 }
 
 impl VmLife {
-    /// Makes the life of a VM that started at a time, in milliseconds since 1970; none if that is not known.
-    pub fn new(id: impl Into<Arc<str>>, born: Option<u64>) -> Self {
-        Self { id: id.into(), born }
+    /// Creates an incarnation that started at `started_at`, in milliseconds since 1970, or `None` if the start time is not known.
+    pub fn new(id: impl Into<Arc<str>>, started_at: Option<u64>) -> Self {
+        Self { id: id.into(), started_at }
     }
 
-    /// Returns the VM's ID, which other lives of it may share.
+    /// Returns the VM's ID, which other incarnations may share.
     pub const fn id(&self) -> &Arc<str> {
         &self.id
     }
 
-    /// Returns when it started, in milliseconds since 1970, if that is known.
+    /// Returns the start time in milliseconds since 1970, if it is known.
     pub const fn born(&self) -> Option<u64> {
-        self.born
+        self.started_at
     }
 
-    /// Returns whether this and another one may be the same life, as one of them tells no start.
+    /// Returns whether both may be the same incarnation: they share an ID, and their start times are equal or one of them is
+    /// unknown.
     pub fn may_be(&self, other: &Self) -> bool {
         self.id == other.id
-            && (self.born == other.born || self.born.is_none() || other.born.is_none())
+            && (self.started_at == other.started_at
+                || self.started_at.is_none()
+                || other.started_at.is_none())
     }
 
-    /// Returns whether this and another one are lives of a VM under one ID.
+    /// Returns whether both share an ID but differ in their start time.
     pub fn is_other_life_of(&self, other: &Self) -> bool {
-        self.id == other.id && self.born != other.born
+        self.id == other.id && self.started_at != other.started_at
     }
 }
 
 impl fmt::Display for VmLife {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.born {
-            Some(born) => write!(f, "{}{BORN_SIGN}{born}", self.id),
+        match self.started_at {
+            Some(started_at) => write!(f, "{}{START_TIME_SEPARATOR}{started_at}", self.id),
             None => f.write_str(&self.id),
         }
     }
 }
 
-/// Reads a life as it stands in records; those of older programs hold the ID only.
+/// Parses an incarnation as records hold it. Records of older versions hold only the ID.
 impl From<&str> for VmLife {
     fn from(text: &str) -> Self {
-        let parts = text.rsplit_once(BORN_SIGN);
-        match parts.and_then(|(id, born)| Some((id, born.parse().ok()?))) {
-            Some((id, born)) => Self::new(id, Some(born)),
+        let parts = text.rsplit_once(START_TIME_SEPARATOR);
+        match parts.and_then(|(id, started_at)| Some((id, started_at.parse().ok()?))) {
+            Some((id, started_at)) => Self::new(id, Some(started_at)),
             None => Self::new(text, None),
         }
     }
--- a/crates/schedule/src/job_log.rs
+++ b/crates/schedule/src/job_log.rs
@@ -1,8 +1,8 @@
-//! The fold of one pool's records: what was submitted, what was cancelled, how far each job is.
+//! The fold of one pool's records into the submission, the cancellation and the progress of each job.
 //!
-//! Any node appends submissions and cancels, to one of two partitions. Only the pool's owner appends
-//! to a third: progress, and to a fourth while the third does not take it. All are folded by job,
-//! newest record first come or last, so that a record that is read twice changes nothing.
+//! Any node appends submissions and cancels to one of two partitions. Only the pool's owner appends progress, to a third
+//! partition, or to a fourth while the third does not accept it. Records are folded by job and may arrive in any order, so
+//! that reading a record twice changes nothing.
 
 mod parts;
 
@@ -15,39 +15,39 @@
 use crate::workspace::Caller;
 pub use parts::Parts;
 
-/// What a record's key starts with.
+/// The prefixes of record keys.
 const SUBMIT: &str = "j";
 const CANCEL: &str = "c";
 const PROGRESS: &str = "q";
-/// Progress as it was written before it was numbered; any numbered record is newer.
+/// The prefix of progress records without a version, which older versions wrote. Any record with a version is newer.
 const UNNUMBERED: &str = "p";
 
-/// Returns the key of a job's submission.
+/// Returns the key of a job's submission record.
 pub fn submit_key(id: JobId) -> String {
     format!("{SUBMIT}{id}")
 }
 
-/// Returns the key of a job's cancel.
+/// Returns the key of a job's cancel record.
 pub fn cancel_key(id: JobId) -> String {
     format!("{CANCEL}{id}")
 }
 
-/// Returns the key of a job's progress.
+/// Returns the key of a job's progress record.
 pub fn progress_key(id: JobId) -> String {
     format!("{PROGRESS}{id}")
 }
 
-/// Returns the job whose submission a key is about.
+/// Returns the job of a submission record's key.
 pub fn job_of_submit_key(key: &str) -> Option<JobId> {
     key.strip_prefix(SUBMIT)?.parse().ok()
 }
 
-/// Returns the job whose progress a key is about.
+/// Returns the job of a progress record's key.
 pub fn job_of_progress_key(key: &str) -> Option<JobId> {
     key.strip_prefix(PROGRESS)?.parse().ok()
 }
 
-/// The order of one job's progress records: those of a later owner are newer.
+/// The version of a progress record, which orders the records of one job. Those of a later owner are newer.
 #[derive(
     Clone,
     Copy,
@@ -61,13 +61,13 @@
     serde::Deserialize,
 )]
 pub struct Version {
-    /// The owner's token.
+    /// The token of the owner that wrote the record.
     pub token: u64,
-    /// The count of the owner's records.
+    /// The sequence number among that owner's records.
     pub number: u64,
 }
 
-/// Encodes how far a job is.
+/// Encodes a job's progress.
 pub fn encode_progress(version: Version, progress: &Progress) -> Vec<u8> {
     let mut record = encode(&(version, progress));
     if !progress.harms.is_empty() {
@@ -85,7 +85,7 @@
     record
 }
 
-/// Decodes a submission; a record may end before its workspace.
+/// Decodes a submission. Older records lack the workspace.
 fn decode_spec(value: &[u8]) -> Result<JobSpec, postcard::Error> {
     let (mut spec, rest): (JobSpec, _) = postcard::take_from_bytes(value)?;
     if !rest.is_empty() {
@@ -94,7 +94,7 @@
     Ok(spec)
 }
 
-/// What a cancel's record starts with; who cancels follows.
+/// The first byte of a cancel record; the encoded caller follows.
 const CANCELLED: u8 = 1;
 
 /// Encodes a cancel.
@@ -104,7 +104,7 @@
     record
 }
 
-/// Decodes a cancel; a record of before says nothing of its caller, who may cancel any job.
+/// Decodes a cancel. Older records lack the caller and cancel any job.
 fn decode_cancel(value: &[u8]) -> Result<Option<Caller>, postcard::Error> {
     match value {
         [] | [_] => Ok(None),
@@ -112,7 +112,7 @@
     }
 }
 
-/// Decodes how far a job is; a record may end before what speaks against its tasks.
+/// Decodes a job's progress. The record may lack the crash histories of its tasks.
 fn decode_progress(value: &[u8]) -> Result<(Version, Progress), postcard::Error> {
     let ((version, mut progress), rest): ((Version, Progress), _) =
         postcard::take_from_bytes(value)?;
@@ -122,48 +122,48 @@
     Ok((version, progress))
 }
 
-/// Callers of different workspaces whose cancels of one ID are kept before its submission is read: one is usual, and
-/// more are mistakes.
-const MOST_EARLY_CANCELS: usize = 8;
+/// The maximum number of callers whose cancels of one ID are kept until its submission is read. One is usual; more come
+/// from mistakes.
+const MAX_EARLY_CANCELS: usize = 8;
 
-/// A record that cannot be read.
+/// The error for a record that cannot be decoded, with its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BadRecord(pub String);
 
 /// Encodes a submission or a progress record.
 pub fn encode<T: serde::Serialize>(value: &T) -> Vec<u8> {
-    // Encoding plain structs into memory cannot fail; an empty record would be dropped by readers.
+    // Encoding plain structs into memory cannot fail. Readers would skip an empty record.
     postcard::to_allocvec(value).unwrap_or_default()
 }
 
-/// What is known of a job.
+/// The folded records of a job.
 #[derive(Clone, Debug, Default)]
 pub struct JobEntry {
-    /// The submission; none if only a cancel or progress has been read so far.
+    /// The submission, or `None` if only a cancel or progress has been read so far.
     pub spec: Option<Arc<JobSpec>>,
-    /// Its caller cancelled it.
+    /// Whether a caller that may see the job has cancelled it.
     pub cancelled: bool,
-    /// Who has cancelled a job of this ID whose submission has not been read.
+    /// The callers that cancelled this ID before its submission was read.
     pub cancelled_by: Vec<Option<Caller>>,
-    /// How far it is.
+    /// The progress.
     pub progress: Progress,
-    /// Which record told so.
+    /// The version of the record that holds the progress.
     pub version: Version,
-    /// Where its submission stands, as far as that was read.
+    /// The partitions that hold its submission, as far as they were read.
     pub stands_in: Parts,
-    /// The partition from which its submission was found to be gone, if it stands in none.
+    /// The partition that a reload found without its submission, if no other one holds it.
     pub gone_from: Option<u32>,
 }
 
 impl JobEntry {
-    /// Takes in a record of progress unless a newer one was read.
-    fn take_progress(&mut self, version: Version, progress: Progress) {
+    /// Applies a progress record unless a newer one was read.
+    fn apply_progress(&mut self, version: Version, progress: Progress) {
         if version >= self.version {
             (self.version, self.progress) = (version, progress);
         }
     }
 
-    /// Returns the state to show, if the job was submitted.
+    /// Returns the state to report to callers, if the submission was read.
     pub fn state(&self) -> Option<JobState> {
         self.spec.as_ref()?;
         Some(self.progress.state(self.cancelled))
@@ -173,7 +173,7 @@
 /// A change that the pool's owner acts on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogChange {
-    /// A job that was not known.
+    /// A new job was submitted.
     Submitted(JobId),
     /// A job was cancelled.
     Cancelled(JobId),
@@ -186,27 +186,27 @@
 }
 
 impl JobLog {
-    /// Returns what is known of a job.
+    /// Returns the entry of a job.
     pub fn get(&self, id: JobId) -> Option<&JobEntry> {
         self.jobs.get(&id).filter(|entry| !entry.is_gone())
     }
 
-    /// Returns all jobs.
+    /// Returns the entries of all jobs.
     pub fn iter(&self) -> impl Iterator<Item = (JobId, &JobEntry)> {
         self.jobs.iter().filter(|(_, entry)| !entry.is_gone()).map(|(&id, entry)| (id, entry))
     }
 
-    /// Returns how many jobs are held.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Returns whether no job is held.
+    /// Returns whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// Returns how many jobs of a queue were accepted and have not begun.
+    /// Returns the number of jobs of a queue that were accepted and have not started.
     pub fn pending(&self, queue: &str) -> usize {
         let is_pending = |e: &&JobEntry| {
             e.state() == Some(JobState::Queued) && e.spec.as_ref().is_some_and(|s| s.queue == queue)
@@ -214,14 +214,14 @@
         self.iter().map(|(_, entry)| entry).filter(is_pending).count()
     }
 
-    /// Returns whether some open job has progress though its submission has not been read.
+    /// Returns whether some open job has started though its submission has not been read.
     pub fn has_begun_unseen(&self) -> bool {
         let begun =
             |e: &JobEntry| e.spec.is_none() && e.progress.begun && e.progress.phase == Phase::Open;
         self.jobs.values().any(begun)
     }
 
-    /// Applies one record where it does not matter from which partition it is.
+    /// Applies one record whose partition does not matter.
     pub fn apply(
         &mut self,
         key: &str,
@@ -230,7 +230,7 @@
         self.apply_from(0, key, value)
     }
 
-    /// Applies one record of a partition; a record without a value was dropped there.
+    /// Applies one record of a partition. A record without a value marks that the partition dropped the key.
     pub fn apply_from(
         &mut self,
         part: u32,
@@ -249,7 +249,7 @@
         match kind {
             SUBMIT => {
                 let spec = decode_spec(value).map_err(|_| bad())?;
-                // Whoever folded a job that cannot be would fail on it, one owner after the other.
+                // An invalid job would make every owner in turn fail on it.
                 spec.check().map_err(|e| BadRecord(format!("{key}: {e}")))?;
                 Ok(self.submit(part, id, spec))
             }
@@ -259,39 +259,39 @@
             }
             PROGRESS => {
                 let (version, progress) = decode_progress(value).map_err(|_| bad())?;
-                self.jobs.entry(id).or_default().take_progress(version, progress);
+                self.jobs.entry(id).or_default().apply_progress(version, progress);
                 Ok(None)
             }
             UNNUMBERED => {
                 let progress = postcard::from_bytes(value).map_err(|_| bad())?;
-                self.jobs.entry(id).or_default().take_progress(Version::default(), progress);
+                self.jobs.entry(id).or_default().apply_progress(Version::default(), progress);
                 Ok(None)
             }
             _ => Err(bad()),
         }
     }
 
-    /// Takes in a cancel, unless its caller may not see the job.
+    /// Applies a cancel, unless its caller may not see the job.
     fn cancel(&mut self, id: JobId, caller: Option<Caller>) -> Option<LogChange> {
         let entry = self.jobs.entry(id).or_default();
         match &entry.spec {
             Some(spec) if caller.as_ref().is_none_or(|c| c.may_see(spec)) => {
-                let news = !entry.cancelled;
+                let is_new = !entry.cancelled;
                 entry.cancelled = true;
-                news.then_some(LogChange::Cancelled(id))
+                is_new.then_some(LogChange::Cancelled(id))
             }
             Some(_) => None,
             None => {
-                let news = !entry.cancelled_by.contains(&caller);
-                if news && entry.cancelled_by.len() < MOST_EARLY_CANCELS {
+                let is_new = !entry.cancelled_by.contains(&caller);
+                if is_new && entry.cancelled_by.len() < MAX_EARLY_CANCELS {
                     entry.cancelled_by.push(caller);
                 }
-                news.then_some(LogChange::Cancelled(id))
+                is_new.then_some(LogChange::Cancelled(id))
             }
         }
     }
 
-    /// Keeps the first submission of an ID; later ones are copies.
+    /// Applies a submission. The first one of an ID is kept; later ones are copies.
     fn submit(&mut self, part: u32, id: JobId, spec: JobSpec) -> Option<LogChange> {
         let entry = self.jobs.entry(id).or_default();
         entry.stands_in.insert(part);
@@ -305,10 +305,10 @@
         Some(LogChange::Submitted(id))
     }
 
-    /// Sets a job's progress, as its owner has just written it.
+    /// Sets the progress that the owner has just written.
     pub fn set_progress(&mut self, id: JobId, version: Version, progress: Progress) {
         if let Some(entry) = self.jobs.get_mut(&id) {
-            entry.take_progress(version, progress);
+            entry.apply_progress(version, progress);
         }
     }
 }
--- a/crates/schedule/src/job_log/parts.rs
+++ b/crates/schedule/src/job_log/parts.rs
@@ -1,11 +1,11 @@
-//! In which partitions a job's submission stands.
+//! Which partitions hold a job's submission.
 
 use std::collections::HashSet;
 
 use super::{JobEntry, JobLog};
 use crate::id::JobId;
 
-/// Partitions in which a submission stands, as far as they were read; a pool has a few.
+/// The set of partitions that hold a submission, as far as they were read. A pool has only a few partitions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Parts(u32);
 
@@ -28,15 +28,15 @@
 }
 
 impl JobEntry {
-    /// Returns whether its submission was dropped while this node did not read.
+    /// Returns whether its submission was dropped while this node was not reading.
     pub(super) const fn is_gone(&self) -> bool {
         self.gone_from.is_some()
     }
 }
 
 impl JobLog {
-    /// Takes in that a submission was dropped in a partition. Its job is forgotten once it stands in no other one: there it would be
-    /// read as new, with nothing known of how far it is.
+    /// Records that a partition dropped a submission. The job's entry is removed only once no other partition holds the
+    /// submission: otherwise it would be read there as new, and its progress would be lost.
     pub(super) fn drop_submission(&mut self, part: u32, id: JobId) {
         let Some(entry) = self.jobs.get_mut(&id) else { return };
         entry.stands_in.remove(part);
@@ -45,9 +45,9 @@
         }
     }
 
-    /// Takes in which submissions stand in a partition, of which the newest record of each key was read; to be called before
-    /// these are applied. Those that stand in none any more were dropped. They are kept out of sight until the next time, in case
-    /// one is read all the same: what is known of its progress must not be lost.
+    /// Records which submissions a partition holds, after the newest record of each key was read and before these records are
+    /// applied. Submissions that no partition holds any more were dropped. Their entries are hidden until the next reload, so
+    /// that their progress is not lost if the submission is read after all.
     pub fn reloaded(&mut self, part: u32, there: &HashSet<JobId>) {
         self.jobs.retain(|id, entry| {
             if there.contains(id) || !entry.stands_in.holds(part) {
--- a/crates/schedule/src/lib.rs
+++ b/crates/schedule/src/lib.rs
@@ -1,5 +1,5 @@
-//! The job scheduler as a library: no sockets and no clock, so that the daemon, tests and random
-//! runs drive the same code. Times are passed in as milliseconds of a steady clock.
+//! The job scheduler as a library. It opens no sockets and reads no clock, so that the daemon, the tests and the
+//! randomized tests drive the same code. Callers pass in times as milliseconds of a monotonic clock.
 
 pub mod admission;
 pub mod catalog;
@@ -31,5 +31,5 @@
 pub use vm::{EndKind, Room, RunEnd, RunRow, VmFacts, VmLoss, VmReport};
 pub use workspace::{Caller, KeySecret, Workspace, WorkspaceConfig, Workspaces};
 
-/// Milliseconds of a steady clock.
+/// Milliseconds of a monotonic clock.
 pub type Ms = u64;
--- a/crates/schedule/src/progress.rs
+++ b/crates/schedule/src/progress.rs
@@ -1,41 +1,41 @@
-//! How far a job is: the record that its pool's owner writes, whole each time.
+//! The progress record of a job, which the pool's owner always writes as a whole.
 
 use serde::{Deserialize, Serialize};
 
 use crate::harm::HarmRecord;
 use crate::id::VmLife;
 
-/// Whether a job is settled.
+/// The phase of a job: open or settled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// It has work left.
+    /// The job has work left.
     #[default]
     Open,
-    /// All its tasks are done.
+    /// All of its tasks are done.
     Completed,
-    /// A task failed too often.
+    /// One of its tasks failed too often.
     Failed,
-    /// Its caller cancelled it.
+    /// A caller cancelled the job.
     Cancelled,
 }
 
-/// A job's state as callers see it.
+/// The state of a job as callers see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// None of its tasks has begun.
+    /// None of its tasks has started.
     Queued,
-    /// Some task has begun.
+    /// At least one of its tasks has started.
     Running,
-    /// All its tasks are done.
+    /// All of its tasks are done.
     Completed,
-    /// A task failed too often.
+    /// One of its tasks failed too often.
     Failed,
-    /// Its caller cancelled it.
+    /// A caller cancelled the job.
     Cancelled,
 }
 
 impl JobState {
-    /// Returns whether it is the job's last.
+    /// Returns whether the state is final.
     pub const fn is_final(self) -> bool {
         match self {
             Self::Completed | Self::Failed | Self::Cancelled => true,
@@ -44,18 +44,18 @@
     }
 }
 
-/// Where a task stands.
+/// The state of a task in a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Place {
-    /// It waits for a run.
+    /// The task waits for a run.
     Waiting,
-    /// It was ordered to run on this incarnation of a VM, and no end is known.
+    /// The task was ordered to run on this VM incarnation, and no end of the run is known.
     On(String),
-    /// It is done.
+    /// The task is done.
     Done,
 }
 
-/// A task that is not as it was at first.
+/// The record of a task that is no longer in its initial state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskRecord {
     /// The repetition.
@@ -64,38 +64,38 @@
     pub step: u16,
     /// The task within the step.
     pub index: u32,
-    /// Where it stands.
+    /// The state of the task.
     pub place: Place,
-    /// Its last run's number.
+    /// The number of its last run.
     pub attempt: u32,
-    /// Runs that failed.
+    /// The number of failed runs.
     pub failures: u32,
-    /// Where its next run may resume, empty for the start.
+    /// The checkpoint from which its next run resumes, empty to start from the beginning.
     pub checkpoint: String,
 }
 
-/// How far a job is.
+/// The progress of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// Whether it is settled.
+    /// The phase of the job.
     pub phase: Phase,
-    /// Whether some task has begun.
+    /// Whether at least one task has started.
     pub begun: bool,
-    /// When it was settled, in milliseconds since 1970; 0 while it is open.
+    /// When the job was settled, in milliseconds since 1970; 0 while it is open.
     pub settled_ms: u64,
-    /// Repetitions whose tasks are all done.
+    /// The repetitions whose tasks are all done.
     pub done_times: Vec<u32>,
-    /// Tasks that are not as they were at first, of repetitions that are not done; once the job is settled, those that
-    /// may still run.
+    /// The tasks of unfinished repetitions that are no longer in their initial state. Once the job is settled, only tasks
+    /// that may still run.
     pub tasks: Vec<TaskRecord>,
-    /// What speaks against tasks under which VMs were lost, also once the job is settled. In a record it follows
-    /// all else, so that programs from before it read the rest.
+    /// The crash histories of tasks whose VMs were lost, also once the job is settled. They come last in an encoded record,
+    /// so that older versions can read the rest.
     #[serde(skip)]
     pub harms: Vec<HarmRecord>,
 }
 
 impl Progress {
-    /// Returns the state to show; a cancel counts from its acceptance.
+    /// Returns the state to report to callers. A cancelled job counts as cancelled as soon as the cancel is accepted.
     pub const fn state(&self, cancelled: bool) -> JobState {
         match self.phase {
             Phase::Completed => JobState::Completed,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Returns the VMs on which tasks were ordered and may run.
+    /// Returns the VMs on which tasks were ordered to run and may still run.
     pub fn placed_on(&self) -> impl Iterator<Item = VmLife> {
         self.tasks.iter().filter_map(|t| match &t.place {
             Place::On(vm) => Some(VmLife::from(vm.as_str())),
--- a/crates/schedule/src/vm.rs
+++ b/crates/schedule/src/vm.rs
@@ -1,4 +1,4 @@
-//! What is known of a VM and what it says of the tasks on it.
+//! The description of a VM and its report on the tasks that it runs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,24 +8,24 @@
 use crate::Ms;
 use crate::id::{RunId, VmLife};
 
-/// Processor, memory and accelerators: what a VM has, or what a task takes.
+/// An amount of processor, memory and accelerators, as a VM has it or a task requires it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Room {
-    /// Thousandths of a core.
+    /// Processor in thousandths of a core.
     pub cpu: u32,
-    /// Megabytes of memory.
+    /// Memory in megabytes.
     pub mem_mb: u32,
-    /// Accelerators.
+    /// The number of accelerators.
     pub gpu: u32,
 }
 
 impl Room {
-    /// Returns whether `other` fits in.
+    /// Returns whether `other` fits into this amount.
     pub const fn holds(self, other: Self) -> bool {
         self.cpu >= other.cpu && self.mem_mb >= other.mem_mb && self.gpu >= other.gpu
     }
 
-    /// Returns the sum.
+    /// Returns the sum of both amounts.
     #[must_use]
     pub const fn plus(self, other: Self) -> Self {
         Self {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Returns so many times as much.
+    /// Returns this amount multiplied by `count`.
     #[must_use]
     pub const fn times(self, count: u32) -> Self {
         Self {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns the greater of each kind.
+    /// Returns the greater of both amounts for each kind.
     #[must_use]
     pub fn greater_of_each(self, other: Self) -> Self {
         Self {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Returns what is left, never below zero.
+    /// Returns what is left after subtracting `other`, never below zero.
     #[must_use]
     pub const fn minus(self, other: Self) -> Self {
         Self {
@@ -66,16 +66,16 @@
     }
 }
 
-/// One incarnation of a VM as the platform lists it.
+/// One VM incarnation as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VmFacts {
     /// The incarnation.
     pub id: VmLife,
-    /// The VM's lasting name, the same over all of its incarnations; empty if it is not told.
+    /// The VM's name, the same over all of its incarnations; empty if the platform does not list it.
     pub name: Arc<str>,
     /// The pool that it belongs to.
     pub pool: Arc<str>,
-    /// Where it takes orders.
+    /// The address at which it accepts orders.
     pub addr: SocketAddr,
     /// Its data hall.
     pub hall: Arc<str>,
@@ -83,78 +83,78 @@
     pub rack: Arc<str>,
     /// All of its labels, the rack included.
     pub labels: Vec<Arc<str>>,
-    /// All that it has.
+    /// Its total capacity.
     pub room: Room,
-    /// It is about to leave and takes nothing new.
+    /// Whether it is about to leave and accepts no new tasks.
     pub draining: bool,
-    /// Its newest entry makes no sense, so that this is what an older one told: it takes nothing new, and what runs
-    /// there goes on.
+    /// Whether its newest entry is invalid, so that these facts come from an older one. The VM gets no new tasks, and its
+    /// running tasks continue.
     pub unreadable: bool,
-    /// It is slow as yet, from its start or as its data hall got no work for a while.
+    /// Whether it is still slow after its start or because its data hall had no work for a while.
     pub cold: bool,
 }
 
-/// A task that a VM says it is running.
+/// A run that a VM reports as running.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunRow {
     /// The run.
     pub run: RunId,
     /// Its newest checkpoint, empty for none.
     pub checkpoint: String,
-    /// How much of its work is done, in percent; a lasting task has only its start to do, and is at
-    /// work at 100. At which share of its full speed it works is not told.
+    /// The completed share of its work, in percent. For a lasting task only the start counts: it is serving at 100. The
+    /// share of its full speed at which a task works is not reported.
     pub percent: u32,
-    /// For a serving task the tail of its answer times in milliseconds, else the processor in
-    /// use; none if not told.
+    /// The tail response time in milliseconds for a serving task, the processor in use for other tasks, or `None` if the VM
+    /// does not report it.
     pub figure: Option<u64>,
 }
 
-/// Why nothing runs on a VM incarnation any more.
+/// Why a VM incarnation no longer runs any tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VmLoss {
-    /// Another incarnation of the VM is there.
+    /// Another incarnation of the VM has replaced it.
     Replaced,
-    /// It was silent until its lease was over: it may be dead or only out of reach.
+    /// It was unresponsive until its lease expired. It may have crashed or only be unreachable.
     LeaseOver,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndKind {
-    /// It did all its work.
+    /// It completed its work.
     Done,
-    /// It failed, by its own fault or the VM's.
+    /// It failed because of the task or of the VM.
     Failed,
-    /// It was stopped on our order.
+    /// It was stopped by our order.
     Stopped,
-    /// The lease was not renewed in time.
+    /// Its lease was not renewed in time.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// The other members of its gang did not come.
+    /// The other members of its gang did not start.
     Alone,
 }
 
-/// An end that a VM lists until it is acknowledged.
+/// The end of a run, which the VM reports until it is acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunEnd {
-    /// Its number, rising within the incarnation.
+    /// Its sequence number, increasing within the incarnation.
     pub sequence: u64,
     /// The run.
     pub run: RunId,
-    /// How it ended.
+    /// How the run ended.
     pub kind: EndKind,
-    /// The checkpoint that it left, empty for none.
+    /// The checkpoint that the run left, empty for none.
     pub checkpoint: String,
 }
 
-/// A VM's answer on all that runs and has ended there.
+/// A VM's report on all runs that are running or have ended there.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VmReport {
-    /// When we asked.
+    /// When the report was requested.
     pub asked_at: Ms,
-    /// What runs.
+    /// The runs in progress.
     pub running: Vec<RunRow>,
-    /// What has ended and is not acknowledged.
+    /// The ended runs that are not acknowledged.
     pub ended: Vec<RunEnd>,
 }
