--- a/crates/schedule/src/halls.rs
+++ b/crates/schedule/src/halls.rs
@@ -1,18 +1,18 @@
-//! Data halls that the operator evacuates: nothing new is started there until they are taken back.
+//! Data halls that the operator evacuates: no new task starts there until the operator withdraws the request.
 //!
-//! The load pattern: a hall with up to a third of the VMs takes no new work from one moment to the next, in the middle of
-//! a turn of load or beside a change of owners, and is back seconds later. What runs there ends as usual.
+//! Load pattern: a hall with up to a third of the VMs suddenly accepts no new work, possibly while load shifts between pools
+//! or owners change, and returns seconds later. Tasks that run there end as usual.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use crate::Ms;
 
-/// How long before the time allowed for an evacuation to take effect the last start may go out by older knowledge, in
-/// milliseconds: a start takes as long to arrive at most.
-const START_ARRIVES_MS: Ms = 1_000;
+/// The longest time that a start takes to arrive, in milliseconds. Starts based on older requests stop this long before an
+/// evacuation must take effect.
+const START_DELIVERY_MS: Ms = 1_000;
 
-/// A hall that takes no new work.
+/// The evacuation of a hall, which accepts no new work.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Evacuation {
     /// The hall.
@@ -21,29 +21,29 @@
     pub since: u64,
 }
 
-/// The halls that are evacuated now.
+/// The halls that are currently evacuated.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Halls {
     evacuated: BTreeMap<Arc<str>, u64>,
 }
 
 impl Halls {
-    /// Takes in the operator's request for a hall.
+    /// Records the operator's request to evacuate a hall.
     pub fn evacuate(&mut self, evacuation: Evacuation) {
         self.evacuated.insert(evacuation.hall, evacuation.since);
     }
 
-    /// Takes in that the request for a hall is withdrawn, and returns whether there was one.
+    /// Withdraws the request for a hall, and returns whether there was one.
     pub fn take_back(&mut self, hall: &str) -> bool {
         self.evacuated.remove(hall).is_some()
     }
 
-    /// Returns whether new work may be started in a hall.
+    /// Returns whether new work may start in a hall.
     pub fn takes_work(&self, hall: &str) -> bool {
         !self.evacuated.contains_key(hall)
     }
 
-    /// Returns the halls that take no new work.
+    /// Returns the current evacuations.
     pub fn evacuated(&self) -> impl Iterator<Item = Evacuation> {
         let evacuation =
             |(hall, &since): (&Arc<str>, &u64)| Evacuation { hall: hall.clone(), since };
@@ -51,10 +51,10 @@
     }
 }
 
-/// Returns whether what is known of evacuations is new enough to start tasks by it. `read_at` is when the newest read was
-/// sent that reached the end of the operator's requests, `within` the time allowed until an evacuation takes effect; none
-/// where there are no evacuations.
+/// Returns whether the known evacuations are recent enough to start tasks. `read_at` is when the newest read that reached the
+/// end of the operator's requests was sent. `within` is the time allowed until an evacuation takes effect, or `None` on sites
+/// without evacuations.
 pub fn is_known(read_at: Option<Ms>, within: Option<Ms>, now: Ms) -> bool {
     let Some(within) = within else { return true };
-    read_at.is_some_and(|at| now < at + within.saturating_sub(START_ARRIVES_MS))
+    read_at.is_some_and(|at| now < at + within.saturating_sub(START_DELIVERY_MS))
 }
--- a/crates/schedule/src/ownership/vacancy.rs
+++ b/crates/schedule/src/ownership/vacancy.rs
@@ -1,5 +1,5 @@
-//! Which pools a node claims, and when: those that nobody had, that were given up, whose owner fell silent, or whose owner on this
-//! node has ended by itself.
+//! Which pools a node claims, and when: pools that never had an owner, that were released, whose owner is unresponsive or
+//! restarted, or whose owner on this node has ended by itself.
 
 use std::sync::Arc;
 
@@ -8,28 +8,29 @@
 use super::{ALIVE_MS, Member, Owned, Ownership, SILENCE_MS};
 use crate::Ms;
 
-/// How long the second-best node waits before it takes a pool that the best has not, and each
-/// further one as much longer.
+/// How long the second-best node waits for the best one to claim a pool, in milliseconds. Each further node waits this much
+/// longer.
 const RANK_STEP_MS: Ms = 400;
-/// As how many pools more it counts that a node computes less than half as fast as the fastest: an
-/// owner of 100 VMs and more keeps an eighth of a core busy, which is all that some nodes have. With
-/// 350 VMs the first start came 55 ms after handing in at p50, in place of 788 ms.
-const SLOW_COUNTS_AS: usize = 3;
-/// How long a new node listens before it takes pools that nobody had, and as much longer as the heartbeats of hundreds that start with it take: two
-/// readings, of which the first may come before those have sent theirs.
-const LISTEN_MS: Ms = 1_000;
-/// So many first heartbeats a partition takes well within that time, and for each further one it needs as long as for an append, in milliseconds.
-const HEARD_WITHIN: usize = 100;
+/// The number of pools that is added to those of a node with less than half the speed of the fastest one. An owner of 100
+/// VMs or more uses an eighth of a core, which is all that some nodes have. With 350 VMs this lowers the median time from
+/// submission to the first start from 788 ms to 55 ms.
+const SLOW_NODE_PENALTY: usize = 3;
+/// How long a new node reads heartbeats before it claims pools that never had an owner, in milliseconds: two reads, as the
+/// first may come before the nodes that start with it have sent their heartbeats. With hundreds of nodes the wait is longer.
+const INITIAL_WAIT_MS: Ms = 1_000;
+/// The number of first heartbeats that a partition accepts well within that time.
+const HEARTBEATS_WITHIN_WAIT: usize = 100;
+/// The time that a partition needs for each further heartbeat, which is that of one append, in milliseconds.
 const APPEND_MS: Ms = 4;
-/// How long a node waits before it claims a pool again whose owner has ended by itself, in milliseconds; it doubles with
-/// each end in a row.
-const ENDED_PAUSE_MS: Ms = 200;
-/// How often that time doubles at most, up to 3.2 s: others would take the pool from a silent node after 2.7 s.
-const MOST_ENDED_DOUBLINGS: u32 = 4;
-/// An owner that has worked for so long does not end in a row with the one before, in milliseconds.
-const LASTED_MS: Ms = 10_000;
+/// The delay before a node reclaims a pool whose owner on this node has ended by itself, in milliseconds. It doubles with
+/// each consecutive end.
+const RECLAIM_DELAY_MS: Ms = 200;
+/// How often that delay doubles at most, up to 3.2 s. Other nodes claim the pool of an unresponsive node after 2.7 s.
+const MAX_RECLAIM_DOUBLINGS: u32 = 4;
+/// The time after which an owner counts as stable, so that its end does not continue a row of ends, in milliseconds.
+const STABLE_AFTER_MS: Ms = 10_000;
 
-/// An owner of this node that ended by itself, though nobody took its pool.
+/// An owner on this node that ended by itself though no other node claimed its pool.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Ended {
     token: u64,
@@ -38,28 +39,28 @@
 }
 
 impl Ended {
-    fn claim_again_at(self) -> Ms {
-        self.at + (ENDED_PAUSE_MS << self.in_a_row.min(MOST_ENDED_DOUBLINGS))
+    fn reclaim_at(self) -> Ms {
+        self.at + (RECLAIM_DELAY_MS << self.in_a_row.min(MAX_RECLAIM_DOUBLINGS))
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Vacancy {
-    Never,
+    NeverOwned,
     Released,
-    MineBefore,
+    PreviousIncarnation,
     Ended(Ended),
     Restarted,
-    Silent,
+    Unresponsive,
 }
 
 impl Ownership {
-    /// Takes in that this node's owner of a pool has ended by itself. Its token is spent: what the next one writes and
-    /// orders could not be told from what is still on its way of this one.
+    /// Records that this node's owner of a pool has ended by itself. Its token must not be used again: the records and orders
+    /// of the next owner would be indistinguishable from late ones of this owner.
     pub fn owner_ended(&mut self, pool: &Arc<str>, token: u64, now: Ms) {
         let Some(owned) = self.claims.get(pool).filter(|o| o.token == token) else { return };
-        let lasted = now.saturating_sub(owned.seen_at) >= LASTED_MS;
-        let before = self.ended.get(pool).filter(|_| !lasted);
+        let was_stable = now.saturating_sub(owned.seen_at) >= STABLE_AFTER_MS;
+        let before = self.ended.get(pool).filter(|_| !was_stable);
         let in_a_row = before.map_or(0, |ended| ended.in_a_row + 1);
         self.ended.insert(pool.clone(), Ended { token, at: now, in_a_row });
     }
@@ -73,7 +74,7 @@
         self.ended.get(pool).is_some_and(|ended| ended.token == token)
     }
 
-    /// Returns which of some pools this node is to claim now.
+    /// Returns the pools among `pools` that this node claims now.
     pub fn to_claim<'a>(
         &mut self,
         pools: impl Iterator<Item = &'a Arc<str>>,
@@ -90,13 +91,18 @@
             };
             let since = *self.vacant_since.entry(pool.clone()).or_insert(now);
             let due = match vacancy {
-                // The node that had it has its VMs' connections and state at hand soonest.
-                Vacancy::MineBefore => 0,
-                Vacancy::Ended(ended) => ended.claim_again_at(),
-                Vacancy::Restarted => since + 2 * RANK_STEP_MS + self.rank(pool, now, &wanted),
-                Vacancy::Released | Vacancy::Silent => since + self.rank(pool, now, &wanted),
-                Vacancy::Never => {
-                    since.max(self.started_at + self.listen_ms()) + self.rank(pool, now, &wanted)
+                // The node that owned the pool before regains its VMs' connections and state the soonest.
+                Vacancy::PreviousIncarnation => 0,
+                Vacancy::Ended(ended) => ended.reclaim_at(),
+                Vacancy::Restarted => {
+                    since + 2 * RANK_STEP_MS + self.claim_delay(pool, now, &wanted)
+                }
+                Vacancy::Released | Vacancy::Unresponsive => {
+                    since + self.claim_delay(pool, now, &wanted)
+                }
+                Vacancy::NeverOwned => {
+                    since.max(self.started_at + self.initial_wait_ms())
+                        + self.claim_delay(pool, now, &wanted)
                 }
             };
             if now >= due {
@@ -108,7 +114,7 @@
 
     fn vacancy(&self, pool: &str, now: Ms) -> Option<Vacancy> {
         let Some(Owned { claim, token, seen_at, .. }) = self.claims.get(pool) else {
-            return Some(Vacancy::Never);
+            return Some(Vacancy::NeverOwned);
         };
         if claim.owner == self.me {
             let ended = self.ended.get(pool).filter(|ended| ended.token == *token);
@@ -121,31 +127,32 @@
             return Some(Vacancy::Released);
         }
         if claim.owner.name == self.me.name {
-            return Some(Vacancy::MineBefore);
+            return Some(Vacancy::PreviousIncarnation);
         }
-        let heard_at = match self.members.get(&claim.owner.name) {
+        let last_contact = match self.members.get(&claim.owner.name) {
             Some(m) if m.life != claim.owner.life && m.heard_at > *seen_at => {
                 return Some(Vacancy::Restarted);
             }
             Some(m) => m.heard_at.max(*seen_at),
             None => *seen_at,
         };
-        (now.saturating_sub(heard_at) >= SILENCE_MS).then_some(Vacancy::Silent)
+        (now.saturating_sub(last_contact) >= SILENCE_MS).then_some(Vacancy::Unresponsive)
     }
 
-    /// Returns how long a new node listens, in milliseconds, by the nodes that it knows so far.
-    fn listen_ms(&self) -> Ms {
-        let more = self.members.len().saturating_sub(HEARD_WITHIN);
-        LISTEN_MS + APPEND_MS * Ms::try_from(more).unwrap_or(Ms::MAX / APPEND_MS - LISTEN_MS)
+    /// Returns the initial wait of a new node, in milliseconds, by the number of members known so far.
+    fn initial_wait_ms(&self) -> Ms {
+        let more = self.members.len().saturating_sub(HEARTBEATS_WITHIN_WAIT);
+        INITIAL_WAIT_MS
+            + APPEND_MS * Ms::try_from(more).unwrap_or(Ms::MAX / APPEND_MS - INITIAL_WAIT_MS)
     }
 
-    /// Returns below which speed a node counts as slow: half of the fastest one's.
+    /// Returns the speed below which a node counts as slow: half of that of the fastest member.
     pub(super) fn slow_below(&self) -> u32 {
         self.members.values().map(|m| m.speed).max().unwrap_or(0) / 2
     }
 
-    /// Returns how long this node leaves a vacant pool to nodes that own less.
-    fn rank(&self, pool: &str, now: Ms, wanted: &[Arc<str>]) -> Ms {
+    /// Returns how long this node leaves a vacant pool to nodes that own fewer pools.
+    fn claim_delay(&self, pool: &str, now: Ms, wanted: &[Arc<str>]) -> Ms {
         let owned = |name: &str| {
             self.claims.values().filter(|o| !o.claim.released && o.claim.owner.name == name).count()
         };
@@ -153,15 +160,15 @@
         let slow_below = self.slow_below();
         let slow = |name: &str| {
             let speed = self.members.get(name).map_or(0, |m| m.speed);
-            usize::from(speed > 0 && speed < slow_below) * SLOW_COUNTS_AS
+            usize::from(speed > 0 && speed < slow_below) * SLOW_NODE_PENALTY
         };
         let me = &self.me.name;
         let mine = (owned(me) + wanted.len() + slow(me), weight(me));
-        let lately = |m: &&Member| !m.leaving && now.saturating_sub(m.heard_at) < ALIVE_MS;
+        let is_alive = |m: &&Member| !m.leaving && now.saturating_sub(m.heard_at) < ALIVE_MS;
         let before = self
             .members
             .iter()
-            .filter(|(name, m)| **name != self.me.name && lately(m))
+            .filter(|(name, m)| **name != self.me.name && is_alive(m))
             .filter(|(name, _)| (owned(name) + slow(name), weight(name)) < mine)
             .count();
         RANK_STEP_MS * u64::try_from(before).unwrap_or(u64::MAX)
--- a/crates/schedule/src/spec.rs
+++ b/crates/schedule/src/spec.rs
@@ -1,4 +1,4 @@
-//! What a caller submits: a job of steps, each of some tasks.
+//! The specification of a job that a caller submits: its steps and their tasks.
 
 use std::fmt;
 
@@ -6,140 +6,140 @@
 
 use crate::vm::Room;
 
-/// Most steps of a job.
+/// The maximum number of steps of a job.
 pub const MAX_STEPS: usize = 1_000;
-/// Most tasks of a step.
+/// The maximum number of tasks of a step.
 pub const MAX_STEP_TASKS: u32 = 10_000;
-/// Longest text handed to the tasks, in bytes.
+/// The maximum length of the text passed to the tasks, in bytes.
 pub const MAX_TEXT: usize = 4_000;
 
-/// A job as it was accepted.
+/// The specification of an accepted job.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The text handed to each task.
+    /// The text passed to each task.
     pub text: String,
     /// The steps.
     pub steps: Vec<Step>,
-    /// Repetitions by the wall clock, if any.
+    /// The repetitions by the wall clock, if any.
     pub repeats: Option<Repeats>,
-    /// The queue that it was submitted to.
+    /// The queue to which the job was submitted.
     pub queue: String,
-    /// What its queue asked for when it was accepted.
+    /// The objective of its queue when the job was accepted.
     pub objective: Objective,
-    /// Whose advice its queue asked for when it was accepted, if anyone's.
+    /// The advice policy of its queue when the job was accepted, if any.
     pub advice: Option<AdvicePolicy>,
-    /// When it was accepted, in milliseconds since 1970.
+    /// When the job was accepted, in milliseconds since 1970.
     pub accepted_ms: u64,
-    /// The workspace whose key its caller showed; empty for a job of an open queue. In a record it follows all else, so
-    /// that programs from before it read the rest.
+    /// The workspace whose key the caller presented; empty for a job of an open queue. It comes last in an encoded record,
+    /// so that older versions can read the rest.
     #[serde(skip)]
     pub workspace: String,
-    /// The version of the configuration by which its caller was let in.
+    /// The version of the configuration under which the caller was admitted.
     #[serde(skip)]
     pub admitted_by: u64,
 }
 
-/// How a queue's policy is asked which VMs may run a step.
+/// The timing of the external advice service that decides which VMs may run a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdvicePolicy {
-    /// How long an answer takes at least, in milliseconds.
+    /// The minimum time for an answer, in milliseconds.
     pub decide_ms: u32,
-    /// How much longer for each VM named, in milliseconds.
+    /// The additional time for each VM named in the request, in milliseconds.
     pub each_ms: u32,
-    /// How long an answer is good, in milliseconds.
+    /// How long an answer is valid, in milliseconds.
     pub valid_ms: u32,
 }
 
 impl AdvicePolicy {
-    /// Returns how long an answer about some VMs takes, in milliseconds.
+    /// Returns the time that an answer about `vms` VMs takes, in milliseconds.
     pub fn decides_in_ms(&self, vms: usize) -> u64 {
         let vms = u64::try_from(vms).unwrap_or(u64::MAX);
         u64::from(self.decide_ms).saturating_add(u64::from(self.each_ms).saturating_mul(vms))
     }
 }
 
-/// Repetitions of all steps.
+/// The schedule on which all steps of a job repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Repeats {
-    /// How many times the steps run.
+    /// The number of repetitions.
     pub count: u32,
-    /// When the first is due, in milliseconds since 1970.
+    /// The due time of the first repetition, in milliseconds since 1970.
     pub start_at_ms: u64,
-    /// Milliseconds between due times.
+    /// The time between due times, in milliseconds.
     pub interval_ms: u64,
 }
 
-/// What a queue asks for its jobs.
+/// The service objective of a queue's jobs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Objective {
-    /// 0 goes first.
+    /// The priority; jobs with 0 go first.
     pub priority: u32,
-    /// Runs of one task that may fail before the job is given up.
+    /// The number of failed runs of one task at which the job fails.
     pub max_attempts: u32,
-    /// The longest chain of work times this, plus `target_ms`, is the time in which to finish.
+    /// The job is to finish within the longest chain of estimated work times `stretch`, plus `target_ms`.
     pub stretch: f32,
-    /// See `stretch`.
+    /// The fixed part of the time to finish, in milliseconds; see `stretch`.
     pub target_ms: u32,
 }
 
-/// One step: tasks that are alike.
+/// One step of a job: a number of identical tasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
-    /// Number of tasks.
+    /// The number of tasks.
     pub count: u32,
-    /// What one task takes of a VM.
+    /// The capacity that one task requires.
     pub demand: Room,
-    /// The caller's guess of one task's time, in milliseconds.
+    /// The caller's estimate of the run time of one task, in milliseconds.
     pub estimated_ms: u32,
-    /// Earlier steps whose tasks must all be done first.
+    /// The earlier steps whose tasks must all be done before this step starts.
     pub depends_on: Vec<u16>,
-    /// The tasks save their progress.
+    /// Whether the tasks save checkpoints.
     pub checkpointing: bool,
-    /// The tasks work only together.
+    /// Whether the tasks form a gang, which runs only as a whole.
     pub gang: bool,
-    /// The tasks are slow when spread over racks.
+    /// Whether the tasks are slow when spread over several racks.
     pub rack_local: bool,
-    /// Labels that a VM must have.
+    /// The labels that a VM must have.
     pub constraints: Vec<String>,
-    /// The rack that holds the data; elsewhere a task is slow.
+    /// The rack that holds the data. Tasks are slow on other racks.
     pub affinity: Option<String>,
-    /// Most tasks of the step on one VM; 0 is no bound.
+    /// The maximum number of tasks of the step on one VM; 0 means no limit.
     pub anti_affinity: u32,
-    /// Copies may run side by side.
+    /// Whether speculative copies of a task may run at the same time.
     pub speculative: bool,
-    /// The tasks run until the job is cancelled and are started again however they end.
+    /// Whether the tasks run until the job is cancelled and are restarted whenever they end.
     pub lasting: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// The image that the tasks run. Tasks of one image behave alike.
     pub image: String,
-    /// Tail of answer times that serving tasks are to keep, in milliseconds; 0 is none.
+    /// The tail response time that serving tasks must keep, in milliseconds; 0 means no target.
     pub tail_target_ms: u32,
-    /// The tasks use what others leave: their processor demand takes no room.
+    /// Whether the tasks use only leftover processor time, so that their processor demand reserves no capacity.
     pub fills: bool,
-    /// Tasks of a lasting step that may be away at once through our doing; 0 is no bound.
+    /// The maximum number of tasks of a lasting step that the scheduler may take down at once; 0 means no limit.
     pub may_miss: u32,
 }
 
 impl Step {
-    /// Returns the room that one task takes from a VM.
+    /// Returns the capacity that one task reserves on a VM.
     pub const fn room(&self) -> Room {
         if self.fills { Room { cpu: 0, ..self.demand } } else { self.demand }
     }
 }
 
-/// Why a job is not taken.
+/// The error for an invalid job specification.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SpecError {
-    /// No steps.
+    /// The job has no steps.
     NoSteps,
-    /// Too many steps.
+    /// The job has too many steps.
     TooManySteps(usize),
-    /// A step with no tasks, or too many.
+    /// A step has no tasks or too many.
     Count(usize, u32),
-    /// A step that waits for itself or a later one.
+    /// A step depends on itself or a later step.
     Dependency(usize, u16),
-    /// A text that is too long.
+    /// The text is too long.
     Text(usize),
-    /// Repetitions without a time between them.
+    /// The interval between repetitions is 0.
     Interval,
 }
 
@@ -163,7 +163,7 @@
 impl std::error::Error for SpecError {}
 
 impl JobSpec {
-    /// Checks bounds and the order of the steps.
+    /// Checks the limits and the order of the steps.
     pub fn check(&self) -> Result<(), SpecError> {
         if self.steps.is_empty() {
             return Err(SpecError::NoSteps);
@@ -188,7 +188,7 @@
         Ok(())
     }
 
-    /// Returns how many times the steps run.
+    /// Returns the number of times that the steps run.
     pub fn times(&self) -> u32 {
         self.repeats.map_or(1, |r| r.count.max(1))
     }
@@ -200,13 +200,12 @@
         })
     }
 
-    /// Returns whether tasks of the job run until it is cancelled.
+    /// Returns whether some tasks of the job run until it is cancelled.
     pub fn is_lasting(&self) -> bool {
         self.steps.iter().any(|s| s.lasting)
     }
 
-    /// Returns the longest chain of estimated work from each step to the job's end, in
-    /// milliseconds.
+    /// Returns, for each step, the longest chain of estimated work from that step to the end of the job, in milliseconds.
     pub fn chains(&self) -> Vec<u64> {
         let own = |i: usize| u64::from(self.steps[i].estimated_ms);
         let mut chains: Vec<u64> = (0..self.steps.len()).map(own).collect();
