--- a/crates/schedule/src/catalog.rs
+++ b/crates/schedule/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: queues, pools and limits on requests.
+//! The current configuration: queues, pools, workspaces and limits on requests.
 
 use std::sync::Arc;
 
@@ -8,63 +8,63 @@
 /// A queue that callers submit jobs to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Queue {
-    /// Its name.
+    /// The name of the queue.
     pub name: Arc<str>,
-    /// The host that callers name.
+    /// The host name in callers' requests.
     pub host: String,
-    /// What paths of its jobs begin with.
+    /// The prefix of the request paths of its jobs.
     pub path_prefix: String,
     /// The pool that runs its jobs.
     pub pool: Arc<str>,
-    /// What its jobs ask for.
+    /// The service objective of its jobs.
     pub objective: Objective,
-    /// Who is asked which VMs may run a step, if anyone.
+    /// The advice policy that decides which VMs may run a step, if any.
     pub advice: Option<AdvicePolicy>,
-    /// Anyone may call it, without a key; its jobs are of no workspace.
+    /// Whether it accepts callers without a key. Its jobs then belong to no workspace.
     pub open: bool,
 }
 
 /// A pool of VMs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolConfig {
-    /// Its name.
+    /// The name of the pool.
     pub name: Arc<str>,
-    /// Its VMs reject what does not fit; otherwise only we keep them from being overfilled.
+    /// Whether its VMs reject tasks that do not fit. Otherwise only the scheduler keeps them from being overcommitted.
     pub guards_room: bool,
-    /// Its VMs are switched off and cost nothing.
+    /// Whether its VMs are switched off and cost nothing.
     pub switched_off: bool,
 }
 
 /// Limits on callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest headers, in bytes.
+    /// The maximum size of the headers, in bytes.
     pub header_bytes: usize,
-    /// Largest body, in bytes.
+    /// The maximum size of a body, in bytes.
     pub body_bytes: usize,
-    /// How long headers, or the next part of a body, may take, in milliseconds.
+    /// The timeout for the headers and for each further part of a body, in milliseconds.
     pub header_timeout_ms: u64,
-    /// How long a connection may stand idle, in milliseconds.
+    /// The idle timeout of a connection, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
 /// One version of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Catalog {
-    /// Its version, rising in uneven steps.
+    /// The version number, which increases by varying steps.
     pub version: u64,
-    /// The queues, longest prefix first.
+    /// The queues, those with the longest prefix first.
     queues: Vec<Queue>,
     /// The pools.
     pub pools: Vec<PoolConfig>,
-    /// Limits on requests.
+    /// The limits on requests.
     pub limits: Limits,
-    /// The workspaces whose callers use queues that are not open.
+    /// The workspaces, whose callers may use queues that are not open.
     pub workspaces: Workspaces,
 }
 
 impl Catalog {
-    /// Makes a version of the configuration.
+    /// Creates a version of the configuration without workspaces.
     pub fn new(
         version: u64,
         mut queues: Vec<Queue>,
@@ -82,7 +82,7 @@
         self
     }
 
-    /// Returns the queue that a request is for, with the rest of its path.
+    /// Returns the queue that a request addresses, with the rest of its path.
     pub fn route<'a>(&self, host: &str, path: &'a str) -> Option<(&Queue, &'a str)> {
         self.queues.iter().filter(|q| q.host.eq_ignore_ascii_case(host)).find_map(|q| {
             let rest = path.strip_prefix(q.path_prefix.as_str())?;
@@ -95,7 +95,7 @@
         &self.queues
     }
 
-    /// Returns the queue of this name.
+    /// Returns the queue with a name.
     pub fn queue(&self, name: &str) -> Option<&Queue> {
         self.queues.iter().find(|q| &*q.name == name)
     }
--- a/crates/schedule/src/fleet/facts.rs
+++ b/crates/schedule/src/fleet/facts.rs
@@ -1,4 +1,4 @@
-//! What the owner of the fleet takes in, and what it orders.
+//! The inputs of the fleet's owner and the orders that it gives.
 
 use std::sync::Arc;
 
@@ -7,106 +7,105 @@
 use super::Purpose;
 use crate::Ms;
 
-/// What a VM is doing, by the machine service.
+/// The state of a VM by the machine service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VmState {
-    /// It is up.
+    /// The VM is up.
     Up,
-    /// It is on its way to another pool, or being maintained.
+    /// The VM is moving to another pool or in maintenance.
     Away,
-    /// It is down.
+    /// The VM is down.
     Down,
 }
 
-/// A VM as the machine service tells it.
+/// A VM as the machine service lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetVm {
-    /// Its lasting name.
+    /// Its name, which is the same over all of its incarnations.
     pub name: Arc<str>,
     /// Its pool.
     pub pool: Arc<str>,
-    /// What it is doing.
+    /// Its state.
     pub state: VmState,
     /// Its data hall.
     pub hall: Arc<str>,
     /// Its rack.
     pub rack: Arc<str>,
-    /// Its life as text, as far as it is known, if it is up.
+    /// Its incarnation as text, if the VM is up and the incarnation is known.
     pub incarnation: Option<Arc<str>>,
 }
 
-/// What a pool's owner reports to the fleet's.
+/// The report of a pool's owner to the fleet's owner.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PoolReport {
-    /// Processor that waiting tasks ask for, in thousandths of a core.
+    /// The processor that waiting tasks require, in thousandths of a core.
     pub waiting_cpu: u64,
-    /// Processor in use, in thousandths of a core.
+    /// The processor in use, in thousandths of a core.
     pub used_cpu: u64,
-    /// Processor that jobs which can be in time will use when VMs that are ordered now have come,
-    /// in thousandths of a core; see [`crate::pool::Demand`].
+    /// The processor that jobs which can finish in time will use once VMs that are ordered now have arrived, in thousandths of
+    /// a core; see [`crate::pool::Demand`].
     #[serde(default)]
     pub soon_cpu: u64,
-    /// The same of jobs that will be late.
+    /// The same for jobs that will be late.
     #[serde(default)]
     pub late_cpu: u64,
-    /// Processor of VMs that take work, in thousandths of a core.
+    /// The processor of VMs that accept work, in thousandths of a core.
     pub cpu: u64,
-    /// VMs that take work.
+    /// The number of VMs that accept work.
     pub vms: u32,
-    /// VMs that are to be emptied and have nothing running: lasting name and incarnation.
+    /// The names and incarnations of VMs that are being emptied and have no running tasks.
     pub emptied: Vec<(String, String)>,
-    /// VMs that lasting tasks need, which may not share one.
+    /// The number of VMs required by lasting tasks that may not share a VM.
     pub spread: u32,
-    /// VMs on which nothing runs.
+    /// The names of VMs without running tasks.
     pub idle: Vec<String>,
-    /// VMs that run only tasks that end by themselves, those with the least work first.
+    /// The names of VMs that run only tasks that end by themselves, those with the least work first.
     pub light: Vec<String>,
 }
 
-/// A wave of maintenance, as the operator asked for it.
+/// The operator's request for a maintenance wave.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WaveRequest {
-    /// Its number.
+    /// The number of the wave.
     pub wave: u64,
-    /// The VMs, by lasting name.
+    /// The names of the VMs to maintain.
     pub vms: Vec<String>,
-    /// How long it may take, in milliseconds.
+    /// The time within which the wave must finish, in milliseconds.
     pub duration_ms: Ms,
-    /// How many VMs may be down for it at once.
+    /// The maximum number of VMs that may be down for the wave at once.
     pub cap: usize,
-    /// When it was asked for, by this node's steady clock; none if it stood in the store when the
-    /// node started.
+    /// When it was requested by this node's monotonic clock, or `None` if the request was in the store before the node
+    /// started.
     pub asked_at: Option<Ms>,
 }
 
 /// An order to the machine service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetOrder {
-    /// The VM's lasting name.
+    /// The VM's name.
     pub vm: String,
-    /// What for.
+    /// The purpose of the order.
     pub purpose: Purpose,
 }
 
-/// What the machine service made of an order.
+/// The outcome of an order to the machine service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// Done, now or before.
+    /// The order is carried out, now or before.
     Done,
-    /// Surely not done.
+    /// The order is surely not carried out.
     NotDone,
-    /// Maybe done, or done later.
+    /// The order may be carried out now or later.
     Unknown,
-    /// It can never be done: no such VM, or not part of that wave.
+    /// The order can never be carried out, as the VM does not exist or is not part of the wave.
     Impossible,
 }
 
-/// The distance that orders about one VM from different nodes are to keep.
+/// The minimum time between orders about one VM from different nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HoldOff {
-    /// Until when a new owner gives no orders about VMs that its predecessor may just have given one
-    /// about, by its record.
+    /// Until when a new owner gives no orders about VMs for which its predecessor may just have given one, by its record.
     pub until: Ms,
-    /// For how long after an order a VM stands in the record as one about which an order was given.
+    /// How long after an order a VM is recorded as recently ordered.
     pub gap: Ms,
 }
--- a/crates/schedule/src/fleet/mod.rs
+++ b/crates/schedule/src/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! The fleet: which VMs are maintained or moved to another pool, and when.
 //!
-//! One node owns the fleet and gives all orders to the machine service. It empties a VM by its
-//! record, which the pools' owners read, and orders only once the pool's owner reports it empty.
+//! One node owns the fleet and gives all orders to the machine service. To empty a VM, it lists the VM in its record, which
+//! the pools' owners read. It gives the order only once the pool's owner reports the VM as empty.
 
 mod facts;
 mod moves;
@@ -24,82 +24,80 @@
 use wave::Wave;
 pub use work::WorkList;
 
-/// How long after an order without an answer a VM is left alone: the order may be carried out up
-/// to 12 s later, by the platform's word on late orders.
+/// How long a VM is left alone after an unanswered order, in milliseconds. The platform may carry out an order up to 12 s late.
 const LATE_ORDER_MS: Ms = 13_000;
-/// How long after an answered order a VM that shows no other incarnation counts as one for which
-/// the order had been carried out before: an upkeep or move takes about two seconds.
+/// How long after an answered order a VM may keep its incarnation before the order counts as carried out earlier, in
+/// milliseconds. Maintenance or a move takes about two seconds.
 const DONE_BEFORE_MS: Ms = 6_000;
-/// Moves over which their time is averaged.
-const MOVES_MEASURED: Ms = 16;
-/// The least time between an order and its being finished in the record, in milliseconds: the
-/// shortest move.
-const CARRIED_OUT_MS: Ms = 1_500;
-/// Pause before an order is given again, in milliseconds.
-const AGAIN_MS: Ms = 400;
-/// How often that pause doubles at most while an order is turned down: to 1.6 s, as the machine service may be back
-/// at any moment and waves have a time to keep.
-const MOST_ORDER_DOUBLINGS: u32 = 2;
+/// The number of moves over which the duration of a move is averaged.
+const MOVES_AVERAGED: Ms = 16;
+/// The minimum time between an order and its completion in the record, in milliseconds: that of the shortest move.
+const MIN_ORDER_MS: Ms = 1_500;
+/// The delay before an order is retried, in milliseconds.
+const ORDER_RETRY_MS: Ms = 400;
+/// How often that delay doubles at most while an order is rejected: up to 1.6 s, as the machine service may recover at any
+/// moment and waves have deadlines.
+const MAX_ORDER_DOUBLINGS: u32 = 2;
 
-/// What is known of an order that was given in this term.
+/// The state of an order that this owner gave.
 #[derive(Clone, Copy, Debug, Default)]
 struct Given {
     under_way: bool,
     again_at: Ms,
-    /// How often in a row it was turned down.
+    /// The number of consecutive rejections.
     turned_down: u32,
     done_at: Option<Ms>,
     ordered_at: Option<Ms>,
-    /// The VM was seen away after the order was answered: up again, it is done.
+    /// Whether the VM was seen away after the order was answered. Once the VM is up again, the order is carried out.
     seen_away: bool,
 }
 
-/// The fleet's schedule.
+/// The scheduler of maintenance and moves for the whole fleet.
 #[derive(Debug)]
 pub struct Fleet {
     policy: Policy,
     vms: BTreeMap<Arc<str>, FleetVm>,
-    /// When the list of VMs was asked for; none before the first.
+    /// When the current list of VMs was requested, or `None` before the first list.
     listed_at: Option<Ms>,
     waves: BTreeMap<u64, Wave>,
     record: FleetRecord,
     reports: HashMap<Arc<str>, PoolReport>,
     given: HashMap<String, Given>,
-    /// VMs that may still be hit by an order without an answer, and until when.
+    /// VMs for which an unanswered order may still be carried out, and until when.
     unsettled: HashMap<String, Ms>,
     /// The pool whose VMs are switched off.
     off_pool: Option<Arc<str>>,
     working_pools: HashSet<Arc<str>>,
-    /// Data halls that are evacuated: their VMs are no capacity, and stay where they are.
+    /// The evacuated data halls. Their VMs do not count as capacity and are not moved.
     halls: Arc<Halls>,
     needs: moves::Needs,
-    /// When VMs came to their pools.
+    /// When VMs arrived in their pools.
     moved_at: HashMap<String, Ms>,
-    /// Since when VMs have had nothing running, by their pools' reports.
+    /// The time since which VMs have had no running tasks, by their pools' reports.
     idle_since: HashMap<String, Ms>,
-    /// VMs that are to be emptied and have nothing running, by their pools' newest reports: the pool, and their lives.
+    /// VMs that are being emptied and have no running tasks by their pools' newest reports, with their pools and incarnations.
     emptied: HashMap<String, (Arc<str>, String)>,
-    /// Since when VMs of waves are missing from the list.
+    /// The time since which VMs of waves have been missing from the list.
     missing_since: HashMap<String, Ms>,
     hold_off: HoldOff,
-    /// VMs about which a predecessor may just have given an order, and until when none is given.
+    /// VMs about which the predecessor may just have given an order, and until when this owner gives none.
     kept_off: HashMap<String, Ms>,
-    /// VMs whose work is done, and until when they count as ordered of late.
+    /// VMs whose work is done, and until when they count as recently ordered.
     ordered_lately: HashMap<String, Ms>,
 }
 
 impl Fleet {
-    /// Takes over from a record.
+    /// Continues from the predecessor's record with the default policy.
     pub fn new(record: FleetRecord, hold_off: HoldOff) -> Self {
         Self::with_policy(record, hold_off, Policy::default())
     }
 
-    /// Takes over from a record, with other parameters of decisions than the usual ones.
+    /// Continues from the predecessor's record with a policy.
     pub fn with_policy(record: FleetRecord, hold_off: HoldOff, policy: Policy) -> Self {
-        // The predecessor wrote that a VM was ordered before it gave the order.
+        // The predecessor recorded each order before it gave it.
         let ordered = record.work.iter().filter(|w| w.stage != Stage::Emptying);
         let ordered = ordered.map(|w| (w.vm.clone(), hold_off.until));
-        let moved = hold_off.until.saturating_sub(CARRIED_OUT_MS);
+        let moved = hold_off.until.saturating_sub(MIN_ORDER_MS);
         let lately = record.ordered_lately.iter().map(|vm| (vm.clone(), moved));
         let kept_off: HashMap<String, Ms> = ordered.chain(lately).collect();
         let given =
@@ -133,7 +131,7 @@
         &self.record
     }
 
-    /// Takes in the VMs, as they were when they were asked for.
+    /// Sets the list of VMs, which was requested at `asked_at`.
     pub fn set_vms(&mut self, vms: Vec<FleetVm>, asked_at: Ms) {
         self.vms = vms.into_iter().map(|vm| (vm.name.clone(), vm)).collect();
         for (name, given) in self.given.iter_mut().filter(|(_, g)| g.done_at.is_some()) {
@@ -144,18 +142,18 @@
         self.note_missing(asked_at);
     }
 
-    /// Takes in the pools: those that work, and the one whose VMs are switched off.
+    /// Sets the pools that run jobs, and the one whose VMs are switched off.
     pub fn set_pools(&mut self, working: HashSet<Arc<str>>, off: Option<Arc<str>>) {
         self.working_pools = working;
         self.off_pool = off;
     }
 
-    /// Takes in which data halls are evacuated.
+    /// Sets the evacuated data halls.
     pub fn set_halls(&mut self, halls: Arc<Halls>) {
         self.halls = halls;
     }
 
-    /// Takes in a pool owner's report.
+    /// Records the report of a pool's owner.
     pub fn set_report(&mut self, pool: &Arc<str>, report: PoolReport, now: Ms) {
         self.needs.note(pool, &report, now);
         let idle: HashSet<&String> = report.idle.iter().collect();
@@ -168,11 +166,13 @@
         }
         self.emptied.retain(|_, (of, _)| of != pool);
         let emptied = report.emptied.iter();
-        self.emptied.extend(emptied.map(|(vm, life)| (vm.clone(), (pool.clone(), life.clone()))));
+        self.emptied.extend(
+            emptied.map(|(vm, incarnation)| (vm.clone(), (pool.clone(), incarnation.clone()))),
+        );
         self.reports.insert(pool.clone(), report);
     }
 
-    /// Takes in a wave.
+    /// Records the request for a wave.
     pub fn set_wave(&mut self, request: WaveRequest) {
         let number = request.wave;
         let known = self.record.waves.iter().any(|w| w.wave == number);
@@ -183,12 +183,12 @@
         self.waves.entry(number).or_insert_with(|| Wave::new(request));
     }
 
-    /// Returns whether anything is to be done, so that the VMs are to be looked at often.
+    /// Returns whether there is open work, so that the VMs must be polled often.
     pub fn is_busy(&self) -> bool {
         !self.record.work.is_empty() || self.record.waves.iter().any(|w| !w.completed)
     }
 
-    /// Decides what to do next. The record is to be written before the orders are given.
+    /// Decides on the next steps and returns the orders to give. The record must be written before the orders are given.
     pub fn plan(&mut self, now: Ms) -> Vec<FleetOrder> {
         self.finish_work(now);
         self.kept_off.retain(|_, until| now < *until);
@@ -201,15 +201,15 @@
         self.give_orders(now)
     }
 
-    /// Takes in what came of an order.
+    /// Records the outcome of an order.
     pub fn order_result(&mut self, vm: &str, outcome: OrderOutcome, now: Ms) {
         if outcome == OrderOutcome::Unknown {
             self.unsettled.insert(vm.to_owned(), now + LATE_ORDER_MS);
         }
-        // An answer that nothing waits for says nothing of what is done with the VM now.
+        // An answer to an order that is no longer pending does not concern the current work on the VM.
         let Some(given) = self.given.get_mut(vm).filter(|given| given.under_way) else { return };
         given.under_way = false;
-        given.again_at = now + (AGAIN_MS << given.turned_down.min(MOST_ORDER_DOUBLINGS));
+        given.again_at = now + (ORDER_RETRY_MS << given.turned_down.min(MAX_ORDER_DOUBLINGS));
         given.turned_down =
             if outcome == OrderOutcome::NotDone { given.turned_down + 1 } else { 0 };
         match outcome {
@@ -219,32 +219,32 @@
         }
     }
 
-    /// Returns the waves whose VMs are all maintained and that the operator is not told of yet.
+    /// Returns the waves whose VMs are all maintained and whose completion is not yet reported to the operator.
     pub fn to_complete(&self) -> Vec<u64> {
-        let over = |w: &&WaveRecord| w.left.is_empty() && !w.completed;
-        self.record.waves.iter().filter(over).map(|w| w.wave).collect()
+        let is_finished = |w: &&WaveRecord| w.left.is_empty() && !w.completed;
+        self.record.waves.iter().filter(is_finished).map(|w| w.wave).collect()
     }
 
-    /// Takes in that the operator was told.
+    /// Records that the completion of a wave was reported to the operator.
     pub fn completed(&mut self, wave: u64) {
         if let Some(record) = self.record.waves.iter_mut().find(|w| w.wave == wave) {
             record.completed = true;
         }
     }
 
-    /// Begins to empty a VM. What was said of it before counts no more.
+    /// Starts to empty a VM. Earlier reports on the VM no longer count.
     fn begin(&mut self, vm: &str, purpose: Purpose) {
         self.emptied.remove(vm);
         self.record.work.insert(VmWork { vm: vm.to_owned(), purpose, stage: Stage::Emptying });
     }
 
-    /// Ends the work on VMs whose orders were carried out.
+    /// Finishes the work on VMs whose orders were carried out.
     fn finish_work(&mut self, now: Ms) {
         let done: Vec<VmWork> =
             self.record.work.iter().filter(|w| self.is_carried_out(w, now)).cloned().collect();
         for work in done {
             let given = self.given.remove(&work.vm);
-            // One whose time is not known was ordered by a predecessor, and stands there already.
+            // If the time of the order is not known, a predecessor gave it, and the VM is already in the list.
             if let Some(ordered_at) = given.and_then(|g| g.ordered_at) {
                 self.ordered_lately.insert(work.vm.clone(), ordered_at + self.hold_off.gap);
             }
@@ -259,13 +259,12 @@
         }
     }
 
-    /// Takes in how long a move took from its order; a new owner does not know of its
-    /// predecessor's.
+    /// Includes a move in the mean duration, measured from its order. The duration of a predecessor's order is not known.
     fn measure_move(&mut self, ordered_at: Option<Ms>, now: Ms) {
         let Some(ordered_at) = ordered_at else { return };
         let took = now.saturating_sub(ordered_at);
         let known = self.record.move_ms;
-        let mean = (known * (MOVES_MEASURED - 1) + took).div_ceil(MOVES_MEASURED);
+        let mean = (known * (MOVES_AVERAGED - 1) + took).div_ceil(MOVES_AVERAGED);
         self.record.move_ms = if known == 0 { took } else { mean };
     }
 
@@ -277,38 +276,38 @@
         let Some(given) = self.given.get(&work.vm) else { return false };
         let Some(done_at) = given.done_at else { return false };
         let Some(vm) = self.vms.get(work.vm.as_str()) else {
-            // It has left for good, if a list from well after the order does not hold it.
+            // The VM has left permanently if a list from well after the order does not contain it.
             return self.listed_at.is_some_and(|at| at >= done_at + DONE_BEFORE_MS);
         };
         if vm.state != VmState::Up {
             return false;
         }
-        let settled = match &work.purpose {
+        let is_in_place = match &work.purpose {
             Purpose::Move { to } => &*vm.pool == to.as_str(),
             Purpose::Maintain { .. } => true,
         };
-        // One that is switched off has no incarnation to tell by.
-        let reborn = given.seen_away || vm.incarnation.as_deref() != incarnation.as_deref();
-        settled && (reborn || now.saturating_sub(done_at) >= DONE_BEFORE_MS)
+        // A switched-off VM has no incarnation to compare.
+        let is_new_incarnation =
+            given.seen_away || vm.incarnation.as_deref() != incarnation.as_deref();
+        is_in_place && (is_new_incarnation || now.saturating_sub(done_at) >= DONE_BEFORE_MS)
     }
 
-    /// Returns whether a VM that was to move is up in its pool in another incarnation, whoever's order
-    /// brought it there. While this owner waits for an answer the VM is not free for anything else: the
-    /// order may yet be carried out.
+    /// Returns whether a VM that should move is up in its new pool in another incarnation, whichever owner gave the order.
+    /// While this owner waits for an answer the VM is not free for other work, as the order may still be carried out.
     fn has_come(&self, work: &VmWork, incarnation: Option<&str>) -> bool {
         let Purpose::Move { to } = &work.purpose else { return false };
         if self.given.get(&work.vm).is_some_and(|given| given.under_way) {
             return false;
         }
-        let come = |vm: &FleetVm| {
+        let has_come = |vm: &FleetVm| {
             vm.state == VmState::Up
                 && &*vm.pool == to.as_str()
                 && vm.incarnation.as_deref() != incarnation
         };
-        self.vms.get(work.vm.as_str()).is_some_and(come)
+        self.vms.get(work.vm.as_str()).is_some_and(has_come)
     }
 
-    /// Orders what concerns VMs that are empty now.
+    /// Marks the work on VMs that are now empty as ordered.
     fn order_emptied(&mut self) {
         let emptying = self.record.work.iter().filter(|w| w.stage == Stage::Emptying);
         let empty: Vec<VmWork> = emptying.filter(|w| self.is_empty(&w.vm)).cloned().collect();
@@ -323,8 +322,8 @@
         }
     }
 
-    /// Returns whether nothing runs on a VM, by the word of its pool's owner about this very
-    /// incarnation; a VM that is switched off has nothing running.
+    /// Returns whether a VM has no running tasks: its pool's owner reported so for its current incarnation, or the VM is
+    /// switched off.
     fn is_empty(&self, name: &str) -> bool {
         let Some(vm) = self.vms.get(name) else { return false };
         if vm.state != VmState::Up {
@@ -334,8 +333,10 @@
             return true;
         }
         let listed = VmLife::from(vm.incarnation.as_deref().unwrap_or_default());
-        let same_life = |life: &str| VmLife::from(life).may_be(&listed);
-        self.emptied.get(name).is_some_and(|(pool, life)| *pool == vm.pool && same_life(life))
+        let is_listed = |incarnation: &str| VmLife::from(incarnation).may_be(&listed);
+        self.emptied
+            .get(name)
+            .is_some_and(|(pool, incarnation)| *pool == vm.pool && is_listed(incarnation))
     }
 
     fn give_orders(&mut self, now: Ms) -> Vec<FleetOrder> {
@@ -355,7 +356,7 @@
         orders
     }
 
-    /// Gives up the work on a VM for which it cannot be done.
+    /// Abandons the work on a VM that can never be carried out.
     fn abandon(&mut self, vm: &str) {
         self.given.remove(vm);
         let Some(work) = self.record.work.remove(vm) else { return };
--- a/crates/schedule/src/fleet/moves.rs
+++ b/crates/schedule/src/fleet/moves.rs
@@ -1,8 +1,7 @@
-//! Moving VMs to the pools that need them, and switching off those that none needs.
+//! Moves VMs to the pools that need them, and switches off VMs that no pool needs.
 //!
-//! The users' load turns from one pool to the next within seconds, and a move takes about two. A
-//! pool's need is met at once from VMs on which nothing runs; a VM is taken away only after the
-//! pool has not needed it for some seconds.
+//! Load shifts from one pool to another within seconds, and a move takes about two seconds. A pool's need is met at once
+//! from idle VMs. A VM is taken away only after its pool has not needed it for some seconds.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -11,11 +10,10 @@
 use crate::Ms;
 use crate::policy::Policy;
 
-/// Processor of a VM where a pool has none to go by, in thousandths of a core: the users' VMs of
-/// today.
-const USUAL_VM_CPU: u64 = 16_000;
+/// The processor of a VM if a pool has no VMs to derive it from, in thousandths of a core: that of today's VMs.
+const DEFAULT_VM_CPU: u64 = 16_000;
 
-/// What each pool needed over the last seconds.
+/// The number of VMs that each pool needed over the last seconds.
 #[derive(Debug)]
 pub(super) struct Needs {
     pools: HashMap<Arc<str>, Need>,
@@ -24,9 +22,9 @@
 
 #[derive(Debug, Default)]
 struct Need {
-    /// VMs needed by each report of the last seconds.
+    /// The number of VMs needed by each report of the last seconds, with the time of the report.
     recent: VecDeque<(Ms, usize)>,
-    /// VMs needed for work that can be in time, by the newest report.
+    /// The number of VMs needed for work that can finish in time, by the newest report.
     in_time: usize,
     vm_cpu: u64,
 }
@@ -41,7 +39,7 @@
         if report.vms > 0 {
             need.vm_cpu = report.cpu / u64::from(report.vms);
         }
-        let vm_cpu = if need.vm_cpu > 0 { need.vm_cpu } else { USUAL_VM_CPU };
+        let vm_cpu = if need.vm_cpu > 0 { need.vm_cpu } else { DEFAULT_VM_CPU };
         let fill_percent = self.policy.need.fill_percent;
         let spread = usize::try_from(report.spread).unwrap_or(usize::MAX);
         let vms_for = |cpu: u64| {
@@ -50,29 +48,30 @@
         };
         need.in_time = vms_for(report.soon_cpu);
         need.recent.push_back((now, vms_for(report.soon_cpu + report.late_cpu)));
-        need.forget(self.policy.moves.keep_ms, now);
+        need.drop_old(self.policy.moves.keep_ms, now);
     }
 
-    /// Returns how many VMs a pool needs by its newest report.
+    /// Returns the number of VMs that a pool needs by its newest report.
     pub fn now(&self, pool: &str) -> usize {
         let newest = self.pools.get(pool).and_then(|need| need.recent.back());
         newest.map_or(0, |(_, vms)| *vms).max(self.policy.need.floor_vms)
     }
 
-    /// Returns how many VMs a pool needs for work that can be in time, by its newest report.
+    /// Returns the number of VMs that a pool needs for work that can finish in time, by its newest report.
     fn in_time(&self, pool: &str) -> usize {
         let in_time = self.pools.get(pool).map_or(0, |need| need.in_time);
         in_time.max(self.policy.need.floor_vms)
     }
 
-    /// Returns how many VMs a pool needed over the last seconds; none before it has reported.
+    /// Returns the mean number of VMs that a pool needed over the last seconds, or `None` before its first report.
     ///
-    /// The mean, not the most: a need is told from the last thirty arrivals and leaps by a half. Idle VMs of a pool that needs
-    /// them are used within the time that they are kept anyway. 0.1605 in place of 0.1657 of the worth for VM-seconds, and
-    /// 0.0275 in place of 0.0252 for moves (350 VMs, means of five days with faults).
-    fn lately(&mut self, pool: &str, now: Ms) -> Option<usize> {
+    /// This is the mean and not the maximum, because the need is estimated from the last thirty arrivals and varies by a half.
+    /// Idle VMs of a pool that needs them are used within the time for which they are kept anyway. The mean costs 0.1605
+    /// instead of 0.1657 of the value for VM-seconds, and 0.0275 instead of 0.0252 for moves (350 VMs, means of five days
+    /// with faults).
+    fn recent_mean(&mut self, pool: &str, now: Ms) -> Option<usize> {
         let need = self.pools.get_mut(pool)?;
-        need.forget(self.policy.moves.keep_ms, now);
+        need.drop_old(self.policy.moves.keep_ms, now);
         let floor = self.policy.need.floor_vms;
         let sum: usize = need.recent.iter().map(|&(_, vms)| vms.max(floor)).sum();
         sum.checked_div(need.recent.len())
@@ -80,44 +79,44 @@
 }
 
 impl Need {
-    /// Forgets old reports; the newest stands until there is another.
-    fn forget(&mut self, keep_ms: Ms, now: Ms) {
+    /// Drops old reports. The newest one is kept until there is another.
+    fn drop_old(&mut self, keep_ms: Ms, now: Ms) {
         while self.recent.len() > 1 && self.recent[1].0 + keep_ms < now {
             self.recent.pop_front();
         }
     }
 }
 
-/// How many VMs a pool is to have and has, those on their way included.
+/// The target and the current number of VMs of a pool, including VMs that are moving to it.
 #[derive(Clone, Copy, Debug)]
 struct Share {
     target: usize,
     size: usize,
 }
 
-/// How many VMs there are for how many that are wanted.
+/// A number of available VMs that is split among the pools that want VMs.
 #[derive(Clone, Copy, Debug)]
 struct Split {
-    there: usize,
+    available: usize,
     wanted: usize,
 }
 
 impl Split {
-    fn new(there: usize, wanted: usize) -> Self {
-        Self { there, wanted }
+    fn new(available: usize, wanted: usize) -> Self {
+        Self { available, wanted }
     }
 
-    /// Returns what one gets who wants some.
+    /// Returns the part for a pool that wants `wanted` VMs: all of them, or a proportional share.
     fn part(self, wanted: usize) -> usize {
-        match self.wanted <= self.there {
+        match self.wanted <= self.available {
             true => wanted,
-            false => wanted * self.there / self.wanted,
+            false => wanted * self.available / self.wanted,
         }
     }
 }
 
 impl Fleet {
-    /// Begins the moves that the pools' needs ask for.
+    /// Starts the moves that the pools' needs require.
     pub(super) fn begin_moves(&mut self, now: Ms) {
         let mut spare = VecDeque::from(self.off_vms());
         let mut shares = self.shares(spare.len());
@@ -126,7 +125,7 @@
             .saturating_sub(self.moves().count());
         while free > 0 {
             let Some(to) = neediest(&shares) else { break };
-            let Some((vm, from)) = take_for(&mut spare, &to) else { break };
+            let Some((vm, from)) = take_spare_for(&mut spare, &to) else { break };
             self.begin_move(&vm, &to);
             if let Some(share) = shares.get_mut(&to) {
                 share.size += 1;
@@ -139,8 +138,8 @@
         self.switch_off_idle(free, now);
     }
 
-    /// Divides the VMs among the pools: what each needs, or a fair part of what there is. Work that
-    /// will be late gets what work in time leaves.
+    /// Divides the VMs among the pools. Each pool gets what it needs, or a proportional share of the available VMs. Work that
+    /// will be late gets the VMs that work in time leaves over.
     fn shares(&self, off: usize) -> HashMap<Arc<str>, Share> {
         let sizes: Vec<(Arc<str>, usize)> = self.sizes().into_iter().collect();
         let total = off + sizes.iter().map(|(_, size)| size).sum::<usize>();
@@ -153,9 +152,9 @@
         let sum = |need: &dyn Fn(&str) -> usize| -> usize {
             sizes.iter().map(|(pool, _)| need(pool)).sum()
         };
-        let there = total.saturating_sub(floor * sizes.len());
-        let firsts = Split::new(there, sum(&first));
-        let lasts = Split::new(there.saturating_sub(firsts.wanted), sum(&last));
+        let available = total.saturating_sub(floor * sizes.len());
+        let firsts = Split::new(available, sum(&first));
+        let lasts = Split::new(available.saturating_sub(firsts.wanted), sum(&last));
         let share = |(pool, size): (Arc<str>, usize)| {
             let target = floor + firsts.part(first(&pool)) + lasts.part(last(&pool));
             (pool, Share { target, size })
@@ -163,20 +162,20 @@
         sizes.iter().cloned().map(share).collect()
     }
 
-    /// Switches off VMs that their pools have not needed lately.
-    fn switch_off_idle(&mut self, most: usize, now: Ms) {
+    /// Switches off idle VMs that their pools have not needed recently.
+    fn switch_off_idle(&mut self, max: usize, now: Ms) {
         let Some(off) = self.off_pool.clone() else { return };
         let mut unneeded = Vec::new();
         let sizes = self.sizes();
         for pool in self.working_pools.iter().cloned().collect::<Vec<_>>() {
-            let Some(needed) = self.needs.lately(&pool, now) else { continue };
+            let Some(needed) = self.needs.recent_mean(&pool, now) else { continue };
             let surplus = sizes.get(&pool).map_or(0, |size| size.saturating_sub(needed));
             let Some(report) = self.reports.get(&pool) else { continue };
             let idle = report.idle.iter().filter(|vm| self.has_been_idle(vm, now));
             let idle = idle.filter(|vm| self.is_free(vm, &pool));
             unneeded.extend(idle.take(surplus).cloned());
         }
-        for vm in unneeded.into_iter().take(most) {
+        for vm in unneeded.into_iter().take(max) {
             self.begin_move(&vm, &off);
         }
     }
@@ -185,12 +184,12 @@
         self.record.work.iter().filter(|w| matches!(w.purpose, Purpose::Move { .. }))
     }
 
-    /// Counts the VMs of each working pool that work or are on their way to it, in one pass.
+    /// Counts in one pass, for each working pool, the VMs that work in it or are moving to it.
     pub(super) fn sizes(&self) -> HashMap<Arc<str>, usize> {
         let mut sizes: HashMap<Arc<str>, usize> =
             self.working_pools.iter().map(|pool| (pool.clone(), 0)).collect();
         for vm in self.vms.values() {
-            // One that is to be maintained is replaced before it is empty.
+            // A VM that is due for maintenance no longer counts, so that it is replaced before it is empty.
             let works = vm.state != VmState::Down
                 && self.halls.takes_work(&vm.hall)
                 && self.record.work_on(&vm.name).is_none();
@@ -201,15 +200,15 @@
         for work in &self.record.work {
             let Purpose::Move { to } = &work.purpose else { continue };
             let vm = self.vms.get(work.vm.as_str());
-            let comes = vm.is_none_or(|vm| self.halls.takes_work(&vm.hall));
-            if let Some(size) = sizes.get_mut(to.as_str()).filter(|_| comes) {
+            let counts = vm.is_none_or(|vm| self.halls.takes_work(&vm.hall));
+            if let Some(size) = sizes.get_mut(to.as_str()).filter(|_| counts) {
                 *size += 1;
             }
         }
         sizes
     }
 
-    /// Returns the VMs that are switched off, with their pool.
+    /// Returns the free VMs that are switched off, with their pool.
     fn off_vms(&self) -> Vec<(Arc<str>, Arc<str>)> {
         let off = self.off_pool.iter();
         off.flat_map(|off| self.vms.values().filter(move |vm| vm.pool == *off))
@@ -218,8 +217,7 @@
             .collect()
     }
 
-    /// Returns the VMs that pools can do without, with their pools: idle ones, then those with the
-    /// least work.
+    /// Returns the VMs that their pools do not need, with their pools: idle VMs first, then those with the least work.
     fn spare_vms(&self, shares: &HashMap<Arc<str>, Share>, now: Ms) -> Vec<(Arc<str>, Arc<str>)> {
         let mut spare = Vec::new();
         let mut light = Vec::new();
@@ -233,7 +231,7 @@
             let idle: Vec<_> = report.idle.iter().filter(free).take(surplus).map(named).collect();
             let rest = surplus - idle.len();
             spare.extend(idle);
-            // One with work that has just come would lose the time of its move.
+            // Moving a VM that has just arrived would waste the time of its last move.
             let stayed = |name: &&String| self.has_stayed(name, now);
             let working = report.light.iter().filter(free).filter(stayed);
             light.extend(working.take(rest).map(named));
@@ -242,15 +240,15 @@
         spare
     }
 
-    /// Returns whether a VM has been in its pool for a while.
+    /// Returns whether a VM has been in its pool for the minimum time.
     fn has_stayed(&self, name: &str, now: Ms) -> bool {
         self.moved_at
             .get(name)
             .is_none_or(|&at| now.saturating_sub(at) >= self.policy.moves.stay_ms)
     }
 
-    /// Returns whether a VM is up in a pool and nothing else is done with it. One in an evacuated hall could do no work
-    /// elsewhere, and is needed where it is when the hall is taken back.
+    /// Returns whether a VM is up in a pool and has no open work or orders. A VM in an evacuated hall is not free: it could do
+    /// no work in another pool, and its pool needs it when the evacuation is withdrawn.
     fn is_free(&self, name: &str, pool: &Arc<str>) -> bool {
         let up = |vm: &super::FleetVm| {
             vm.pool == *pool && vm.state == VmState::Up && self.halls.takes_work(&vm.hall)
@@ -272,7 +270,7 @@
     }
 }
 
-/// Returns the pool that is shortest of VMs, as a part of what it is to have.
+/// Returns the pool that has the smallest part of its target.
 fn neediest(shares: &HashMap<Arc<str>, Share>) -> Option<Arc<str>> {
     shares
         .iter()
@@ -281,8 +279,8 @@
         .map(|(pool, _)| pool.clone())
 }
 
-/// Takes a spare VM that is not in the pool already, with its pool.
-fn take_for(
+/// Removes and returns the first spare VM, with its pool, that is not already in the given pool.
+fn take_spare_for(
     spare: &mut VecDeque<(Arc<str>, Arc<str>)>,
     pool: &Arc<str>,
 ) -> Option<(Arc<str>, Arc<str>)> {
--- a/crates/schedule/src/fleet/record.rs
+++ b/crates/schedule/src/fleet/record.rs
@@ -1,4 +1,4 @@
-//! What the owner of the fleet writes: which VMs are being worked on, how far each wave is.
+//! The record of the fleet's owner: the work on VMs and the progress of each wave.
 
 use indexmap::IndexSet;
 use serde::{Deserialize, Serialize};
@@ -6,35 +6,35 @@
 use super::WorkList;
 use crate::Ms;
 
-/// What passes beside the move itself from a pool's report until a VM takes work, in milliseconds:
-/// a report, a record, the list and a first call, some 100 ms each.
-const TELLING_MS: Ms = 400;
+/// The time from a pool's report until a VM accepts work, without the move itself, in milliseconds: a report, a record, the
+/// list of VMs and a first call take about 100 ms each.
+const PROPAGATION_MS: Ms = 400;
 
-/// Why a VM is emptied.
+/// The purpose for which a VM is emptied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Purpose {
-    /// Its maintenance in a wave.
+    /// The maintenance of the VM in a wave.
     Maintain {
         /// The wave.
         wave: u64,
     },
-    /// A move to another pool.
+    /// The move of the VM to another pool.
     Move {
         /// The pool.
         to: String,
     },
 }
 
-/// How far the work on a VM is.
+/// The stage of the work on a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// Its tasks end or move away.
+    /// The VM's tasks end or move to other VMs.
     Emptying,
-    /// The machine service is told, or about to be.
+    /// The order is given to the machine service, or about to be.
     Ordered {
-        /// The incarnation that it had then; another one shows that the order was carried out.
+        /// The VM's incarnation when it was ordered. Another incarnation shows that the order was carried out.
         incarnation: Option<String>,
     },
 }
@@ -42,75 +42,75 @@
 /// Work on one VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmWork {
-    /// The VM's lasting name.
+    /// The VM's name.
     pub vm: String,
-    /// Why.
+    /// The purpose of the work.
     pub purpose: Purpose,
-    /// How far.
+    /// The stage of the work.
     pub stage: Stage,
 }
 
-/// How far a wave is.
+/// The progress of a wave.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct WaveRecord {
-    /// Its number.
+    /// The number of the wave.
     pub wave: u64,
-    /// VMs that were maintained, or left for good.
+    /// The VMs that were maintained or left permanently.
     pub done: IndexSet<String>,
-    /// VMs that are still to be maintained.
+    /// The VMs that are not maintained yet.
     pub left: IndexSet<String>,
-    /// All are done, and the operator was told.
+    /// Whether all VMs are done and the completion was reported to the operator.
     pub completed: bool,
 }
 
-/// What the owner of the fleet writes, in rows; see [`super::FleetRow`].
+/// The record of the fleet's owner, which is written in rows; see [`super::FleetRow`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct FleetRecord {
     /// The node that wrote it.
     pub owner: String,
-    /// VMs that are worked on; they take no new tasks.
+    /// The open work on VMs. These VMs accept no new tasks.
     pub work: WorkList,
-    /// VMs whose work is done and about which an order was given of late.
+    /// The VMs whose work is done and that were ordered recently.
     pub ordered_lately: Vec<String>,
     /// The waves.
     pub waves: Vec<WaveRecord>,
-    /// How long a move takes, as measured, in milliseconds; 0 before the first.
+    /// The mean duration of a move, in milliseconds; 0 before the first move.
     pub move_ms: Ms,
 }
 
 impl FleetRecord {
-    /// Returns whether it tells the same work and waves as another.
+    /// Returns whether both records have the same work and waves.
     pub fn is_same_work(&self, other: &Self) -> bool {
         self.work == other.work && self.waves == other.waves
     }
 
-    /// Returns how long it takes from a pool's report until a VM for it takes work, in milliseconds;
-    /// none before a move was measured.
+    /// Returns the time from a pool's report until a VM that moves to the pool accepts work, in milliseconds, or `None` before
+    /// the first move.
     pub fn lead_ms(&self) -> Option<Ms> {
-        (self.move_ms > 0).then_some(self.move_ms + TELLING_MS)
+        (self.move_ms > 0).then_some(self.move_ms + PROPAGATION_MS)
     }
 
-    /// Returns the VMs, by lasting name, that are to be emptied and kept empty.
+    /// Returns the names of the VMs that are cordoned: they are emptied and kept empty.
     pub fn cordoned(&self) -> impl Iterator<Item = &str> {
         self.work.iter().map(|w| w.vm.as_str())
     }
 
-    /// Returns those of them that a pool is to keep empty: not those that move to it. One that has
-    /// come takes work before the fleet's owner has seen it there, which takes 0.3 s, and seconds
-    /// if that node has just been lost.
+    /// Returns the names of the cordoned VMs that a pool keeps empty, without those that move to the pool. A VM that has
+    /// arrived accepts work before the fleet's owner sees it in the pool, which takes 0.3 s, or seconds if the owner's node
+    /// was just lost.
     pub fn cordoned_in(&self, pool: &str) -> impl Iterator<Item = &str> {
-        let comes = move |w: &&VmWork| matches!(&w.purpose, Purpose::Move { to } if to == pool);
-        self.work.iter().filter(move |w| !comes(w)).map(|w| w.vm.as_str())
+        let arrives = move |w: &&VmWork| matches!(&w.purpose, Purpose::Move { to } if to == pool);
+        self.work.iter().filter(move |w| !arrives(w)).map(|w| w.vm.as_str())
     }
 
-    /// Returns the VMs, by lasting name, that are emptied to move to another pool.
+    /// Returns the names of the VMs that are being emptied to move to another pool.
     pub fn moving(&self) -> impl Iterator<Item = &str> {
         let moves =
             |w: &&VmWork| w.stage == Stage::Emptying && matches!(w.purpose, Purpose::Move { .. });
         self.work.iter().filter(moves).map(|w| w.vm.as_str())
     }
 
-    /// Returns the VMs, by lasting name, that a wave will take down before long.
+    /// Returns the names of the VMs that a wave will take down soon.
     pub fn due(&self) -> impl Iterator<Item = &str> {
         self.waves.iter().flat_map(|w| w.left.iter().map(String::as_str))
     }
--- a/crates/schedule/src/fleet/rows.rs
+++ b/crates/schedule/src/fleet/rows.rs
@@ -1,7 +1,7 @@
 //! The fleet's record in rows of bounded size, each written only when it changes.
 //!
-//! The load pattern: at the onset of a turn half of all VMs are worked on at once. One value for all of them outgrows what a
-//! store takes (95 bytes a VM), and is written whole with each change.
+//! Load pattern: when the load shifts between pools, half of all VMs are worked on at once. A single value for all of them, at
+//! 95 bytes a VM, exceeds the store's size limit and is rewritten as a whole with each change.
 
 use std::collections::HashSet;
 
@@ -11,43 +11,43 @@
 /// A row of the fleet's record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetRow {
-    /// What is told once.
+    /// The fields that the record has only once.
     Head {
         /// The node that wrote it.
         owner: String,
-        /// How long a move takes, as measured, in milliseconds; 0 before the first.
+        /// The mean duration of a move, in milliseconds; 0 before the first move.
         move_ms: Ms,
     },
-    /// How far a wave is.
+    /// The state of a wave.
     Wave {
-        /// Its number.
+        /// The number of the wave.
         wave: u64,
-        /// All is done, and the operator was told.
+        /// Whether all VMs are done and the completion was reported to the operator.
         completed: bool,
     },
     /// A VM of a wave.
     WaveVm {
-        /// The wave's number.
+        /// The number of the wave.
         wave: u64,
-        /// The VM's lasting name.
+        /// The VM's name.
         vm: String,
-        /// Whether it is done; none once the wave is completed, so that the row is dropped.
+        /// Whether the VM is done, or `None` once the wave is completed, so that the row is deleted.
         done: Option<bool>,
     },
-    /// A VM that is worked on, or was of late; a row that tells neither is dropped.
+    /// A VM with open or recently ordered work. A row with neither is deleted.
     Vm {
-        /// The VM's lasting name.
+        /// The VM's name.
         vm: String,
-        /// What is done with it.
+        /// The open work on the VM.
         work: Option<VmWork>,
-        /// An order about it was given of late.
+        /// Whether an order for the VM was given recently.
         ordered_lately: bool,
     },
 }
 
 impl FleetRecord {
-    /// Returns the rows in which this record differs from another, those of waves first: work on a VM for a wave is read
-    /// after the wave.
+    /// Returns the rows in which this record differs from an earlier one. Rows of waves come first, so that a wave is read before
+    /// the work on its VMs.
     pub fn changes_since(&self, before: &Self) -> Vec<FleetRow> {
         let mut rows = Vec::new();
         if (&self.owner, self.move_ms) != (&before.owner, before.move_ms) {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Takes in a row.
+    /// Applies a row.
     pub fn apply(&mut self, row: FleetRow) {
         match row {
             FleetRow::Head { owner, move_ms } => (self.owner, self.move_ms) = (owner, move_ms),
@@ -119,7 +119,7 @@
         }
         let row = |vm: &String, done| FleetRow::WaveVm { wave, vm: vm.clone(), done };
         if self.completed {
-            // Nobody asks any more which VMs it had.
+            // The VMs of a completed wave are no longer needed.
             let known = before.into_iter().flat_map(|b| b.left.iter().chain(&b.done));
             rows.extend(known.map(|vm| row(vm, None)));
             return;
--- a/crates/schedule/src/fleet/wave.rs
+++ b/crates/schedule/src/fleet/wave.rs
@@ -1,4 +1,4 @@
-//! Waves of maintenance.
+//! Maintenance waves.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,24 +8,24 @@
 use super::{Fleet, FleetVm, Purpose, Stage, VmState, VmWork, WaveRecord, WaveRequest};
 use crate::Ms;
 
-/// Share of a pool's VMs that are emptied or down for waves at once, in percent: what remains
-/// carries the load of today's sites with their switched-off VMs brought in.
+/// The maximum share of a pool's VMs that are emptied or down for waves at once, in percent. The remaining VMs, with the
+/// switched-off ones switched on, carry the load of today's sites.
 const POOL_SHARE_PERCENT: usize = 34;
-/// VMs that are emptied beyond those that may be down, so that the next is ready when one is back.
-const AHEAD: usize = 2;
+/// The number of VMs that are emptied beyond those that may be down, so that the next one is ready when one returns.
+const EMPTIED_AHEAD: usize = 2;
 
-/// How long one VM of a wave takes, from its being emptied to its being back, in milliseconds: tasks of
-/// two seconds, an upkeep of two, and what it takes to hear of both.
+/// The time that one VM of a wave takes from the start of emptying until it is up again, in milliseconds: tasks of two seconds,
+/// maintenance of two seconds, and the reports on both.
 const VM_TIME_MS: Ms = 5_000;
-/// What is left of a wave's time when the last of its VMs should be back, in milliseconds: a change of
-/// the fleet's owner costs up to six seconds.
-const SPARE_TIME_MS: Ms = 7_000;
+/// The reserve at the end of a wave's time by which the last VM should be up again, in milliseconds. A change of the fleet's
+/// owner takes up to six seconds.
+const RESERVE_MS: Ms = 7_000;
 
-/// How long a VM must be missing from the list to count as gone for good, in milliseconds. A new
-/// VM may be asked for before it is first listed.
+/// How long a VM must be missing from the list to count as permanently gone, in milliseconds. A wave may name a new VM before
+/// the VM is first listed.
 const GONE_MS: Ms = 3_000;
 
-/// A wave that was asked for.
+/// A requested wave.
 #[derive(Clone, Debug)]
 pub(super) struct Wave {
     pub request: WaveRequest,
@@ -36,22 +36,22 @@
         Self { request }
     }
 
-    /// Returns whether VMs that their pools need may be left to be done later.
+    /// Returns whether the wave can wait for VMs that their pools need.
     fn has_time(&self, left: usize, now: Ms) -> bool {
         let Some(asked_at) = self.request.asked_at else { return false };
         let rounds = left.div_ceil(self.request.cap.max(1));
-        let needed = VM_TIME_MS * Ms::try_from(rounds).unwrap_or(Ms::MAX) + SPARE_TIME_MS;
+        let needed = VM_TIME_MS * Ms::try_from(rounds).unwrap_or(Ms::MAX) + RESERVE_MS;
         now + needed < asked_at + self.request.duration_ms
     }
 
-    /// Returns how many VMs must be worked on at once for the wave to be done in time.
-    fn pace(&self, left: usize, now: Ms) -> usize {
-        let all = self.request.cap.max(1) + AHEAD;
+    /// Returns the number of VMs that must be worked on at once for the wave to finish in time.
+    fn required_parallelism(&self, left: usize, now: Ms) -> usize {
+        let all = self.request.cap.max(1) + EMPTIED_AHEAD;
         let Some(asked_at) = self.request.asked_at else { return all };
-        let end = (asked_at + self.request.duration_ms).saturating_sub(SPARE_TIME_MS);
+        let end = (asked_at + self.request.duration_ms).saturating_sub(RESERVE_MS);
         let time = usize::try_from(end.saturating_sub(now)).unwrap_or(usize::MAX);
         let vm_time = usize::try_from(VM_TIME_MS).unwrap_or(usize::MAX);
-        (left * vm_time).checked_div(time).map_or(all, |pace| (pace + 1).min(all))
+        (left * vm_time).checked_div(time).map_or(all, |vms| (vms + 1).min(all))
     }
 }
 
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Notes which VMs of waves are missing from a list, and counts those as done that have been
-    /// missing for long: they have left for good.
+    /// Records which VMs of waves are missing from a list. Those that have been missing for long have left permanently and
+    /// count as done.
     pub(super) fn note_missing(&mut self, asked_at: Ms) {
         let vms = &self.vms;
         self.missing_since.retain(|name, _| !vms.contains_key(name.as_str()));
@@ -73,18 +73,18 @@
                 self.missing_since.entry(name.clone()).or_insert(asked_at);
             }
             let missing = &self.missing_since;
-            let gone = |name: &String| {
+            let is_gone = |name: &String| {
                 missing.get(name).is_some_and(|since| asked_at.saturating_sub(*since) >= GONE_MS)
             };
             let (gone, left): (IndexSet<String>, IndexSet<String>) =
-                record.left.drain(..).partition(gone);
+                record.left.drain(..).partition(is_gone);
             record.left = left;
             record.done.extend(gone);
         }
     }
 
-    /// Begins to empty VMs of waves, as many as may be down and a few more; while a pool is short of
-    /// VMs no more than must be for the wave to be in time, and none of that pool while it has time.
+    /// Starts to empty VMs of waves: as many as may be down at once and a few more. While a pool is short of VMs, only as many
+    /// as the wave needs to finish in time are emptied, and none of that pool while the wave has time.
     pub(super) fn begin_maintenance(&mut self, now: Ms) {
         let mut by_pool: HashMap<Arc<str>, usize> = HashMap::new();
         for work in &self.record.work {
@@ -99,11 +99,15 @@
             let Some(wave) = self.waves.get(&record.wave) else { continue };
             let cap = wave.request.cap.max(1);
             let has_time = wave.has_time(record.left.len(), now);
-            let paced = self.policy.waves.pace && self.is_any_short(&sizes);
-            let most = if paced { wave.pace(record.left.len(), now) } else { cap + AHEAD };
-            let mut at_work = self.work_of(record.wave).count();
-            for name in self.order_of(&record) {
-                if at_work >= most {
+            let is_paced = self.policy.waves.pace && self.is_any_short(&sizes);
+            let max = if is_paced {
+                wave.required_parallelism(record.left.len(), now)
+            } else {
+                cap + EMPTIED_AHEAD
+            };
+            let mut in_progress = self.work_of(record.wave).count();
+            for name in self.candidates(&record) {
+                if in_progress >= max {
                     break;
                 }
                 let pool = self.vms.get(name.as_str()).map(|vm| vm.pool.clone());
@@ -112,7 +116,7 @@
                     continue;
                 }
                 if self.begin_vm(record.wave, &name, &mut by_pool) {
-                    at_work += 1;
+                    in_progress += 1;
                     if let Some(size) = sizes.get_mut(&pool) {
                         *size = size.saturating_sub(1);
                     }
@@ -121,7 +125,7 @@
         }
     }
 
-    /// Returns whether a working pool needs all that it has and more.
+    /// Returns whether a working pool has fewer VMs than it needs.
     fn is_short(&self, pool: &Arc<str>, sizes: &HashMap<Arc<str>, usize>) -> bool {
         sizes.get(pool).is_some_and(|&size| size < self.needs.now(pool))
     }
@@ -136,9 +140,9 @@
         };
         let off = self.off_pool.as_ref() == Some(&vm.pool);
         let size = self.vms.values().filter(|v| v.pool == vm.pool).count();
-        let most = (size * POOL_SHARE_PERCENT / 100).max(1);
+        let max = (size * POOL_SHARE_PERCENT / 100).max(1);
         let busy = by_pool.entry(vm.pool.clone()).or_default();
-        if !off && *busy >= most {
+        if !off && *busy >= max {
             return false;
         }
         *busy += 1;
@@ -146,9 +150,9 @@
         true
     }
 
-    /// Returns the VMs of a wave that are not worked on: those that are switched off or idle
-    /// first, then those of the pools that use least of their room.
-    fn order_of(&self, record: &WaveRecord) -> Vec<String> {
+    /// Returns the VMs of a wave without open work, in the order in which to maintain them: switched-off ones first, then idle
+    /// ones, then those of the pools with the smallest need.
+    fn candidates(&self, record: &WaveRecord) -> Vec<String> {
         let rank = |name: &String| {
             let vm = self.vms.get(name.as_str());
             let off = vm.is_some_and(|vm| self.off_pool.as_ref() == Some(&vm.pool));
@@ -171,8 +175,8 @@
         self.record.work.iter().filter(of_wave)
     }
 
-    /// Returns whether one more VM may be taken down for a purpose. One that was ordered down
-    /// counts until its new incarnation is up.
+    /// Returns whether one more VM may be taken down for a purpose. A VM counts as down from its order until its new
+    /// incarnation is up.
     pub(super) fn may_take_down(&self, purpose: &Purpose) -> bool {
         let Purpose::Maintain { wave } = purpose else { return true };
         let Some(known) = self.waves.get(wave) else { return false };
--- a/crates/schedule/src/fleet/work.rs
+++ b/crates/schedule/src/fleet/work.rs
@@ -1,4 +1,4 @@
-//! The VMs that are worked on, each found by its name in the same time however many there are.
+//! The open work on VMs, with constant-time lookup by VM name.
 
 use indexmap::IndexMap;
 use indexmap::map::Values;
@@ -6,7 +6,7 @@
 
 use super::{Stage, VmWork};
 
-/// Work on VMs, in the order in which it began.
+/// The open work on VMs, in the order in which it started.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WorkList(IndexMap<String, VmWork>);
 
@@ -16,17 +16,17 @@
         self.0.get(vm)
     }
 
-    /// Begins work on a VM, or changes what is known of it.
+    /// Adds the work on a VM, or replaces the existing one.
     pub fn insert(&mut self, work: VmWork) {
         self.0.insert(work.vm.clone(), work);
     }
 
-    /// Ends the work on a VM and returns it.
+    /// Removes and returns the work on a VM.
     pub fn remove(&mut self, vm: &str) -> Option<VmWork> {
         self.0.shift_remove(vm)
     }
 
-    /// Sets how far the work on a VM is.
+    /// Sets the stage of the work on a VM.
     pub fn set_stage(&mut self, vm: &str, stage: Stage) {
         if let Some(work) = self.0.get_mut(vm) {
             work.stage = stage;
@@ -38,12 +38,12 @@
         self.0.values()
     }
 
-    /// Returns on how many VMs work is done.
+    /// Returns the number of VMs with open work.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Returns whether no VM is worked on.
+    /// Returns whether no VM has open work.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/schedule/src/policy.rs
+++ b/crates/schedule/src/policy.rs
@@ -1,105 +1,102 @@
-//! The parameters of decisions: one typed struct, settable in the settings file, so that a decision
-//! can be changed or switched off without changing the code.
+//! The parameters of scheduling decisions: one typed struct, configurable in the settings file, so that a decision can be
+//! changed or disabled without a code change.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Ms;
 
-/// The parameters of decisions. What a settings file leaves out has the default.
+/// The parameters of scheduling decisions. Those that are absent from the settings file have their defaults.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
-    /// How many VMs a pool needs.
+    /// How the number of VMs that a pool needs is computed.
     pub need: NeedPolicy,
     /// How VMs move between pools.
     pub moves: MovePolicy,
-    /// How waves of maintenance are done.
+    /// How maintenance waves are carried out.
     pub waves: WavePolicy,
     /// How tasks are ordered and placed.
     pub tasks: TaskPolicy,
 }
 
-/// How many VMs a pool needs.
+/// The parameters for the number of VMs that a pool needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct NeedPolicy {
-    /// How full VMs are to be, in percent: tasks differ in size, and the last of a VM's room is
-    /// hard to use.
+    /// The target utilization of VMs, in percent. As tasks differ in size, the last part of a VM's capacity is hard to use.
     pub fill_percent: u64,
-    /// How far ahead the need is worked out while no move was measured, in milliseconds: the
-    /// users' moves take 1.5 s, and it takes half a second to tell, to order and to begin. 0 looks at
-    /// the present, also when moves were measured.
+    /// How far ahead the need is computed until the duration of a move is known, in milliseconds. A move takes 1.5 s, and
+    /// reporting, ordering and starting take half a second. With 0 the need is always that of the present.
     pub lead_ms: Ms,
-    /// Arrivals of a queue that its rate is taken from; 0 takes no account of what comes. With
-    /// eight the rate is off by a third or so; fewer would call VMs for chance, more would tell a
-    /// change later.
+    /// The number of arrivals at a queue from which its arrival rate is estimated; 0 ignores future arrivals. With eight the
+    /// estimate is off by about a third. Fewer arrivals would request VMs for random variations; more would detect a change
+    /// later.
     pub arrivals: usize,
-    /// Work that will be late gets the VMs that work in time leaves, in place of an equal claim:
-    /// 0.57 in place of 0.56 of what is owed, less costs, in the mean of 24 days with mixed
-    /// failures.
+    /// Whether work that will be late gets only the VMs that work in time leaves over, instead of an equal share. This raises
+    /// the mean net value from 0.56 to 0.57 of the value due, over 24 days with mixed failures.
     pub late_last: bool,
-    /// Work that follows what runs now counts only if it will not have ended either when VMs come. Without this a pool of 350 VMs
-    /// in its turn told 1,100 to 1,300 cores of such work, with it 400 to 700, of 2,000 that were used.
+    /// Whether steps that follow the running ones are left out of the need if they will have ended before new VMs arrive. At
+    /// peak load this lowers the reported need for such steps in a pool of 350 VMs from 1,100 to 1,300 cores to 400 to 700,
+    /// with 2,000 in use.
     pub leaves_out_ended: bool,
-    /// VMs that a pool keeps at least, so that the first jobs of a turn start at once.
+    /// The minimum number of VMs of a pool, so that the first jobs start at once when its load rises.
     pub floor_vms: usize,
 }
 
-/// How VMs move between pools.
+/// The parameters for moving VMs between pools.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MovePolicy {
-    /// What a pool keeps beyond its need when others are short, in percent.
+    /// The margin that a pool keeps above its need when other pools are short, in percent.
     pub margin_percent: usize,
-    /// How long a pool keeps what it needed last, in milliseconds. Two moves cost as much as two
-    /// seconds of an idle VM (the sites' prices: 0.088 a move, 0.077 a VM-second).
+    /// How long a pool keeps VMs that it no longer needs, in milliseconds. Two moves cost about as much as two seconds of an
+    /// idle VM (the sites' prices are 0.088 for a move and 0.077 for a VM-second).
     pub keep_ms: Ms,
-    /// How long a VM that got work where it was moved to stays there, in milliseconds.
+    /// The minimum time that a VM with work stays in the pool to which it was moved, in milliseconds.
     pub stay_ms: Ms,
-    /// Share of all VMs that may be on their way to another pool at once, in percent.
+    /// The maximum share of all VMs that may be moving between pools at once, in percent.
     pub at_once_percent: usize,
-    /// Tasks that save their progress are stopped on VMs that another pool needs.
+    /// Whether tasks with checkpoints are stopped on VMs that another pool needs.
     pub stop_tasks: bool,
 }
 
-/// How waves of maintenance are done.
+/// The parameters for maintenance waves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WavePolicy {
-    /// VMs of pools that are short of them wait while the wave has time.
+    /// Whether VMs of pools that are short of VMs are maintained last, as long as the wave has time.
     pub wait_for_pools: bool,
-    /// While a pool is short of VMs, no more are worked on than must be for the wave to be in time:
-    /// otherwise a wave holds a fifth of 49 VMs at the onset of a turn.
+    /// Whether a wave, while a pool is short of VMs, works on only as many VMs at once as it must to finish in time.
+    /// Otherwise a wave occupies a fifth of 49 VMs just when the load of a pool rises.
     pub pace: bool,
 }
 
-/// Whose jobs go first when a pool is full.
+/// Which jobs go first when a pool is full.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SharePolicy {
-    /// Those that are due first, whoever sent them.
+    /// Jobs that are due first, whichever workspace submitted them.
     DueFirst,
-    /// The same, but what a workspace sends beyond its weight in jobs a second goes last.
+    /// Jobs that are due first, but those that a workspace submits beyond its weight in jobs a second go last.
     #[default]
     BeyondLast,
 }
 
-/// How tasks are ordered and placed.
+/// The parameters for ordering and placing tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TaskPolicy {
-    /// A late job that must begin within this time to be of use at all goes before those that can
-    /// be in time, in milliseconds; 0 lets it wait.
+    /// A late job that must start within this time to have any value goes before jobs that can finish in time, in
+    /// milliseconds; 0 disables this.
     pub rescue_ms: Ms,
-    /// Whose jobs go first when not all can.
+    /// Which jobs go first when a pool is full.
     pub shares: SharePolicy,
-    /// Filling tasks are slowed down while a serving task beside them is near its target.
+    /// Whether tasks that use leftover processor time are slowed down while a serving task on the same VM is near its target.
     pub pacing: bool,
-    /// Tasks under which VMs crashed are started with nothing of other jobs beside them.
+    /// Whether tasks under which VMs crashed start only on VMs without tasks of other jobs.
     pub keep_suspects_apart: bool,
-    /// How long a new owner moves no lasting tasks, in milliseconds: its predecessor's last stops
-    /// may be under way, of which no record tells. The users' VMs take 900 ms at most to stop a
-    /// run, and the next report comes within half a second.
+    /// How long a new owner moves no lasting tasks, in milliseconds. Its predecessor's last stops may still be in progress and
+    /// are not recorded. A VM takes at most 900 ms to stop a run, and the next report arrives within half a second.
     pub pause_after_takeover_ms: Ms,
 }
 
--- a/crates/schedule/src/workspace.rs
+++ b/crates/schedule/src/workspace.rs
@@ -1,4 +1,4 @@
-//! Workspaces: who may call, how much each may run at once, and what share each has of a full fleet.
+//! Workspaces: the keys of their callers, their caps on running tasks, and their shares of a full fleet.
 
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet};
@@ -14,29 +14,29 @@
 /// A team that shares the fleet with others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Workspace {
-    /// Its name.
+    /// The name of the workspace.
     pub name: Arc<str>,
-    /// Its share of a full fleet, relative to those of others; also the jobs a second that it is promised.
+    /// The share of a full fleet relative to other workspaces. It is also the guaranteed rate in jobs a second.
     pub weight: u32,
-    /// The most that it may have running at once over all pools; a kind that is 0 has no limit.
+    /// The maximum capacity that its tasks may use at once over all pools. A resource with the value 0 has no limit.
     pub cap: Room,
-    /// The version of the configuration since which it has surely been limited: as far as this process has read on, or the first
-    /// one that it has read.
+    /// The version of the configuration since which the workspace has surely been limited, as far as this process has read
+    /// the versions. It is at least the first version that the process read.
     pub limited_since: u64,
 }
 
-/// As how many workspaces at most metrics name by themselves: the largest. Each name is a series on each of some hundred nodes, and
-/// an operator's 400 workspaces would be most of what is scraped.
-const MOST_NAMED: usize = 32;
-/// As what metrics count the others, and calls of no workspace.
-const UNNAMED: &str = "other";
+/// The maximum number of workspaces, the largest ones, that metrics label by name. Each name is a series on each of about a
+/// hundred nodes, and 400 workspaces would dominate the scraped data.
+const MAX_LABELLED: usize = 32;
+/// The metrics label of all other workspaces, and of calls without a workspace.
+const OTHER_LABEL: &str = "other";
 
-/// A secret of this process with which keys are hashed, so that neither memory nor the time of a look-up tells of them.
+/// A secret of this process with which keys are hashed, so that neither memory nor the duration of a lookup reveals them.
 #[derive(Clone)]
 pub struct KeySecret([u8; 32]);
 
 impl KeySecret {
-    /// Makes a secret of random bytes.
+    /// Creates a secret from random bytes.
     pub const fn new(bytes: [u8; 32]) -> Self {
         Self(bytes)
     }
@@ -55,16 +55,16 @@
     }
 }
 
-/// The hash of a key. Whoever does not know the secret cannot choose it, so that the time of a comparison tells nothing.
+/// The hash of a key. It cannot be predicted without the secret, so that the duration of a comparison reveals nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct KeyDigest([u8; 32]);
 
-/// A workspace with its keys, as it is configured.
+/// The configuration of a workspace with its keys.
 #[derive(Clone, Debug)]
 pub struct WorkspaceConfig {
     /// The workspace.
     pub workspace: Workspace,
-    /// The keys that its callers show.
+    /// The keys of its callers.
     pub keys: Vec<String>,
 }
 
@@ -73,15 +73,15 @@
 pub struct Workspaces {
     all: Vec<Workspace>,
     by_name: HashMap<Arc<str>, usize>,
-    /// Which workspace holds a key; none if several do.
+    /// The index of the workspace to which a key belongs, or `None` if several workspaces have the key.
     by_key: HashMap<KeyDigest, Option<usize>>,
-    /// Those that metrics name.
-    named: HashSet<Arc<str>>,
-    doubts: Vec<String>,
+    /// The workspaces that metrics label by name.
+    labelled: HashSet<Arc<str>>,
+    warnings: Vec<String>,
 }
 
 impl Workspaces {
-    /// Takes in workspaces; those that cannot be told apart are left out and named in [`Workspaces::doubts`].
+    /// Creates the set of workspaces. Ambiguous names and keys are left out and reported by [`Workspaces::doubts`].
     pub fn new(configs: Vec<WorkspaceConfig>, secret: &KeySecret) -> Self {
         let mut workspaces = Self::default();
         for config in configs {
@@ -89,33 +89,35 @@
         }
         let mut largest: Vec<&Workspace> = workspaces.all.iter().collect();
         largest.sort_by_key(|w| (Reverse(w.weight), w.name.clone()));
-        workspaces.named = largest.into_iter().take(MOST_NAMED).map(|w| w.name.clone()).collect();
+        workspaces.labelled =
+            largest.into_iter().take(MAX_LABELLED).map(|w| w.name.clone()).collect();
         workspaces
     }
 
-    /// Returns by what name metrics count a workspace: few are named, so that their number is bounded.
+    /// Returns the metrics label of a workspace. Only the largest are labelled by name, which bounds the number of series.
     pub fn metric_name(&self, workspace: &str) -> &str {
-        self.named.get(workspace).map_or(UNNAMED, |name| name)
+        self.labelled.get(workspace).map_or(OTHER_LABEL, |name| name)
     }
 
     fn add(&mut self, config: WorkspaceConfig, secret: &KeySecret) {
         let name = config.workspace.name.clone();
         if name.is_empty() {
-            self.doubts.push("a workspace without a name is left out".to_owned());
+            self.warnings.push("a workspace has no name and is left out".to_owned());
             return;
         }
         if self.by_name.contains_key(&name) {
-            self.doubts.push(format!("workspace '{name}' stands twice: the second is left out"));
+            self.warnings
+                .push(format!("workspace '{name}' is configured twice: the second is left out"));
             return;
         }
         let index = self.all.len();
         for key in config.keys.iter().filter(|key| !key.is_empty()) {
             let holder = self.by_key.entry(secret.digest(key)).or_insert(Some(index));
             if *holder != Some(index) {
-                // A key in doubt lets nobody in.
+                // An ambiguous key admits no caller.
                 *holder = None;
-                self.doubts.push(format!(
-                    "a key of workspace '{name}' is another's too: it names neither"
+                self.warnings.push(format!(
+                    "a key of workspace '{name}' also belongs to another workspace: it is valid for neither"
                 ));
             }
         }
@@ -123,7 +125,7 @@
         self.all.push(config.workspace);
     }
 
-    /// Takes in the version before, if one was read: which workspaces were limited there, and since when.
+    /// Takes `limited_since` of each workspace from the previous version of the configuration, if one was read.
     pub fn follow(&mut self, before: Option<&Self>, version: u64) {
         for workspace in self.all.iter_mut().filter(|w| limits(w.cap)) {
             let known = before.and_then(|before| before.get(&workspace.name));
@@ -132,13 +134,13 @@
         }
     }
 
-    /// Returns the workspace that a key names.
+    /// Returns the workspace to which a key belongs.
     pub fn of_key(&self, key: &str, secret: &KeySecret) -> Option<&Workspace> {
         let index = *self.by_key.get(&secret.digest(key))?;
         self.all.get(index?)
     }
 
-    /// Returns the workspace of this name.
+    /// Returns the workspace with a name.
     pub fn get(&self, name: &str) -> Option<&Workspace> {
         self.all.get(*self.by_name.get(name)?)
     }
@@ -148,29 +150,29 @@
         &self.all
     }
 
-    /// Returns how many keys are known.
+    /// Returns the number of keys.
     pub fn keys(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Returns what of the configuration was left out, for the log; no line holds a key.
+    /// Returns log messages about parts of the configuration that were left out. They contain no keys.
     pub fn doubts(&self) -> &[String] {
-        &self.doubts
+        &self.warnings
     }
 }
 
-/// On whose behalf a call is made, as the node that took it decided by its key.
+/// The caller of a request, as the node that accepted the request determined by its key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Caller {
     /// The queue that was called.
     pub queue: String,
-    /// The workspace whose key was shown; none at an open queue.
+    /// The workspace to which the key belongs, or `None` at an open queue.
     pub workspace: Option<String>,
 }
 
 impl Caller {
-    /// Returns whether the caller may see and cancel a job: its workspace's own, one of no workspace, and at a
-    /// queue that has become open all that were submitted there.
+    /// Returns whether the caller may see and cancel a job: one of its own workspace, one without a workspace, or any job of the
+    /// same queue if the queue has become open.
     pub fn may_see(&self, job: &JobSpec) -> bool {
         match &self.workspace {
             _ if job.workspace.is_empty() => true,
