--- a/crates/schedule/src/quota/ledger.rs
+++ b/crates/schedule/src/quota/ledger.rs
@@ -1,4 +1,4 @@
-//! A pool's side: what each workspace has running here, and how much more it may start.
+//! The ledger of a pool: what each workspace has running in it, and how much more it may start.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,58 +11,60 @@
 use crate::workspace::Workspace;
 
 new_key_type! {
-    /// A workspace in a pool's arena.
+    /// The key of a workspace in a pool's arena.
     pub struct WorkspaceKey;
 }
 
-/// A workspace as a pool's owner knows it.
+/// The account of a workspace in a pool.
 #[derive(Clone, Debug, Default)]
 struct Entry {
     name: Arc<str>,
-    /// Its cap by the newest configuration, or the last that named it.
+    /// The cap by the newest configuration, or by the last one that named the workspace.
     cap: Option<Room>,
-    /// The version since which it has been limited; records of before know nothing of what was started without a limit.
+    /// The version of the configuration since which the workspace has been limited. Older records do not account for tasks
+    /// that started without a limit.
     limited_since: u64,
-    /// How its cap is lent, by the newest record.
+    /// The newest record of how its cap is lent.
     lent: Option<LentCap>,
-    /// What it has running here, or may have.
+    /// The capacity that it uses in the pool, or may use.
     used: Room,
-    /// A start was held back since its shares were last looked at.
+    /// Whether a start was held back since the last record or report.
     held_back: bool,
-    /// What was last said of it.
-    said: Option<CapUse>,
-    /// The newest version of the configuration by which one of its jobs was let in.
+    /// The last report on it to the lender.
+    reported: Option<CapUse>,
+    /// The newest version of the configuration under which one of its jobs was admitted.
     admitted_by: u64,
-    /// Its share, if it is known: also the jobs a second that it is promised.
+    /// Its share of a full fleet, if known. It is also the guaranteed rate in jobs a second.
     weight: Option<u32>,
     jobs: JobAccount,
 }
 
-/// For how many seconds a workspace may save up jobs that it has not sent: the users judge what it sends over as long.
-const SAVED_UP_S: u64 = 5;
-/// Thousandths of a job.
+/// The burst allowance of a workspace: the seconds for which it may accumulate unused jobs. The rate of a workspace is judged
+/// over the same time.
+const BURST_S: u64 = 5;
+/// One job in thousandths of a job.
 const JOB: u64 = 1_000;
 
-/// The jobs that a workspace may send within its share, by what it has sent.
+/// The rate limiter of a workspace's jobs, a leaky bucket.
 #[derive(Clone, Copy, Debug, Default)]
 struct JobAccount {
-    /// Thousandths of jobs that were spent and are not paid off yet.
-    spent: u64,
-    /// When that was so, by the steady clock.
-    at: Ms,
+    /// The level of the bucket in thousandths of a job.
+    level: u64,
+    /// When the level was last updated, by the monotonic clock.
+    updated_at: Ms,
 }
 
 impl JobAccount {
-    /// Takes a job in, and returns whether it is within the share.
-    fn take(&mut self, weight: u32, now: Ms) -> bool {
+    /// Charges a job, and returns whether it is within the share.
+    fn charge(&mut self, weight: u32, now: Ms) -> bool {
         let weight = u64::from(weight);
-        let passed = now.saturating_sub(self.at);
-        // A thousandth of a job for each millisecond and unit of weight.
-        self.spent = self.spent.saturating_sub(passed.saturating_mul(weight));
-        self.at = self.at.max(now);
-        let within = self.spent + JOB <= weight * JOB * SAVED_UP_S;
-        // What goes beyond costs nothing: a workspace that goes on sending too much keeps its share.
-        self.spent += if within { JOB } else { 0 };
+        let passed = now.saturating_sub(self.updated_at);
+        // The level falls by a thousandth of a job for each millisecond and unit of weight.
+        self.level = self.level.saturating_sub(passed.saturating_mul(weight));
+        self.updated_at = self.updated_at.max(now);
+        let within = self.level + JOB <= weight * JOB * BURST_S;
+        // Jobs beyond the share are not charged, so that a workspace that keeps sending too many jobs keeps its share.
+        self.level += if within { JOB } else { 0 };
         within
     }
 }
@@ -74,35 +76,36 @@
     pub workspace: Arc<str>,
     /// Its cap.
     pub cap: Room,
-    /// What this pool is lent of it; nothing if no record tells, or only one of a higher cap.
+    /// The share of this pool; zero if there is no record, or only one of a higher cap.
     pub share: Room,
-    /// What it has running here, or may have.
+    /// The capacity that the workspace uses in this pool, or may use.
     pub used: Room,
-    /// The record's number.
+    /// The number of the record.
     pub number: u64,
 }
 
-/// What workspaces have running in a pool, and what they may.
+/// The use and the limits of each workspace in a pool.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     pool: Arc<str>,
     arena: SlotMap<WorkspaceKey, Entry>,
     by_name: HashMap<Arc<str>, WorkspaceKey>,
-    /// The version of the configuration whose caps are known.
+    /// The version of the configuration from which the caps come.
     version: u64,
     /// The version of the configuration for which the records hold.
     as_of: u64,
-    /// The newest records have been read since this owner came to own the pool: before, it may be lent less than it knows.
+    /// Whether the newest records have been read since this owner claimed the pool. Before, the pool may be lent less than
+    /// the owner knows.
     records_read: bool,
 }
 
 impl Ledger {
-    /// Makes the ledger of a pool; nothing that is capped starts before [`Ledger::set_records`].
+    /// Creates the ledger of a pool. No task of a capped workspace starts before [`Ledger::set_records`] is called.
     pub fn new(pool: Arc<str>) -> Self {
         Self { pool, ..Self::default() }
     }
 
-    /// Returns a workspace's key; none for jobs of no workspace.
+    /// Returns the key of a workspace, or `None` for jobs without a workspace.
     pub fn key(&mut self, name: &str) -> Option<WorkspaceKey> {
         if name.is_empty() {
             return None;
@@ -116,7 +119,8 @@
         Some(key)
     }
 
-    /// Returns the key of a job's workspace, whose caller was let in by a version of the configuration.
+    /// Returns the key of a job's workspace. `admitted_by` is the version of the configuration under which its caller was
+    /// admitted.
     pub fn key_of_job(&mut self, name: &str, admitted_by: u64) -> Option<WorkspaceKey> {
         let key = self.key(name)?;
         let entry = &mut self.arena[key];
@@ -124,7 +128,7 @@
         Some(key)
     }
 
-    /// Takes in the workspaces of a version of the configuration.
+    /// Sets the workspaces of a version of the configuration.
     pub fn set_workspaces(&mut self, version: u64, workspaces: &[Workspace]) {
         self.version = version;
         for workspace in workspaces {
@@ -136,14 +140,14 @@
         }
     }
 
-    /// Takes in a job that was accepted at some time, and returns whether it is within its workspace's share.
+    /// Charges a job that was accepted at a time to its workspace, and returns whether it is within the workspace's share.
     pub fn take_job(&mut self, key: Option<WorkspaceKey>, accepted: Ms) -> bool {
         let Some(entry) = key.and_then(|key| self.arena.get_mut(key)) else { return true };
         let Some(weight) = entry.weight else { return true };
-        entry.jobs.take(weight, accepted)
+        entry.jobs.charge(weight, accepted)
     }
 
-    /// Takes in the newest records of how caps are lent, and the version for which they hold.
+    /// Sets the newest records of how caps are lent, and the version of the configuration for which they hold.
     pub fn set_records<'a>(&mut self, as_of: u64, records: impl Iterator<Item = &'a LentCap>) {
         self.records_read = true;
         self.as_of = self.as_of.max(as_of);
@@ -157,21 +161,21 @@
         }
     }
 
-    /// Counts what a run may take from now on.
+    /// Adds the capacity that a run may use from now on.
     pub fn add(&mut self, key: Option<WorkspaceKey>, room: Room) {
         if let Some(entry) = key.and_then(|key| self.arena.get_mut(key)) {
             entry.used = entry.used.plus(room);
         }
     }
 
-    /// Counts what a run surely takes no more.
+    /// Removes the capacity that a run surely no longer uses.
     pub fn remove(&mut self, key: Option<WorkspaceKey>, room: Room) {
         if let Some(entry) = key.and_then(|key| self.arena.get_mut(key)) {
             entry.used = entry.used.minus(room);
         }
     }
 
-    /// Returns whether something more of a workspace may start; if not, that is noted.
+    /// Returns whether a workspace may use some more capacity. If not, the workspace is marked as held back.
     pub fn may_start(&mut self, key: Option<WorkspaceKey>, room: Room) -> bool {
         let Some(key) = key else { return true };
         let view = self.view();
@@ -181,14 +185,14 @@
         allowed
     }
 
-    /// Returns how much processor a workspace may have running in all, if that is limited.
+    /// Returns how much more processor a workspace may use under its cap, if that is limited.
     pub fn cpu_left(&self, key: WorkspaceKey) -> Option<u64> {
         let entry = self.arena.get(key)?;
         let cap = entry.cap.filter(|cap| cap.cpu > 0)?;
         Some(u64::from(cap.cpu.saturating_sub(entry.used.cpu)))
     }
 
-    /// Returns the workspaces whose starts are held back, and by what.
+    /// Returns the workspaces whose starts are held back, with their limits.
     pub fn held(&self) -> impl Iterator<Item = Held> {
         self.arena.values().filter(|e| e.held_back).map(|e| Held {
             workspace: e.name.clone(),
@@ -199,36 +203,36 @@
         })
     }
 
-    /// Returns what there is to say to the lender, given what each workspace has waiting: of those that are short or were, and
-    /// of those whose record is newer than what was said.
+    /// Returns the reports to send to the lender, given the waiting demand of each workspace. They cover workspaces that are or
+    /// were short, that want less than last reported, or whose record is newer than the last report.
     pub fn to_say(
         &mut self,
         token: u64,
         count: &mut u64,
         waiting: &HashMap<WorkspaceKey, Room>,
     ) -> Vec<CapUse> {
-        let mut news = Vec::new();
+        let mut reports = Vec::new();
         for (key, entry) in &mut self.arena {
-            // Who sees no limit goes by no record.
+            // A workspace without a limit follows no record.
             let limited = entry.cap_now(self.version).is_some_and(limits);
             let Some(lent) = entry.lent.as_ref().filter(|_| self.records_read && limited) else {
                 continue;
             };
-            let waits = waiting.get(&key).copied().unwrap_or_default();
-            let wanted = entry.used.plus(waits);
+            let queued = waiting.get(&key).copied().unwrap_or_default();
+            let wanted = entry.used.plus(queued);
             let share = lent.share(&self.pool).map(|s| s.room).unwrap_or_default();
-            let said = entry.said.as_ref();
+            let reported = entry.reported.as_ref();
             let is_short = entry.held_back || !within(wanted, share, lent.cap);
-            let was_short = said.is_some_and(|said| !within(said.wanted, share, lent.cap));
-            let is_new = said.is_none_or(|said| said.number < lent.number && said.said.0 <= token);
-            let differs = said.is_none_or(|said| said.used != entry.used || said.wanted != wanted);
-            let gives =
-                lent.is_short && said.is_some_and(|said| has_fallen(wanted, said.wanted, lent.cap));
-            if !(is_new || gives || (is_short || was_short) && differs) {
+            let was_short = reported.is_some_and(|r| !within(r.wanted, share, lent.cap));
+            let is_new = reported.is_none_or(|r| r.number < lent.number && r.said.0 <= token);
+            let differs = reported.is_none_or(|r| r.used != entry.used || r.wanted != wanted);
+            let can_return =
+                lent.is_short && reported.is_some_and(|r| has_fallen(wanted, r.wanted, lent.cap));
+            if !(is_new || can_return || (is_short || was_short) && differs) {
                 continue;
             }
             *count += 1;
-            let said = CapUse {
+            let report = CapUse {
                 pool: self.pool.to_string(),
                 workspace: entry.name.to_string(),
                 said: (token, *count),
@@ -237,21 +241,21 @@
                 wanted,
             };
             entry.held_back = false;
-            entry.said = Some(said.clone());
-            news.push(said);
+            entry.reported = Some(report.clone());
+            reports.push(report);
         }
-        news
+        reports
     }
 
-    /// Takes in that what was said may not have arrived: all of it is said again.
+    /// Forgets all reports, as they may not have arrived, so that they are sent again.
     pub fn forget_said(&mut self) {
         for entry in self.arena.values_mut() {
-            entry.said = None;
+            entry.reported = None;
         }
     }
 
-    fn view(&self) -> View {
-        View {
+    fn view(&self) -> LedgerView {
+        LedgerView {
             pool: self.pool.clone(),
             version: self.version,
             as_of: self.as_of,
@@ -260,8 +264,8 @@
     }
 }
 
-/// What of a ledger concerns each of its workspaces.
-struct View {
+/// The fields of a ledger that are needed for each of its workspaces.
+struct LedgerView {
     pool: Arc<str>,
     version: u64,
     as_of: u64,
@@ -269,23 +273,23 @@
 }
 
 impl Entry {
-    /// Returns its cap: by the newest configuration, or by a record that goes by a newer one than this node has. One that no
-    /// configuration names any more keeps to the last that was lent.
+    /// Returns the cap by the newest configuration, or by a record that is based on a newer one than this node has read. A
+    /// workspace that is no longer configured keeps the last cap that was lent.
     fn cap_now(&self, version: u64) -> Option<Room> {
         let newer = self.lent.as_ref().filter(|lent| lent.version > version);
         let known = self.cap.or(self.lent.as_ref().map(|lent| lent.cap));
         newer.map(|lent| lent.cap).or(known)
     }
 
-    /// Returns how much it may have running here; none if nothing limits it.
-    fn share(&self, view: &View) -> Option<Room> {
+    /// Returns the maximum that the workspace may have running in this pool, or `None` if it is not limited.
+    fn share(&self, view: &LedgerView) -> Option<Room> {
         let Some(cap) = self.cap_now(view.version) else {
-            // Its cap is not known yet, or it never had one.
+            // The cap is not known yet, or the workspace never had one.
             let unknown = view.version < self.admitted_by || !view.records_read;
             return unknown.then(Room::default);
         };
         if !limits(cap) {
-            // Its predecessor may have gone by a limit that this node does not know of yet.
+            // The predecessor may have applied a limit that this node does not know yet.
             return (!view.records_read).then(Room::default);
         }
         let counts = |lent: &&LentCap| {
@@ -297,24 +301,26 @@
         Some(lent.share(&view.pool).map(|share| share.room).unwrap_or_default())
     }
 
-    fn allows(&self, view: &View, room: Room) -> bool {
+    fn allows(&self, view: &LedgerView, room: Room) -> bool {
         let Some(share) = self.share(view) else { return true };
         let lent = self.lent.as_ref().map(|lent| lent.cap).unwrap_or_default();
-        // What is larger than the cap runs alone: one task more than the cap is allowed.
+        // A task that is larger than the cap may run alone: exceeding the cap by one task is allowed.
         let alone = self.used == Room::default() && limits(lent) && within(lent, share, lent);
         alone || limits(lent) && within(self.used.plus(room), share, lent)
     }
 }
 
-/// What a pool wants less than it has said is told others that are short once it is one of so many parts of the cap.
-const FALLEN_PART: u32 = 32;
+/// While another pool is short, a pool reports that it wants less once the difference exceeds the cap divided by this number.
+const FALLEN_DIVISOR: u32 = 32;
 
-fn has_fallen(wanted: Room, said: Room, cap: Room) -> bool {
-    let mut kinds = kinds(wanted).into_iter().zip(kinds(said)).zip(kinds(cap));
-    kinds.any(|((wanted, said), cap)| cap > 0 && said.saturating_sub(wanted) > cap / FALLEN_PART)
+fn has_fallen(wanted: Room, reported: Room, cap: Room) -> bool {
+    let mut kinds = kinds(wanted).into_iter().zip(kinds(reported)).zip(kinds(cap));
+    kinds.any(|((wanted, reported), cap)| {
+        cap > 0 && reported.saturating_sub(wanted) > cap / FALLEN_DIVISOR
+    })
 }
 
-/// Returns whether a cap is lent that is higher than the one in force: what pools have running may be over that.
+/// Returns whether the lent cap is higher than the current one, so that the pools' use may exceed the current one.
 fn is_higher(lent: Room, cap: Room) -> bool {
     let mut kinds = kinds(lent).into_iter().zip(kinds(cap));
     kinds.any(|(lent, cap)| cap > 0 && (lent == 0 || lent > cap))
--- a/crates/schedule/src/quota/lender.rs
+++ b/crates/schedule/src/quota/lender.rs
@@ -1,4 +1,4 @@
-//! The lender's decision: how each cap is split among the pools.
+//! The lender, which decides how each cap is split among the pools.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -7,37 +7,37 @@
 use crate::vm::Room;
 use crate::workspace::Workspace;
 
-/// A split is written anew for a pool that is short only if it gains at least one of so many parts of the cap, or all
-/// that it is short of: each record is a call to the store, and what pools want changes with each task.
-const LEAST_GAIN_PART: u64 = 32;
+/// A cap is split again for a pool that is short only if the pool gains at least the cap divided by this number, or all that
+/// it lacks. Each record is a call to the store, and the pools' demand changes with each task.
+const MIN_GAIN_DIVISOR: u64 = 32;
 
-/// If so much of a cap as one of so many parts is lent to nobody and could be, it is lent though no pool is short: a pool whose turn
-/// begins has something to begin with.
-const UNLENT_PART: u64 = 2;
+/// A cap is also split again if no pool is short but at least the cap divided by this number is not lent and could be. A pool
+/// whose demand rises then already has a share to start with.
+const UNLENT_DIVISOR: u64 = 2;
 
-/// Nothing is known of what a pool has running.
+/// The bound of a pool whose use is not known.
 const NO_BOUND: Room = Room { cpu: u32::MAX, mem_mb: u32::MAX, gpu: u32::MAX };
 
-/// Splits caps among pools by what each wants.
+/// Splits caps among pools by their demand.
 #[derive(Clone, Debug, Default)]
 pub struct Lender {
     pools: Vec<Arc<str>>,
     version: u64,
-    /// The version for which all splits hold, as it was written last.
+    /// The version of the configuration for which all splits hold, as last written.
     as_of: u64,
     limited: BTreeMap<Arc<str>, Workspace>,
     lent: BTreeMap<Arc<str>, LentCap>,
-    said: HashMap<(Arc<str>, Arc<str>), CapUse>,
+    reports: HashMap<(Arc<str>, Arc<str>), CapUse>,
 }
 
 impl Lender {
-    /// Goes on from the records of its predecessors, which hold for a version of the configuration.
+    /// Continues from the records of its predecessors, which hold for a version of the configuration.
     pub fn new(as_of: u64, records: Vec<LentCap>) -> Self {
         let lent = records.into_iter().map(|lent| (lent.workspace.as_str().into(), lent)).collect();
         Self { as_of, lent, ..Self::default() }
     }
 
-    /// Sets the pools that run jobs, and the workspaces, by a version of the configuration.
+    /// Sets the pools that run jobs, and the workspaces, of a version of the configuration.
     pub fn set_config(
         &mut self,
         version: u64,
@@ -50,8 +50,8 @@
         self.limited = limited.map(|w| (w.name.clone(), w.clone())).collect();
     }
 
-    /// Returns whether a workspace may have been without a limit since its cap was last split, or ever if it was not: what pools
-    /// have started meanwhile is known by none of their words.
+    /// Returns whether a workspace may have been unlimited since its cap was last split, or at any time if it never was. The
+    /// pools' reports then do not cover the tasks that started meanwhile.
     fn was_unlimited(&self, workspace: &Workspace, before: Option<&LentCap>) -> bool {
         before.is_none_or(|lent| {
             let held_since = lent.version.max(self.as_of);
@@ -59,21 +59,21 @@
         })
     }
 
-    /// Takes in what a pool's owner says; what was said before is no news.
-    pub fn take(&mut self, said: CapUse) {
-        let key = (Arc::from(said.pool.as_str()), Arc::from(said.workspace.as_str()));
-        let known = self.said.get(&key);
-        if known.is_none_or(|known| known.said < said.said) {
-            self.said.insert(key, said);
+    /// Records the report of a pool's owner, unless a later one is known.
+    pub fn take(&mut self, report: CapUse) {
+        let key = (Arc::from(report.pool.as_str()), Arc::from(report.workspace.as_str()));
+        let known = self.reports.get(&key);
+        if known.is_none_or(|known| known.said < report.said) {
+            self.reports.insert(key, report);
         }
     }
 
-    /// Returns how each workspace's cap is lent.
+    /// Returns the current record of each workspace's cap.
     pub fn lent(&self) -> impl Iterator<Item = &LentCap> {
         self.lent.values()
     }
 
-    /// Decides which caps are split anew. The records are to be written before anything else is asked of the lender.
+    /// Decides which caps are split again. The records must be written before the lender is called again.
     pub fn plan(&mut self) -> Splits {
         let limited: Vec<Workspace> = self.limited.values().cloned().collect();
         let mut splits = Splits::default();
@@ -90,28 +90,28 @@
         splits
     }
 
-    /// Returns a cap's new split, if there is to be one.
+    /// Returns a cap's new split, if it needs one.
     fn split(&self, workspace: &Workspace) -> Option<LentCap> {
         let (name, cap) = (&workspace.name, workspace.cap);
         let before = self.lent.get(name);
         let unknown = self.was_unlimited(workspace, before);
         let mut pools: Vec<Arc<str>> = self.pools.clone();
-        // One that is not configured any more may still run what it has.
+        // A pool that is no longer configured may still have running tasks.
         let gone = before.into_iter().flat_map(|lent| &lent.shares);
         pools.extend(gone.map(|s| Arc::from(s.pool.as_str())).filter(|p| !self.pools.contains(p)));
-        let stands = |pool: &Arc<str>| match unknown {
-            // Each pool says what it has running once it goes by this record.
-            true => Standing { bound: NO_BOUND, ..Standing::default() },
-            false => self.standing(name, pool, before),
+        let status = |pool: &Arc<str>| match unknown {
+            // Each pool reports its use once it follows this record.
+            true => PoolStatus { bound: NO_BOUND, ..PoolStatus::default() },
+            false => self.pool_status(name, pool, before),
         };
-        let standings: Vec<Standing> = pools.iter().map(stands).collect();
+        let statuses: Vec<PoolStatus> = pools.iter().map(status).collect();
         let same_terms = before.is_some_and(|lent| {
             lent.cap == cap && pools.iter().all(|pool| lent.share(pool).is_some())
         });
         let mut shares: Vec<[u32; 3]> = vec![[0; 3]; pools.len()];
         let mut is_due = !same_terms || unknown;
         for kind in 0..3 {
-            let column: Vec<OfKind> = standings.iter().map(|s| s.of_kind(kind)).collect();
+            let column: Vec<ResourceStatus> = statuses.iter().map(|s| s.of_kind(kind)).collect();
             let total = u64::from(kinds(cap)[kind]);
             let new = if total == 0 { vec![0; pools.len()] } else { split_kind(total, &column) };
             is_due |= total > 0 && is_worth_it(total, &column, &new);
@@ -122,42 +122,47 @@
         if !is_due {
             return None;
         }
-        let share = |((pool, room), standing): ((&Arc<str>, [u32; 3]), &Standing)| {
+        let share = |((pool, room), status): ((&Arc<str>, [u32; 3]), &PoolStatus)| {
             let room = of_kinds(room);
-            Share { pool: pool.to_string(), room, bound: room.greater_of_each(standing.bound) }
+            Share { pool: pool.to_string(), room, bound: room.greater_of_each(status.bound) }
         };
-        let shares: Vec<Share> = pools.iter().zip(shares).zip(&standings).map(share).collect();
-        let mut wanted = shares.iter().zip(&standings);
-        let is_short = wanted.any(|(share, standing)| !within(standing.wanted, share.room, cap));
+        let shares: Vec<Share> = pools.iter().zip(shares).zip(&statuses).map(share).collect();
+        let mut wanted = shares.iter().zip(&statuses);
+        let is_short = wanted.any(|(share, status)| !within(status.wanted, share.room, cap));
         let (workspace, number) = (name.to_string(), before.map_or(0, |lent| lent.number) + 1);
         Some(LentCap { workspace, number, version: self.version, cap, shares, is_short })
     }
 
-    fn standing(&self, workspace: &Arc<str>, pool: &Arc<str>, lent: Option<&LentCap>) -> Standing {
-        let Some(lent) = lent else { return Standing::default() };
+    fn pool_status(
+        &self,
+        workspace: &Arc<str>,
+        pool: &Arc<str>,
+        lent: Option<&LentCap>,
+    ) -> PoolStatus {
+        let Some(lent) = lent else { return PoolStatus::default() };
         let share = lent.share(pool).cloned().unwrap_or_default();
-        let said = self.said.get(&(pool.clone(), workspace.clone()));
-        let (used, wanted) = said.map(|s| (s.used, s.wanted)).unwrap_or_default();
-        // What it said under an older record does not bind it to this one.
-        let bound = match said {
-            Some(said) if said.number == lent.number => share.room.greater_of_each(used),
+        let report = self.reports.get(&(pool.clone(), workspace.clone()));
+        let (used, wanted) = report.map(|r| (r.used, r.wanted)).unwrap_or_default();
+        // A report on an older record does not lower the bound of this one.
+        let bound = match report {
+            Some(report) if report.number == lent.number => share.room.greater_of_each(used),
             _ => share.bound,
         };
-        Standing { share: share.room, bound, wanted: wanted.greater_of_each(used) }
+        PoolStatus { share: share.room, bound, wanted: wanted.greater_of_each(used) }
     }
 }
 
-/// How a pool stands with a workspace's cap.
+/// The status of a pool with respect to a workspace's cap.
 #[derive(Clone, Copy, Debug, Default)]
-struct Standing {
+struct PoolStatus {
     share: Room,
     bound: Room,
     wanted: Room,
 }
 
-impl Standing {
-    const fn of_kind(&self, kind: usize) -> OfKind {
-        OfKind {
+impl PoolStatus {
+    const fn of_kind(&self, kind: usize) -> ResourceStatus {
+        ResourceStatus {
             share: kinds(self.share)[kind] as u64,
             bound: kinds(self.bound)[kind] as u64,
             wanted: kinds(self.wanted)[kind] as u64,
@@ -165,68 +170,69 @@
     }
 }
 
-/// The same of one kind of room.
+/// The status of a pool for one resource.
 #[derive(Clone, Copy, Debug, Default)]
-struct OfKind {
+struct ResourceStatus {
     share: u64,
     bound: u64,
     wanted: u64,
 }
 
-/// Splits one kind of a cap: what is taken from a pool counts as its own until it has said that it goes by it.
-fn split_kind(total: u64, pools: &[OfKind]) -> Vec<u64> {
+/// Splits one resource of a cap. An amount that is taken from a pool still counts for that pool until the pool reports that it
+/// follows the new record.
+fn split_kind(total: u64, pools: &[ResourceStatus]) -> Vec<u64> {
     let wanted: Vec<u64> = pools.iter().map(|p| p.wanted).collect();
     let target = divide(total, &wanted);
     let mut shares = vec![0; pools.len()];
-    // A cap that was lowered may lie below what runs and what pools may start yet. Nothing starts until they have said what
-    // they really use.
+    // A lowered cap may be below what runs and what pools may still start. Nothing starts until they have reported their
+    // actual use.
     let Some(mut free) = total.checked_sub(pools.iter().map(|p| p.bound).sum()) else {
         return shares;
     };
-    // What pools are short of goes first; what nobody wants is split as it comes.
+    // Pools that are short come first. What no pool wants is split in the order of the pools.
     for short in [true, false] {
         for (i, pool) in pools.iter().enumerate() {
             if (pool.wanted > pool.share) != short {
                 continue;
             }
-            let more = target[i].saturating_sub(pool.bound).min(free);
-            free -= more;
-            shares[i] = target[i].min(pool.bound + more);
+            let added = target[i].saturating_sub(pool.bound).min(free);
+            free -= added;
+            shares[i] = target[i].min(pool.bound + added);
         }
     }
     shares
 }
 
-/// Returns whether a new split helps a pool that is short, now or once others have given up what they are lent.
-fn is_worth_it(total: u64, pools: &[OfKind], new: &[u64]) -> bool {
+/// Returns whether a new split helps a pool that is short, now or once other pools have returned parts of their shares.
+fn is_worth_it(total: u64, pools: &[ResourceStatus], new: &[u64]) -> bool {
     let is_over = pools.iter().map(|p| p.bound).sum::<u64>() > total;
     if is_over {
         return pools.iter().any(|pool| pool.share > 0);
     }
     let lent: u64 = pools.iter().map(|pool| pool.share).sum();
-    if new.iter().sum::<u64>() >= lent + total / UNLENT_PART {
+    if new.iter().sum::<u64>() >= lent + total / UNLENT_DIVISOR {
         return true;
     }
-    let least = (total / LEAST_GAIN_PART).max(1);
-    let gains = |(pool, &new): (&OfKind, &u64)| {
+    let min_gain = (total / MIN_GAIN_DIVISOR).max(1);
+    let gains = |(pool, &new): (&ResourceStatus, &u64)| {
         let short = pool.wanted.saturating_sub(pool.share);
-        short > 0 && new.saturating_sub(pool.share) >= short.min(least)
+        short > 0 && new.saturating_sub(pool.share) >= short.min(min_gain)
     };
     if pools.iter().zip(new).any(gains) {
         return true;
     }
     let wanted: Vec<u64> = pools.iter().map(|p| p.wanted).collect();
     let target = divide(total, &wanted);
-    let waits = pools.iter().zip(&target).any(|(pool, &target)| {
-        pool.wanted > pool.share && target >= pool.share + least.min(pool.wanted - pool.share)
+    let is_waiting = pools.iter().zip(&target).any(|(pool, &target)| {
+        pool.wanted > pool.share && target >= pool.share + min_gain.min(pool.wanted - pool.share)
     });
-    // Lowering helps only if there is anything to be given up that was not asked for yet.
-    let gives = pools.iter().zip(new).any(|(pool, &new)| pool.share >= new + least);
-    waits && gives
+    // Lowering shares helps only if some pool can return more than was requested so far.
+    let can_return = pools.iter().zip(new).any(|(pool, &new)| pool.share >= new + min_gain);
+    is_waiting && can_return
 }
 
-/// Divides an amount: nobody gets more than it wants before all have what they want, as equally as can be; what is left is
-/// split equally, so that a pool whose turn begins has something to begin with.
+/// Divides an amount by max-min fairness: no pool gets more than it wants before all have what they want. The rest is split
+/// equally, so that a pool whose demand rises has a share to start with.
 pub fn divide(total: u64, wanted: &[u64]) -> Vec<u64> {
     let mut shares = vec![0; wanted.len()];
     let mut left = total;
