--- a/crates/schedule/src/fleet/mod.rs
+++ b/crates/schedule/src/fleet/mod.rs
@@ -299,12 +299,12 @@
         if self.given.get(&work.vm).is_some_and(|given| given.under_way) {
             return false;
         }
-        let has_come = |vm: &FleetVm| {
+        let is_done = |vm: &FleetVm| {
             vm.state == VmState::Up
                 && &*vm.pool == to.as_str()
                 && vm.incarnation.as_deref() != incarnation
         };
-        self.vms.get(work.vm.as_str()).is_some_and(has_come)
+        self.vms.get(work.vm.as_str()).is_some_and(is_done)
     }
 
     /// Marks the work on VMs that are now empty as ordered.
--- a/crates/schedule/src/fleet/moves.rs
+++ b/crates/schedule/src/fleet/moves.rs
@@ -163,7 +163,7 @@
     }
 
     /// Switches off idle VMs that their pools have not needed recently.
-    fn switch_off_idle(&mut self, max: usize, now: Ms) {
+    fn switch_off_idle(&mut self, limit: usize, now: Ms) {
         let Some(off) = self.off_pool.clone() else { return };
         let mut unneeded = Vec::new();
         let sizes = self.sizes();
@@ -175,7 +175,7 @@
             let idle = idle.filter(|vm| self.is_free(vm, &pool));
             unneeded.extend(idle.take(surplus).cloned());
         }
-        for vm in unneeded.into_iter().take(max) {
+        for vm in unneeded.into_iter().take(limit) {
             self.begin_move(&vm, &off);
         }
     }
--- a/crates/schedule/src/fleet/wave.rs
+++ b/crates/schedule/src/fleet/wave.rs
@@ -51,7 +51,7 @@
         let end = (asked_at + self.request.duration_ms).saturating_sub(RESERVE_MS);
         let time = usize::try_from(end.saturating_sub(now)).unwrap_or(usize::MAX);
         let vm_time = usize::try_from(VM_TIME_MS).unwrap_or(usize::MAX);
-        (left * vm_time).checked_div(time).map_or(all, |vms| (vms + 1).min(all))
+        (left * vm_time).checked_div(time).map_or(all, |parallelism| (parallelism + 1).min(all))
     }
 }
 
@@ -100,14 +100,14 @@
             let cap = wave.request.cap.max(1);
             let has_time = wave.has_time(record.left.len(), now);
             let is_paced = self.policy.waves.pace && self.is_any_short(&sizes);
-            let max = if is_paced {
+            let limit = if is_paced {
                 wave.required_parallelism(record.left.len(), now)
             } else {
                 cap + EMPTIED_AHEAD
             };
             let mut in_progress = self.work_of(record.wave).count();
             for name in self.candidates(&record) {
-                if in_progress >= max {
+                if in_progress >= limit {
                     break;
                 }
                 let pool = self.vms.get(name.as_str()).map(|vm| vm.pool.clone());
@@ -140,9 +140,9 @@
         };
         let off = self.off_pool.as_ref() == Some(&vm.pool);
         let size = self.vms.values().filter(|v| v.pool == vm.pool).count();
-        let max = (size * POOL_SHARE_PERCENT / 100).max(1);
+        let limit = (size * POOL_SHARE_PERCENT / 100).max(1);
         let busy = by_pool.entry(vm.pool.clone()).or_default();
-        if !off && *busy >= max {
+        if !off && *busy >= limit {
             return false;
         }
         *busy += 1;
--- a/crates/schedule/src/ownership.rs
+++ b/crates/schedule/src/ownership.rs
@@ -227,8 +227,8 @@
         let member = self.members.get(&claim.owner.name)?;
         // A previous incarnation of this node no longer exists.
         let other = claim.owner.name != self.me.name;
-        let is_alive = member.life == claim.owner.life && !member.leaving;
-        member.relay.filter(|_| other && is_alive)
+        let is_running = member.life == claim.owner.life && !member.leaving;
+        member.relay.filter(|_| other && is_running)
     }
 
     /// Returns whether the predecessor of a pool's current owner released the pool.
--- a/crates/schedule/src/quota/lender.rs
+++ b/crates/schedule/src/quota/lender.rs
@@ -99,12 +99,12 @@
         // A pool that is no longer configured may still have running tasks.
         let gone = before.into_iter().flat_map(|lent| &lent.shares);
         pools.extend(gone.map(|s| Arc::from(s.pool.as_str())).filter(|p| !self.pools.contains(p)));
-        let status = |pool: &Arc<str>| match unknown {
+        let status_of = |pool: &Arc<str>| match unknown {
             // Each pool reports its use once it follows this record.
             true => PoolStatus { bound: NO_BOUND, ..PoolStatus::default() },
             false => self.pool_status(name, pool, before),
         };
-        let statuses: Vec<PoolStatus> = pools.iter().map(status).collect();
+        let statuses: Vec<PoolStatus> = pools.iter().map(status_of).collect();
         let same_terms = before.is_some_and(|lent| {
             lent.cap == cap && pools.iter().all(|pool| lent.share(pool).is_some())
         });
