--- a/crates/schedule/src/fleet/mod.rs
+++ b/crates/schedule/src/fleet/mod.rs
@@ -41,11 +41,11 @@
 
 /// The state of an order that this owner gave.
 #[derive(Clone, Copy, Debug, Default)]
-struct Given {
-    under_way: bool,
-    again_at: Ms,
+struct OrderState {
+    in_flight: bool,
+    retry_at: Ms,
     /// The number of consecutive rejections.
-    turned_down: u32,
+    rejections: u32,
     done_at: Option<Ms>,
     ordered_at: Option<Ms>,
     /// Whether the VM was seen away after the order was answered. Once the VM is up again, the order is carried out.
@@ -62,7 +62,7 @@
     waves: BTreeMap<u64, Wave>,
     record: FleetRecord,
     reports: HashMap<Arc<str>, PoolReport>,
-    given: HashMap<String, Given>,
+    orders: HashMap<String, OrderState>,
     /// VMs for which an unanswered order may still be carried out, and until when.
     unsettled: HashMap<String, Ms>,
     /// The pool whose VMs are switched off.
@@ -100,9 +100,10 @@
         let moved = hold_off.until.saturating_sub(MIN_ORDER_MS);
         let lately = record.ordered_lately.iter().map(|vm| (vm.clone(), moved));
         let kept_off: HashMap<String, Ms> = ordered.chain(lately).collect();
-        let given =
-            |(vm, &again_at): (&String, &Ms)| (vm.clone(), Given { again_at, ..Given::default() });
-        let given = kept_off.iter().map(given).collect();
+        let order_state = |(vm, &retry_at): (&String, &Ms)| {
+            (vm.clone(), OrderState { retry_at, ..OrderState::default() })
+        };
+        let orders = kept_off.iter().map(order_state).collect();
         Self {
             policy,
             vms: BTreeMap::new(),
@@ -110,7 +111,7 @@
             waves: BTreeMap::new(),
             record,
             reports: HashMap::new(),
-            given,
+            orders,
             unsettled: HashMap::new(),
             off_pool: None,
             working_pools: HashSet::new(),
@@ -134,9 +135,9 @@
     /// Sets the list of VMs, which was requested at `asked_at`.
     pub fn set_vms(&mut self, vms: Vec<FleetVm>, asked_at: Ms) {
         self.vms = vms.into_iter().map(|vm| (vm.name.clone(), vm)).collect();
-        for (name, given) in self.given.iter_mut().filter(|(_, g)| g.done_at.is_some()) {
+        for (name, order) in self.orders.iter_mut().filter(|(_, o)| o.done_at.is_some()) {
             let vm = self.vms.get(name.as_str());
-            given.seen_away |= vm.is_some_and(|vm| vm.state == VmState::Away);
+            order.seen_away |= vm.is_some_and(|vm| vm.state == VmState::Away);
         }
         self.listed_at = Some(asked_at);
         self.note_missing(asked_at);
@@ -207,13 +208,12 @@
             self.unsettled.insert(vm.to_owned(), now + LATE_ORDER_MS);
         }
         // An answer to an order that is no longer pending does not concern the current work on the VM.
-        let Some(given) = self.given.get_mut(vm).filter(|given| given.under_way) else { return };
-        given.under_way = false;
-        given.again_at = now + (ORDER_RETRY_MS << given.turned_down.min(MAX_ORDER_DOUBLINGS));
-        given.turned_down =
-            if outcome == OrderOutcome::NotDone { given.turned_down + 1 } else { 0 };
+        let Some(order) = self.orders.get_mut(vm).filter(|order| order.in_flight) else { return };
+        order.in_flight = false;
+        order.retry_at = now + (ORDER_RETRY_MS << order.rejections.min(MAX_ORDER_DOUBLINGS));
+        order.rejections = if outcome == OrderOutcome::NotDone { order.rejections + 1 } else { 0 };
         match outcome {
-            OrderOutcome::Done => given.done_at = Some(now),
+            OrderOutcome::Done => order.done_at = Some(now),
             OrderOutcome::NotDone | OrderOutcome::Unknown => (),
             OrderOutcome::Impossible => self.abandon(vm),
         }
@@ -243,16 +243,16 @@
         let done: Vec<VmWork> =
             self.record.work.iter().filter(|w| self.is_carried_out(w, now)).cloned().collect();
         for work in done {
-            let given = self.given.remove(&work.vm);
+            let order = self.orders.remove(&work.vm);
             // If the time of the order is not known, a predecessor gave it, and the VM is already in the list.
-            if let Some(ordered_at) = given.and_then(|g| g.ordered_at) {
+            if let Some(ordered_at) = order.and_then(|o| o.ordered_at) {
                 self.ordered_lately.insert(work.vm.clone(), ordered_at + self.hold_off.gap);
             }
             self.record.work.remove(&work.vm);
             match work.purpose {
                 Purpose::Maintain { wave } => self.mark_maintained(wave, &work.vm),
                 Purpose::Move { .. } => {
-                    self.measure_move(given.and_then(|g| g.ordered_at), now);
+                    self.record_move_duration(order.and_then(|o| o.ordered_at), now);
                     self.moved_at.insert(work.vm, now);
                 }
             }
@@ -260,7 +260,7 @@
     }
 
     /// Includes a move in the mean duration, measured from its order. The duration of a predecessor's order is not known.
-    fn measure_move(&mut self, ordered_at: Option<Ms>, now: Ms) {
+    fn record_move_duration(&mut self, ordered_at: Option<Ms>, now: Ms) {
         let Some(ordered_at) = ordered_at else { return };
         let took = now.saturating_sub(ordered_at);
         let known = self.record.move_ms;
@@ -270,11 +270,11 @@
 
     fn is_carried_out(&self, work: &VmWork, now: Ms) -> bool {
         let Stage::Ordered { incarnation } = &work.stage else { return false };
-        if self.has_come(work, incarnation.as_deref()) {
+        if self.has_arrived(work, incarnation.as_deref()) {
             return true;
         }
-        let Some(given) = self.given.get(&work.vm) else { return false };
-        let Some(done_at) = given.done_at else { return false };
+        let Some(order) = self.orders.get(&work.vm) else { return false };
+        let Some(done_at) = order.done_at else { return false };
         let Some(vm) = self.vms.get(work.vm.as_str()) else {
             // The VM has left permanently if a list from well after the order does not contain it.
             return self.listed_at.is_some_and(|at| at >= done_at + DONE_BEFORE_MS);
@@ -288,15 +288,15 @@
         };
         // A switched-off VM has no incarnation to compare.
         let is_new_incarnation =
-            given.seen_away || vm.incarnation.as_deref() != incarnation.as_deref();
+            order.seen_away || vm.incarnation.as_deref() != incarnation.as_deref();
         is_in_place && (is_new_incarnation || now.saturating_sub(done_at) >= DONE_BEFORE_MS)
     }
 
     /// Returns whether a VM that should move is up in its new pool in another incarnation, whichever owner gave the order.
     /// While this owner waits for an answer the VM is not free for other work, as the order may still be carried out.
-    fn has_come(&self, work: &VmWork, incarnation: Option<&str>) -> bool {
+    fn has_arrived(&self, work: &VmWork, incarnation: Option<&str>) -> bool {
         let Purpose::Move { to } = &work.purpose else { return false };
-        if self.given.get(&work.vm).is_some_and(|given| given.under_way) {
+        if self.orders.get(&work.vm).is_some_and(|order| order.in_flight) {
             return false;
         }
         let is_done = |vm: &FleetVm| {
@@ -318,7 +318,7 @@
             let known = self.vms.get(vm.as_str());
             let incarnation = known.and_then(|vm| vm.incarnation.as_deref()).map(str::to_owned);
             self.record.work.set_stage(&vm, Stage::Ordered { incarnation });
-            self.given.entry(vm).or_default();
+            self.orders.entry(vm).or_default();
         }
     }
 
@@ -345,12 +345,12 @@
             if work.stage == Stage::Emptying {
                 continue;
             }
-            let given = self.given.entry(work.vm.clone()).or_default();
-            if given.under_way || given.done_at.is_some() || now < given.again_at {
+            let order = self.orders.entry(work.vm.clone()).or_default();
+            if order.in_flight || order.done_at.is_some() || now < order.retry_at {
                 continue;
             }
-            given.under_way = true;
-            given.ordered_at.get_or_insert(now);
+            order.in_flight = true;
+            order.ordered_at.get_or_insert(now);
             orders.push(FleetOrder { vm: work.vm.clone(), purpose: work.purpose.clone() });
         }
         orders
@@ -358,7 +358,7 @@
 
     /// Abandons the work on a VM that can never be carried out.
     fn abandon(&mut self, vm: &str) {
-        self.given.remove(vm);
+        self.orders.remove(vm);
         let Some(work) = self.record.work.remove(vm) else { return };
         if let Purpose::Maintain { wave } = work.purpose {
             self.mark_maintained(wave, vm);
--- a/crates/schedule/src/job_log.rs
+++ b/crates/schedule/src/job_log.rs
@@ -233,7 +233,7 @@
     /// Applies one record of a partition. A record without a value marks that the partition dropped the key.
     pub fn apply_from(
         &mut self,
-        part: u32,
+        partition: u32,
         key: &str,
         value: Option<&[u8]>,
     ) -> Result<Option<LogChange>, BadRecord> {
@@ -242,7 +242,7 @@
         let id: JobId = id.parse().map_err(|_| bad())?;
         let Some(value) = value else {
             if kind == SUBMIT {
-                self.drop_submission(part, id);
+                self.drop_submission(partition, id);
             }
             return Ok(None);
         };
@@ -251,7 +251,7 @@
                 let spec = decode_spec(value).map_err(|_| bad())?;
                 // An invalid job would make every owner in turn fail on it.
                 spec.check().map_err(|e| BadRecord(format!("{key}: {e}")))?;
-                Ok(self.submit(part, id, spec))
+                Ok(self.submit(partition, id, spec))
             }
             CANCEL => {
                 let caller = decode_cancel(value).map_err(|_| bad())?;
@@ -292,9 +292,9 @@
     }
 
     /// Applies a submission. The first one of an ID is kept; later ones are copies.
-    fn submit(&mut self, part: u32, id: JobId, spec: JobSpec) -> Option<LogChange> {
+    fn submit(&mut self, partition: u32, id: JobId, spec: JobSpec) -> Option<LogChange> {
         let entry = self.jobs.entry(id).or_default();
-        entry.stands_in.insert(part);
+        entry.stands_in.insert(partition);
         let was_gone = entry.gone_from.take().is_some();
         if entry.spec.is_some() {
             return was_gone.then_some(LogChange::Submitted(id));
--- a/crates/schedule/src/job_log/parts.rs
+++ b/crates/schedule/src/job_log/parts.rs
@@ -10,16 +10,16 @@
 pub struct Parts(u32);
 
 impl Parts {
-    pub(super) const fn insert(&mut self, part: u32) {
-        self.0 |= 1 << part;
+    pub(super) const fn insert(&mut self, partition: u32) {
+        self.0 |= 1 << partition;
     }
 
-    pub(super) const fn remove(&mut self, part: u32) {
-        self.0 &= !(1 << part);
+    pub(super) const fn remove(&mut self, partition: u32) {
+        self.0 &= !(1 << partition);
     }
 
-    pub(super) const fn holds(self, part: u32) -> bool {
-        self.0 & (1 << part) != 0
+    pub(super) const fn holds(self, partition: u32) -> bool {
+        self.0 & (1 << partition) != 0
     }
 
     pub(super) const fn is_empty(self) -> bool {
@@ -37,9 +37,9 @@
 impl JobLog {
     /// Records that a partition dropped a submission. The job's entry is removed only once no other partition holds the
     /// submission: otherwise it would be read there as new, and its progress would be lost.
-    pub(super) fn drop_submission(&mut self, part: u32, id: JobId) {
+    pub(super) fn drop_submission(&mut self, partition: u32, id: JobId) {
         let Some(entry) = self.jobs.get_mut(&id) else { return };
-        entry.stands_in.remove(part);
+        entry.stands_in.remove(partition);
         if entry.stands_in.is_empty() {
             self.jobs.remove(&id);
         }
@@ -48,13 +48,13 @@
     /// Records which submissions a partition holds, after the newest record of each key was read and before these records are
     /// applied. Submissions that no partition holds any more were dropped. Their entries are hidden until the next reload, so
     /// that their progress is not lost if the submission is read after all.
-    pub fn reloaded(&mut self, part: u32, there: &HashSet<JobId>) {
+    pub fn reloaded(&mut self, partition: u32, there: &HashSet<JobId>) {
         self.jobs.retain(|id, entry| {
-            if there.contains(id) || !entry.stands_in.holds(part) {
-                return there.contains(id) || entry.gone_from != Some(part);
+            if there.contains(id) || !entry.stands_in.holds(partition) {
+                return there.contains(id) || entry.gone_from != Some(partition);
             }
-            entry.stands_in.remove(part);
-            entry.gone_from = entry.stands_in.is_empty().then_some(part);
+            entry.stands_in.remove(partition);
+            entry.gone_from = entry.stands_in.is_empty().then_some(partition);
             true
         });
     }
--- a/crates/schedule/src/lease.rs
+++ b/crates/schedule/src/lease.rs
@@ -18,7 +18,7 @@
     length: Ms,
     /// The last reading of the VM's clock, and when its answer arrived.
     clock: Option<(u64, Ms)>,
-    over_at: Ms,
+    expires_at: Ms,
     /// Whether the VM has not answered the last call, so that it gets no new lease. Calls may arrive though their answers
     /// are lost, and with ever new leases its tasks could never be declared lost.
     unresponsive: bool,
@@ -27,8 +27,8 @@
 impl TaskLease {
     /// Creates the lease of a VM to which a predecessor may just have granted one of full length.
     pub fn new(length: Ms, now: Ms) -> Self {
-        let over_at = now + stretched(length) + MARGIN_MS;
-        Self { length, clock: None, over_at, unresponsive: false }
+        let expires_at = now + stretched(length) + MARGIN_MS;
+        Self { length, clock: None, expires_at, unresponsive: false }
     }
 
     /// Returns whether a reading shows that the VM's clock was reset. The reading must have been requested after the last one
@@ -57,20 +57,20 @@
     /// start does not appear late there and runs under a full lease from then on.
     pub fn note_unanswered_start(&mut self, now: Ms) {
         let arrives = now + LATE_START_MS;
-        self.over_at = self.over_at.max(arrives + stretched(self.length) + MARGIN_MS);
+        self.expires_at = self.expires_at.max(arrives + stretched(self.length) + MARGIN_MS);
     }
 
     /// Grants a lease now and returns its end on the VM's clock.
     pub fn give(&mut self, now: Ms) -> Option<u64> {
         let (clock_ms, read_at) = self.clock.filter(|_| !self.unresponsive)?;
         let since = now.saturating_sub(read_at) + self.length;
-        self.over_at = self.over_at.max(read_at + stretched(since) + MARGIN_MS);
+        self.expires_at = self.expires_at.max(read_at + stretched(since) + MARGIN_MS);
         Some(clock_ms + since)
     }
 
     /// Returns whether no task can run on the VM any more because the lease has surely expired.
     pub const fn is_over(&self, now: Ms) -> bool {
-        now >= self.over_at
+        now >= self.expires_at
     }
 }
 
