--- a/crates/schedule/src/fleet/facts.rs
+++ b/crates/schedule/src/fleet/facts.rs
@@ -74,7 +74,7 @@
     pub duration_ms: Ms,
     /// The maximum number of VMs that may be down for the wave at once.
     pub cap: usize,
-    /// When it was requested by this node's monotonic clock, or `None` if the request was in the store before the node
+    /// When it was requested, by this node's monotonic clock, or `None` if the request was in the store before the node
     /// started.
     pub asked_at: Option<Ms>,
 }
@@ -93,7 +93,7 @@
 pub enum OrderOutcome {
     /// The order is carried out, now or before.
     Done,
-    /// The order is surely not carried out.
+    /// The order is certainly not carried out.
     NotDone,
     /// The order may be carried out now or later.
     Unknown,
--- a/crates/schedule/src/lease.rs
+++ b/crates/schedule/src/lease.rs
@@ -1,4 +1,4 @@
-//! The lease under which a VM runs tasks, and when it has surely expired by our clock.
+//! The lease under which a VM runs tasks, and when it has certainly expired by our clock.
 
 use crate::Ms;
 
@@ -68,7 +68,7 @@
         Some(clock_ms + since)
     }
 
-    /// Returns whether no task can run on the VM any more because the lease has surely expired.
+    /// Returns whether no task can run on the VM any more because the lease has certainly expired.
     pub const fn is_over(&self, now: Ms) -> bool {
         now >= self.expires_at
     }
--- a/crates/schedule/src/ownership/vacancy.rs
+++ b/crates/schedule/src/ownership/vacancy.rs
@@ -27,7 +27,7 @@
 const RECLAIM_DELAY_MS: Ms = 200;
 /// How often that delay doubles at most, up to 3.2 s. Other nodes claim the pool of an unresponsive node after 2.7 s.
 const MAX_RECLAIM_DOUBLINGS: u32 = 4;
-/// The time after which an owner counts as stable, so that its end does not continue a row of ends, in milliseconds.
+/// The time after which an owner counts as stable, so that its end is not consecutive to earlier ones, in milliseconds.
 const STABLE_AFTER_MS: Ms = 10_000;
 
 /// An owner on this node that ended by itself though no other node claimed its pool.
--- a/crates/schedule/src/quota/ledger.rs
+++ b/crates/schedule/src/quota/ledger.rs
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Removes the capacity that a run surely no longer uses.
+    /// Removes the capacity that a run certainly no longer uses.
     pub fn remove(&mut self, key: Option<WorkspaceKey>, room: Room) {
         if let Some(entry) = key.and_then(|key| self.arena.get_mut(key)) {
             entry.used = entry.used.minus(room);
--- a/crates/schedule/src/workspace.rs
+++ b/crates/schedule/src/workspace.rs
@@ -20,7 +20,7 @@
     pub weight: u32,
     /// The maximum capacity that its tasks may use at once over all pools. A resource with the value 0 has no limit.
     pub cap: Room,
-    /// The version of the configuration since which the workspace has surely been limited, as far as this process has read
+    /// The version of the configuration since which the workspace has certainly been limited, as far as this process has read
     /// the versions. It is at least the first version that the process read.
     pub limited_since: u64,
 }
@@ -125,7 +125,8 @@
         self.all.push(config.workspace);
     }
 
-    /// Takes `limited_since` of each workspace from the previous version of the configuration, if one was read.
+    /// Carries over `limited_since` of each limited workspace from the previous version of the configuration, if one was read
+    /// and limited the workspace too. Otherwise `limited_since` is `version`.
     pub fn follow(&mut self, before: Option<&Self>, version: u64) {
         for workspace in self.all.iter_mut().filter(|w| limits(w.cap)) {
             let known = before.and_then(|before| before.get(&workspace.name));
