--- a/crates/schedule/src/ownership.rs
+++ b/crates/schedule/src/ownership.rs
@@ -73,10 +73,10 @@
 struct Member {
     speed: u32,
     relay: Option<SocketAddr>,
-    life: u64,
+    incarnation: u64,
     sequence: u64,
     leaving: bool,
-    heard_at: Ms,
+    last_contact: Ms,
 }
 
 #[derive(Clone, Debug)]
@@ -85,7 +85,7 @@
     token: u64,
     seen_at: Ms,
     /// Whether the previous owner released the pool, instead of losing it to this claim.
-    was_given_up: bool,
+    was_released: bool,
 }
 
 /// One node's view of owners and members.
@@ -102,7 +102,7 @@
     /// The time since which each vacant pool is known to have no owner.
     vacant_since: HashMap<Arc<str>, Ms>,
     /// The last owner of each pool on this node that ended by itself, without losing the pool.
-    ended: HashMap<Arc<str>, Ended>,
+    ended_owners: HashMap<Arc<str>, Ended>,
 }
 
 impl Ownership {
@@ -117,16 +117,17 @@
             claims,
             further_lanes: HashSet::new(),
             vacant_since,
-            ended: HashMap::new(),
+            ended_owners: HashMap::new(),
         }
     }
 
     /// Records a heartbeat that was read.
     pub fn heard(&mut self, name: &str, beat: &Heartbeat, now: Ms) {
         let Heartbeat { life, sequence, leaving, relay, speed } = *beat;
-        let update = Member { speed, relay, life, sequence, leaving, heard_at: now };
+        let update =
+            Member { speed, relay, incarnation: life, sequence, leaving, last_contact: now };
         match self.members.get_mut(name) {
-            Some(m) if m.life == life && m.sequence >= sequence => m.leaving |= leaving,
+            Some(m) if m.incarnation == life && m.sequence >= sequence => m.leaving |= leaving,
             Some(m) => *m = update,
             None => {
                 self.members.insert(name.to_owned(), update);
@@ -137,7 +138,8 @@
     /// Records a heartbeat that was read from the fallback partition. It may be outdated, so it does not introduce another
     /// incarnation of a known member.
     pub fn heard_aside(&mut self, name: &str, beat: &Heartbeat, now: Ms) {
-        let is_other_incarnation = self.members.get(name).is_some_and(|m| m.life != beat.life);
+        let is_other_incarnation =
+            self.members.get(name).is_some_and(|m| m.incarnation != beat.life);
         if !is_other_incarnation {
             self.heard(name, beat, now);
         }
@@ -146,7 +148,8 @@
     /// Returns whether the heartbeat of some other node that owns a pool is overdue.
     pub fn has_quiet_owner(&self, now: Ms) -> bool {
         let is_overdue = |owned: &Owned| {
-            let last_contact = self.members.get(&owned.claim.owner.name).map_or(0, |m| m.heard_at);
+            let last_contact =
+                self.members.get(&owned.claim.owner.name).map_or(0, |m| m.last_contact);
             let latest = last_contact.max(owned.seen_at);
             let other = owned.claim.owner != self.me && !owned.claim.released;
             other && now.saturating_sub(latest) >= OVERDUE_MS
@@ -173,7 +176,7 @@
     /// Resets all timeouts, because some heartbeats could not be read.
     pub fn forgive_silence(&mut self, now: Ms) {
         for member in self.members.values_mut() {
-            member.heard_at = now;
+            member.last_contact = now;
         }
         for owned in self.claims.values_mut() {
             owned.seen_at = now;
@@ -193,7 +196,7 @@
         }
         let was_given_up = known.is_some_and(|o| o.claim.released);
         self.vacant_since.remove(pool);
-        let owned = Owned { claim, token, seen_at: now, was_given_up };
+        let owned = Owned { claim, token, seen_at: now, was_released: was_given_up };
         self.claims.insert(pool.clone(), owned);
     }
 
@@ -227,13 +230,13 @@
         let member = self.members.get(&claim.owner.name)?;
         // A previous incarnation of this node no longer exists.
         let other = claim.owner.name != self.me.name;
-        let is_running = member.life == claim.owner.life && !member.leaving;
+        let is_running = member.incarnation == claim.owner.life && !member.leaving;
         member.relay.filter(|_| other && is_running)
     }
 
     /// Returns whether the predecessor of a pool's current owner released the pool.
     pub fn was_given_up(&self, pool: &str) -> bool {
-        self.claims.get(pool).is_some_and(|o| o.was_given_up)
+        self.claims.get(pool).is_some_and(|o| o.was_released)
     }
 
     /// Returns this node's token for a pool, if the newest claim read is its own and no owner has already used the token and
@@ -252,7 +255,7 @@
     /// Returns the relay addresses of other live members, in the order in which this node tries them. An owner tries fast
     /// members first, because it writes more than the link of a slow node can carry.
     pub fn relays(&self, now: Ms) -> Vec<SocketAddr> {
-        let is_alive = |m: &Member| !m.leaving && now.saturating_sub(m.heard_at) < ALIVE_MS;
+        let is_alive = |m: &Member| !m.leaving && now.saturating_sub(m.last_contact) < ALIVE_MS;
         let others = self.members.iter().filter(|(name, m)| **name != self.me.name && is_alive(m));
         let slow_below = if self.owns_any() { self.slow_below() } else { 0 };
         // The order differs from node to node, which spreads the load.
--- a/crates/schedule/src/ownership/readers.rs
+++ b/crates/schedule/src/ownership/readers.rs
@@ -58,7 +58,8 @@
 
     /// Returns the members that are alive and not about to stop.
     fn live_members(&self, now: Ms) -> impl Iterator<Item = (&str, &Member)> {
-        let is_alive = move |m: &Member| !m.leaving && now.saturating_sub(m.heard_at) < ALIVE_MS;
+        let is_alive =
+            move |m: &Member| !m.leaving && now.saturating_sub(m.last_contact) < ALIVE_MS;
         self.members.iter().filter(move |(_, m)| is_alive(m)).map(|(name, m)| (name.as_str(), m))
     }
 }
--- a/crates/schedule/src/ownership/vacancy.rs
+++ b/crates/schedule/src/ownership/vacancy.rs
@@ -60,18 +60,18 @@
     pub fn owner_ended(&mut self, pool: &Arc<str>, token: u64, now: Ms) {
         let Some(owned) = self.claims.get(pool).filter(|o| o.token == token) else { return };
         let was_stable = now.saturating_sub(owned.seen_at) >= STABLE_AFTER_MS;
-        let before = self.ended.get(pool).filter(|_| !was_stable);
+        let before = self.ended_owners.get(pool).filter(|_| !was_stable);
         let in_a_row = before.map_or(0, |ended| ended.in_a_row + 1);
-        self.ended.insert(pool.clone(), Ended { token, at: now, in_a_row });
+        self.ended_owners.insert(pool.clone(), Ended { token, at: now, in_a_row });
     }
 
     /// Returns whether an owner of a pool on this node has ended by itself.
     pub fn has_ended(&self, pool: &str) -> bool {
-        self.ended.contains_key(pool)
+        self.ended_owners.contains_key(pool)
     }
 
     pub(super) fn is_spent(&self, pool: &str, token: u64) -> bool {
-        self.ended.get(pool).is_some_and(|ended| ended.token == token)
+        self.ended_owners.get(pool).is_some_and(|ended| ended.token == token)
     }
 
     /// Returns the pools among `pools` that this node claims now.
@@ -117,7 +117,7 @@
             return Some(Vacancy::NeverOwned);
         };
         if claim.owner == self.me {
-            let ended = self.ended.get(pool).filter(|ended| ended.token == *token);
+            let ended = self.ended_owners.get(pool).filter(|ended| ended.token == *token);
             return match claim.released {
                 true => Some(Vacancy::Released),
                 false => ended.copied().map(Vacancy::Ended),
@@ -130,10 +130,10 @@
             return Some(Vacancy::PreviousIncarnation);
         }
         let last_contact = match self.members.get(&claim.owner.name) {
-            Some(m) if m.life != claim.owner.life && m.heard_at > *seen_at => {
+            Some(m) if m.incarnation != claim.owner.life && m.last_contact > *seen_at => {
                 return Some(Vacancy::Restarted);
             }
-            Some(m) => m.heard_at.max(*seen_at),
+            Some(m) => m.last_contact.max(*seen_at),
             None => *seen_at,
         };
         (now.saturating_sub(last_contact) >= SILENCE_MS).then_some(Vacancy::Unresponsive)
@@ -164,7 +164,7 @@
         };
         let me = &self.me.name;
         let mine = (owned(me) + wanted.len() + slow(me), weight(me));
-        let is_alive = |m: &&Member| !m.leaving && now.saturating_sub(m.heard_at) < ALIVE_MS;
+        let is_alive = |m: &&Member| !m.leaving && now.saturating_sub(m.last_contact) < ALIVE_MS;
         let before = self
             .members
             .iter()
