--- a/crates/schedule/src/ownership.rs
+++ b/crates/schedule/src/ownership.rs
@@ -148,9 +148,8 @@
     /// Returns whether the heartbeat of some other node that owns a pool is overdue.
     pub fn has_quiet_owner(&self, now: Ms) -> bool {
         let is_overdue = |owned: &Owned| {
-            let last_contact =
-                self.members.get(&owned.claim.owner.name).map_or(0, |m| m.last_contact);
-            let latest = last_contact.max(owned.seen_at);
+            let contact = self.members.get(&owned.claim.owner.name).map_or(0, |m| m.last_contact);
+            let latest = contact.max(owned.seen_at);
             let other = owned.claim.owner != self.me && !owned.claim.released;
             other && now.saturating_sub(latest) >= OVERDUE_MS
         };
@@ -194,9 +193,9 @@
         if claim.released && known.is_some_and(|o| o.claim.owner != claim.owner) {
             return;
         }
-        let was_given_up = known.is_some_and(|o| o.claim.released);
+        let was_released = known.is_some_and(|o| o.claim.released);
         self.vacant_since.remove(pool);
-        let owned = Owned { claim, token, seen_at: now, was_released: was_given_up };
+        let owned = Owned { claim, token, seen_at: now, was_released };
         self.claims.insert(pool.clone(), owned);
     }
 
