--- a/crates/schedule/src/fleet/mod.rs
+++ b/crates/schedule/src/fleet/mod.rs
@@ -62,9 +62,9 @@
     waves: BTreeMap<u64, Wave>,
     record: FleetRecord,
     reports: HashMap<Arc<str>, PoolReport>,
-    orders: HashMap<String, OrderState>,
+    order_states: HashMap<String, OrderState>,
     /// VMs for which an unanswered order may still be carried out, and until when.
-    unsettled: HashMap<String, Ms>,
+    unanswered: HashMap<String, Ms>,
     /// The pool whose VMs are switched off.
     off_pool: Option<Arc<str>>,
     working_pools: HashSet<Arc<str>>,
@@ -81,7 +81,7 @@
     missing_since: HashMap<String, Ms>,
     hold_off: HoldOff,
     /// VMs about which the predecessor may just have given an order, and until when this owner gives none.
-    kept_off: HashMap<String, Ms>,
+    held_off: HashMap<String, Ms>,
     /// VMs whose work is done, and until when they count as recently ordered.
     ordered_lately: HashMap<String, Ms>,
 }
@@ -99,11 +99,11 @@
         let ordered = ordered.map(|w| (w.vm.clone(), hold_off.until));
         let moved = hold_off.until.saturating_sub(MIN_ORDER_MS);
         let lately = record.ordered_lately.iter().map(|vm| (vm.clone(), moved));
-        let kept_off: HashMap<String, Ms> = ordered.chain(lately).collect();
+        let held_off: HashMap<String, Ms> = ordered.chain(lately).collect();
         let order_state = |(vm, &retry_at): (&String, &Ms)| {
             (vm.clone(), OrderState { retry_at, ..OrderState::default() })
         };
-        let orders = kept_off.iter().map(order_state).collect();
+        let order_states = held_off.iter().map(order_state).collect();
         Self {
             policy,
             vms: BTreeMap::new(),
@@ -111,8 +111,8 @@
             waves: BTreeMap::new(),
             record,
             reports: HashMap::new(),
-            orders,
-            unsettled: HashMap::new(),
+            order_states,
+            unanswered: HashMap::new(),
             off_pool: None,
             working_pools: HashSet::new(),
             halls: Arc::default(),
@@ -122,8 +122,8 @@
             emptied: HashMap::new(),
             missing_since: HashMap::new(),
             hold_off,
-            ordered_lately: kept_off.clone(),
-            kept_off,
+            ordered_lately: held_off.clone(),
+            held_off,
         }
     }
 
@@ -135,12 +135,12 @@
     /// Sets the list of VMs, which was requested at `asked_at`.
     pub fn set_vms(&mut self, vms: Vec<FleetVm>, asked_at: Ms) {
         self.vms = vms.into_iter().map(|vm| (vm.name.clone(), vm)).collect();
-        for (name, order) in self.orders.iter_mut().filter(|(_, o)| o.done_at.is_some()) {
+        for (name, order) in self.order_states.iter_mut().filter(|(_, o)| o.done_at.is_some()) {
             let vm = self.vms.get(name.as_str());
             order.seen_away |= vm.is_some_and(|vm| vm.state == VmState::Away);
         }
         self.listed_at = Some(asked_at);
-        self.note_missing(asked_at);
+        self.record_missing(asked_at);
     }
 
     /// Sets the pools that run jobs, and the one whose VMs are switched off.
@@ -156,7 +156,7 @@
 
     /// Records the report of a pool's owner.
     pub fn set_report(&mut self, pool: &Arc<str>, report: PoolReport, now: Ms) {
-        self.needs.note(pool, &report, now);
+        self.needs.record_report(pool, &report, now);
         let idle: HashSet<&String> = report.idle.iter().collect();
         let before = self.reports.get(pool).into_iter().flat_map(|before| &before.idle);
         for vm in before.filter(|vm| !idle.contains(vm)) {
@@ -192,10 +192,10 @@
     /// Decides on the next steps and returns the orders to give. The record must be written before the orders are given.
     pub fn plan(&mut self, now: Ms) -> Vec<FleetOrder> {
         self.finish_work(now);
-        self.kept_off.retain(|_, until| now < *until);
+        self.held_off.retain(|_, until| now < *until);
         self.ordered_lately.retain(|_, until| now < *until);
         self.record.ordered_lately = self.ordered_lately.keys().cloned().collect();
-        self.unsettled.retain(|_, until| now < *until);
+        self.unanswered.retain(|_, until| now < *until);
         self.begin_maintenance(now);
         self.begin_moves(now);
         self.order_emptied();
@@ -205,10 +205,12 @@
     /// Records the outcome of an order.
     pub fn order_result(&mut self, vm: &str, outcome: OrderOutcome, now: Ms) {
         if outcome == OrderOutcome::Unknown {
-            self.unsettled.insert(vm.to_owned(), now + LATE_ORDER_MS);
+            self.unanswered.insert(vm.to_owned(), now + LATE_ORDER_MS);
         }
         // An answer to an order that is no longer pending does not concern the current work on the VM.
-        let Some(order) = self.orders.get_mut(vm).filter(|order| order.in_flight) else { return };
+        let Some(order) = self.order_states.get_mut(vm).filter(|order| order.in_flight) else {
+            return;
+        };
         order.in_flight = false;
         order.retry_at = now + (ORDER_RETRY_MS << order.rejections.min(MAX_ORDER_DOUBLINGS));
         order.rejections = if outcome == OrderOutcome::NotDone { order.rejections + 1 } else { 0 };
@@ -233,7 +235,7 @@
     }
 
     /// Starts to empty a VM. Earlier reports on the VM no longer count.
-    fn begin(&mut self, vm: &str, purpose: Purpose) {
+    fn begin_emptying(&mut self, vm: &str, purpose: Purpose) {
         self.emptied.remove(vm);
         self.record.work.insert(VmWork { vm: vm.to_owned(), purpose, stage: Stage::Emptying });
     }
@@ -243,7 +245,7 @@
         let done: Vec<VmWork> =
             self.record.work.iter().filter(|w| self.is_carried_out(w, now)).cloned().collect();
         for work in done {
-            let order = self.orders.remove(&work.vm);
+            let order = self.order_states.remove(&work.vm);
             // If the time of the order is not known, a predecessor gave it, and the VM is already in the list.
             if let Some(ordered_at) = order.and_then(|o| o.ordered_at) {
                 self.ordered_lately.insert(work.vm.clone(), ordered_at + self.hold_off.gap);
@@ -273,7 +275,7 @@
         if self.has_arrived(work, incarnation.as_deref()) {
             return true;
         }
-        let Some(order) = self.orders.get(&work.vm) else { return false };
+        let Some(order) = self.order_states.get(&work.vm) else { return false };
         let Some(done_at) = order.done_at else { return false };
         let Some(vm) = self.vms.get(work.vm.as_str()) else {
             // The VM has left permanently if a list from well after the order does not contain it.
@@ -296,7 +298,7 @@
     /// While this owner waits for an answer the VM is not free for other work, as the order may still be carried out.
     fn has_arrived(&self, work: &VmWork, incarnation: Option<&str>) -> bool {
         let Purpose::Move { to } = &work.purpose else { return false };
-        if self.orders.get(&work.vm).is_some_and(|order| order.in_flight) {
+        if self.order_states.get(&work.vm).is_some_and(|order| order.in_flight) {
             return false;
         }
         let is_done = |vm: &FleetVm| {
@@ -318,7 +320,7 @@
             let known = self.vms.get(vm.as_str());
             let incarnation = known.and_then(|vm| vm.incarnation.as_deref()).map(str::to_owned);
             self.record.work.set_stage(&vm, Stage::Ordered { incarnation });
-            self.orders.entry(vm).or_default();
+            self.order_states.entry(vm).or_default();
         }
     }
 
@@ -345,7 +347,7 @@
             if work.stage == Stage::Emptying {
                 continue;
             }
-            let order = self.orders.entry(work.vm.clone()).or_default();
+            let order = self.order_states.entry(work.vm.clone()).or_default();
             if order.in_flight || order.done_at.is_some() || now < order.retry_at {
                 continue;
             }
@@ -358,7 +360,7 @@
 
     /// Abandons the work on a VM that can never be carried out.
     fn abandon(&mut self, vm: &str) {
-        self.orders.remove(vm);
+        self.order_states.remove(vm);
         let Some(work) = self.record.work.remove(vm) else { return };
         if let Purpose::Maintain { wave } = work.purpose {
             self.mark_maintained(wave, vm);
--- a/crates/schedule/src/fleet/moves.rs
+++ b/crates/schedule/src/fleet/moves.rs
@@ -34,7 +34,7 @@
         Self { pools: HashMap::new(), policy }
     }
 
-    pub fn note(&mut self, pool: &Arc<str>, report: &PoolReport, now: Ms) {
+    pub fn record_report(&mut self, pool: &Arc<str>, report: &PoolReport, now: Ms) {
         let need = self.pools.entry(pool.clone()).or_default();
         if report.vms > 0 {
             need.vm_cpu = report.cpu / u64::from(report.vms);
@@ -52,7 +52,7 @@
     }
 
     /// Returns the number of VMs that a pool needs by its newest report.
-    pub fn now(&self, pool: &str) -> usize {
+    pub fn current(&self, pool: &str) -> usize {
         let newest = self.pools.get(pool).and_then(|need| need.recent.back());
         newest.map_or(0, |(_, vms)| *vms).max(self.policy.need.floor_vms)
     }
@@ -146,9 +146,9 @@
         let floor = self.policy.need.floor_vms;
         let first = |pool: &str| match self.policy.need.late_last {
             true => self.needs.in_time(pool) - floor,
-            false => self.needs.now(pool) - floor,
+            false => self.needs.current(pool) - floor,
         };
-        let last = |pool: &str| self.needs.now(pool) - floor - first(pool);
+        let last = |pool: &str| self.needs.current(pool) - floor - first(pool);
         let sum = |need: &dyn Fn(&str) -> usize| -> usize {
             sizes.iter().map(|(pool, _)| need(pool)).sum()
         };
@@ -255,12 +255,12 @@
         };
         self.vms.get(name).is_some_and(up)
             && self.record.work_on(name).is_none()
-            && !self.unsettled.contains_key(name)
-            && !self.kept_off.contains_key(name)
+            && !self.unanswered.contains_key(name)
+            && !self.held_off.contains_key(name)
     }
 
     fn begin_move(&mut self, vm: &str, to: &Arc<str>) {
-        self.begin(vm, Purpose::Move { to: to.as_ref().to_owned() });
+        self.begin_emptying(vm, Purpose::Move { to: to.as_ref().to_owned() });
     }
 
     fn has_been_idle(&self, vm: &str, now: Ms) -> bool {
--- a/crates/schedule/src/fleet/wave.rs
+++ b/crates/schedule/src/fleet/wave.rs
@@ -65,7 +65,7 @@
 
     /// Records which VMs of waves are missing from a list. Those that have been missing for long have left permanently and
     /// count as done.
-    pub(super) fn note_missing(&mut self, asked_at: Ms) {
+    pub(super) fn record_missing(&mut self, asked_at: Ms) {
         let vms = &self.vms;
         self.missing_since.retain(|name, _| !vms.contains_key(name.as_str()));
         for record in &mut self.record.waves {
@@ -127,7 +127,7 @@
 
     /// Returns whether a working pool has fewer VMs than it needs.
     fn is_short(&self, pool: &Arc<str>, sizes: &HashMap<Arc<str>, usize>) -> bool {
-        sizes.get(pool).is_some_and(|&size| size < self.needs.now(pool))
+        sizes.get(pool).is_some_and(|&size| size < self.needs.current(pool))
     }
 
     fn is_any_short(&self, sizes: &HashMap<Arc<str>, usize>) -> bool {
@@ -146,7 +146,7 @@
             return false;
         }
         *busy += 1;
-        self.begin(name, Purpose::Maintain { wave });
+        self.begin_emptying(name, Purpose::Maintain { wave });
         true
     }
 
@@ -157,13 +157,13 @@
             let vm = self.vms.get(name.as_str());
             let off = vm.is_some_and(|vm| self.off_pool.as_ref() == Some(&vm.pool));
             let idle = self.idle_since.contains_key(name);
-            let load = vm.map_or(0, |vm: &FleetVm| self.needs.now(&vm.pool));
+            let load = vm.map_or(0, |vm: &FleetVm| self.needs.current(&vm.pool));
             (!off, !idle, load)
         };
         let is_free = |name: &&String| {
             self.record.work_on(name).is_none()
-                && !self.unsettled.contains_key(*name)
-                && !self.kept_off.contains_key(*name)
+                && !self.unanswered.contains_key(*name)
+                && !self.held_off.contains_key(*name)
         };
         let mut names: Vec<String> = record.left.iter().filter(is_free).cloned().collect();
         names.sort_by_key(rank);
--- a/crates/schedule/src/job_log.rs
+++ b/crates/schedule/src/job_log.rs
@@ -4,7 +4,7 @@
 //! partition, or to a fourth while the third does not accept it. Records are folded by job and may arrive in any order, so
 //! that reading a record twice changes nothing.
 
-mod parts;
+mod partition_set;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::progress::{JobState, Phase, Progress};
 use crate::spec::JobSpec;
 use crate::workspace::Caller;
-pub use parts::Parts;
+pub use partition_set::PartitionSet;
 
 /// The prefixes of record keys.
 const SUBMIT: &str = "j";
@@ -150,9 +150,9 @@
     /// The version of the record that holds the progress.
     pub version: Version,
     /// The partitions that hold its submission, as far as they were read.
-    pub stands_in: Parts,
+    pub partitions: PartitionSet,
     /// The partition that a reload found without its submission, if no other one holds it.
-    pub gone_from: Option<u32>,
+    pub missing_from: Option<u32>,
 }
 
 impl JobEntry {
@@ -294,8 +294,8 @@
     /// Applies a submission. The first one of an ID is kept; later ones are copies.
     fn submit(&mut self, partition: u32, id: JobId, spec: JobSpec) -> Option<LogChange> {
         let entry = self.jobs.entry(id).or_default();
-        entry.stands_in.insert(partition);
-        let was_gone = entry.gone_from.take().is_some();
+        entry.partitions.insert(partition);
+        let was_gone = entry.missing_from.take().is_some();
         if entry.spec.is_some() {
             return was_gone.then_some(LogChange::Submitted(id));
         }
--- a/crates/schedule/src/job_log/parts.rs
+++ b/crates/schedule/src/job_log/partition_set.rs
@@ -7,9 +7,9 @@
 
 /// The set of partitions that hold a submission, as far as they were read. A pool has only a few partitions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Parts(u32);
+pub struct PartitionSet(u32);
 
-impl Parts {
+impl PartitionSet {
     pub(super) const fn insert(&mut self, partition: u32) {
         self.0 |= 1 << partition;
     }
@@ -30,7 +30,7 @@
 impl JobEntry {
     /// Returns whether its submission was dropped while this node was not reading.
     pub(super) const fn is_gone(&self) -> bool {
-        self.gone_from.is_some()
+        self.missing_from.is_some()
     }
 }
 
@@ -39,8 +39,8 @@
     /// submission: otherwise it would be read there as new, and its progress would be lost.
     pub(super) fn drop_submission(&mut self, partition: u32, id: JobId) {
         let Some(entry) = self.jobs.get_mut(&id) else { return };
-        entry.stands_in.remove(partition);
-        if entry.stands_in.is_empty() {
+        entry.partitions.remove(partition);
+        if entry.partitions.is_empty() {
             self.jobs.remove(&id);
         }
     }
@@ -50,11 +50,11 @@
     /// that their progress is not lost if the submission is read after all.
     pub fn reloaded(&mut self, partition: u32, there: &HashSet<JobId>) {
         self.jobs.retain(|id, entry| {
-            if there.contains(id) || !entry.stands_in.holds(partition) {
-                return there.contains(id) || entry.gone_from != Some(partition);
+            if there.contains(id) || !entry.partitions.holds(partition) {
+                return there.contains(id) || entry.missing_from != Some(partition);
             }
-            entry.stands_in.remove(partition);
-            entry.gone_from = entry.stands_in.is_empty().then_some(partition);
+            entry.partitions.remove(partition);
+            entry.missing_from = entry.partitions.is_empty().then_some(partition);
             true
         });
     }
--- a/crates/schedule/src/ownership.rs
+++ b/crates/schedule/src/ownership.rs
@@ -8,7 +8,7 @@
 mod vacancy;
 
 pub use readers::READERS;
-use vacancy::Ended;
+use vacancy::EndedOwner;
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -94,15 +94,15 @@
     me: NodeLife,
     started_at: Ms,
     /// When heartbeats were last read.
-    listened_at: Option<Ms>,
+    last_read_at: Option<Ms>,
     members: HashMap<String, Member>,
     claims: HashMap<Arc<str>, Owned>,
     /// The pools whose progress may be in overflow partitions.
-    further_lanes: HashSet<Arc<str>>,
+    overflow_partitions: HashSet<Arc<str>>,
     /// The time since which each vacant pool is known to have no owner.
     vacant_since: HashMap<Arc<str>, Ms>,
     /// The last owner of each pool on this node that ended by itself, without losing the pool.
-    ended_owners: HashMap<Arc<str>, Ended>,
+    ended_owners: HashMap<Arc<str>, EndedOwner>,
 }
 
 impl Ownership {
@@ -112,10 +112,10 @@
         Self {
             me,
             started_at: now,
-            listened_at: None,
+            last_read_at: None,
             members,
             claims,
-            further_lanes: HashSet::new(),
+            overflow_partitions: HashSet::new(),
             vacant_since,
             ended_owners: HashMap::new(),
         }
@@ -159,8 +159,8 @@
     /// Records that heartbeats are being read now, before they are recorded themselves. After a gap between reads all
     /// timeouts are reset. Returns whether there was such a gap.
     pub fn listen(&mut self, now: Ms) -> bool {
-        let could_not_receive = self.is_deaf(now);
-        self.listened_at = Some(now);
+        let could_not_receive = self.cannot_receive(now);
+        self.last_read_at = Some(now);
         if could_not_receive {
             self.forgive_silence(now);
         }
@@ -168,8 +168,8 @@
     }
 
     /// Returns whether heartbeats were not read for a while, so that no node can be considered unresponsive.
-    fn is_deaf(&self, now: Ms) -> bool {
-        self.listened_at.is_none_or(|at| now.saturating_sub(at) > MAX_READ_GAP_MS)
+    fn cannot_receive(&self, now: Ms) -> bool {
+        self.last_read_at.is_none_or(|at| now.saturating_sub(at) > MAX_READ_GAP_MS)
     }
 
     /// Resets all timeouts, because some heartbeats could not be read.
@@ -202,19 +202,19 @@
     /// Records whether a pool's progress may be in overflow partitions.
     pub fn set_further_lanes(&mut self, pool: &Arc<str>, open: bool) {
         match open {
-            true => self.further_lanes.insert(pool.clone()),
-            false => self.further_lanes.remove(pool),
+            true => self.overflow_partitions.insert(pool.clone()),
+            false => self.overflow_partitions.remove(pool),
         };
     }
 
     /// Replaces the set of pools whose progress may be in overflow partitions.
     pub fn replace_further_lanes(&mut self, pools: HashSet<Arc<str>>) {
-        self.further_lanes = pools;
+        self.overflow_partitions = pools;
     }
 
     /// Returns whether a pool's progress may be in overflow partitions.
     pub fn has_further_lanes(&self, pool: &str) -> bool {
-        self.further_lanes.contains(pool)
+        self.overflow_partitions.contains(pool)
     }
 
     /// Returns a pool's owner, its token, and whether it has released the pool.
--- a/crates/schedule/src/ownership/readers.rs
+++ b/crates/schedule/src/ownership/readers.rs
@@ -29,7 +29,7 @@
         if now < self.started_at + READ_DELAY_MS {
             return Some(false);
         }
-        if self.is_deaf(now) {
+        if self.cannot_receive(now) {
             return None;
         }
         let me = &self.me.name;
--- a/crates/schedule/src/ownership/vacancy.rs
+++ b/crates/schedule/src/ownership/vacancy.rs
@@ -32,13 +32,13 @@
 
 /// An owner on this node that ended by itself though no other node claimed its pool.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Ended {
+pub(super) struct EndedOwner {
     token: u64,
     at: Ms,
     in_a_row: u32,
 }
 
-impl Ended {
+impl EndedOwner {
     fn reclaim_at(self) -> Ms {
         self.at + (RECLAIM_DELAY_MS << self.in_a_row.min(MAX_RECLAIM_DOUBLINGS))
     }
@@ -49,7 +49,7 @@
     NeverOwned,
     Released,
     PreviousIncarnation,
-    Ended(Ended),
+    Ended(EndedOwner),
     Restarted,
     Unresponsive,
 }
@@ -62,7 +62,7 @@
         let was_stable = now.saturating_sub(owned.seen_at) >= STABLE_AFTER_MS;
         let before = self.ended_owners.get(pool).filter(|_| !was_stable);
         let in_a_row = before.map_or(0, |ended| ended.in_a_row + 1);
-        self.ended_owners.insert(pool.clone(), Ended { token, at: now, in_a_row });
+        self.ended_owners.insert(pool.clone(), EndedOwner { token, at: now, in_a_row });
     }
 
     /// Returns whether an owner of a pool on this node has ended by itself.
@@ -81,7 +81,7 @@
         now: Ms,
     ) -> Vec<Arc<str>> {
         let mut wanted: Vec<Arc<str>> = Vec::new();
-        if self.is_deaf(now) {
+        if self.cannot_receive(now) {
             return wanted;
         }
         for pool in pools {
