--- a/crates/schedule/src/fleet/mod.rs
+++ b/crates/schedule/src/fleet/mod.rs
@@ -98,8 +98,8 @@
         let ordered = record.work.iter().filter(|w| w.stage != Stage::Emptying);
         let ordered = ordered.map(|w| (w.vm.clone(), hold_off.until));
         let moved = hold_off.until.saturating_sub(MIN_ORDER_MS);
-        let lately = record.ordered_lately.iter().map(|vm| (vm.clone(), moved));
-        let held_off: HashMap<String, Ms> = ordered.chain(lately).collect();
+        let recent = record.ordered_lately.iter().map(|vm| (vm.clone(), moved));
+        let held_off: HashMap<String, Ms> = ordered.chain(recent).collect();
         let order_state = |(vm, &retry_at): (&String, &Ms)| {
             (vm.clone(), OrderState { retry_at, ..OrderState::default() })
         };
@@ -208,9 +208,7 @@
             self.unanswered.insert(vm.to_owned(), now + LATE_ORDER_MS);
         }
         // An answer to an order that is no longer pending does not concern the current work on the VM.
-        let Some(order) = self.order_states.get_mut(vm).filter(|order| order.in_flight) else {
-            return;
-        };
+        let Some(order) = self.order_states.get_mut(vm).filter(|o| o.in_flight) else { return };
         order.in_flight = false;
         order.retry_at = now + (ORDER_RETRY_MS << order.rejections.min(MAX_ORDER_DOUBLINGS));
         order.rejections = if outcome == OrderOutcome::NotDone { order.rejections + 1 } else { 0 };
--- a/crates/schedule/src/fleet/rows.rs
+++ b/crates/schedule/src/fleet/rows.rs
@@ -64,17 +64,17 @@
     }
 
     fn add_vm_changes(&self, before: &Self, rows: &mut Vec<FleetRow>) {
-        let lately: HashSet<&str> = self.ordered_lately.iter().map(String::as_str).collect();
-        let lately_before: HashSet<&str> =
+        let recent: HashSet<&str> = self.ordered_lately.iter().map(String::as_str).collect();
+        let recent_before: HashSet<&str> =
             before.ordered_lately.iter().map(String::as_str).collect();
         let named = self.work.iter().chain(&before.work).map(|w| w.vm.as_str());
         let mut seen = HashSet::new();
-        for vm in named.chain(lately.iter().copied()).chain(lately_before.iter().copied()) {
+        for vm in named.chain(recent.iter().copied()).chain(recent_before.iter().copied()) {
             if !seen.insert(vm) {
                 continue;
             }
-            let now = (self.work.get(vm), lately.contains(vm));
-            if now != (before.work.get(vm), lately_before.contains(vm)) {
+            let now = (self.work.get(vm), recent.contains(vm));
+            if now != (before.work.get(vm), recent_before.contains(vm)) {
                 let (work, ordered_lately) = (now.0.cloned(), now.1);
                 rows.push(FleetRow::Vm { vm: vm.to_owned(), work, ordered_lately });
             }
