--- a/crates/schedule/src/harm.rs
+++ b/crates/schedule/src/harm.rs
@@ -150,5 +150,6 @@
     /// The task within the step.
     pub index: u32,
     /// The task's crash history.
+    #[serde(rename = "harm")]
     pub harm: Harm,
 }
--- a/crates/schedule/src/ownership.rs
+++ b/crates/schedule/src/ownership.rs
@@ -40,6 +40,7 @@
     /// The node's name.
     pub name: String,
     /// A random number drawn at the node's start.
+    #[serde(rename = "life")]
     pub life: u64,
 }
 
@@ -56,6 +57,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The number of the node's incarnation.
+    #[serde(rename = "life")]
     pub life: u64,
     /// The sequence number, increasing with each heartbeat of the incarnation.
     pub sequence: u64,
--- a/crates/schedule/src/progress.rs
+++ b/crates/schedule/src/progress.rs
@@ -65,6 +65,7 @@
     /// The task within the step.
     pub index: u32,
     /// The state of the task.
+    #[serde(rename = "place")]
     pub place: Place,
     /// The number of its last run.
     pub attempt: u32,
--- a/crates/schedule/src/quota/mod.rs
+++ b/crates/schedule/src/quota/mod.rs
@@ -71,6 +71,7 @@
     /// The workspace.
     pub workspace: String,
     /// The owner's token and the sequence number of its report. A later report replaces earlier ones.
+    #[serde(rename = "said")]
     pub said: (u64, u64),
     /// The number of the record that the owner follows.
     pub number: u64,
--- a/crates/scheduler/src/fleet_owner/mod.rs
+++ b/crates/scheduler/src/fleet_owner/mod.rs
@@ -24,7 +24,7 @@
 use records::{follow_reports, hold_off, read_record};
 
 pub use records::follow_record;
-pub use rows::apply_row as take_row;
+pub use rows::apply_row;
 
 /// The name under which nodes claim the fleet; no pool has this name.
 pub const FLEET: &str = "#fleet";
--- a/crates/scheduler/src/follow.rs
+++ b/crates/scheduler/src/follow.rs
@@ -137,14 +137,14 @@
 }
 
 /// Follows a partition while this node owns a pool or the fleet, each time starting with the newest record of each key, and
-/// calls `forget` when the node no longer owns anything. Of 97 nodes only six own something; if the others also followed the
+/// calls `clear` when the node no longer owns anything. Of 97 nodes only six own something; if the others also followed the
 /// entries of 540 VMs and the fleet's records, they would write 209 thousand needless log lines on a calm day.
 pub async fn follow_while_owning(
     node: &Node,
     (topic, part): (&str, u32),
     pace: Pace,
     mut apply: impl FnMut(News),
-    mut forget: impl FnMut(),
+    mut clear: impl FnMut(),
 ) {
     loop {
         node.owning.wait_for(true).await;
@@ -153,6 +153,6 @@
             () = follow(node, tail, pace, |update, _| apply(update)) => (),
             () = node.owning.wait_for(false) => (),
         }
-        forget();
+        clear();
     }
 }
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -165,11 +165,11 @@
         });
         node.vms_listed.send_replace(true);
     };
-    let forget = || {
+    let clear = || {
         node.vms_listed.send_replace(false);
         node.vms.send_replace(Arc::default());
     };
-    follow_while_owning(&node, (listing::TOPIC, 0), Pace::Batched, apply, forget).await;
+    follow_while_owning(&node, (listing::TOPIC, 0), Pace::Batched, apply, clear).await;
 }
 
 /// How many IDs of unreadable entries are remembered. Further unreadable entries are counted but not logged.
--- a/crates/scheduler/src/overview.rs
+++ b/crates/scheduler/src/overview.rs
@@ -14,7 +14,7 @@
 
 use crate::caps::{CAPS, LENT, LENT_PREFIX, USE_PREFIX, USES};
 use crate::control::{CLAIMS, OWNER_PREFIX, TOPIC};
-use crate::fleet_owner::{FLEET, POOL_PREFIX, RECORD, REPORTS, take_row};
+use crate::fleet_owner::{FLEET, POOL_PREFIX, RECORD, REPORTS, apply_row};
 use crate::pool_log::{PROGRESS, SPARE, SPARE_PROGRESS, SUBMISSIONS, topic_of};
 
 /// The state of the system in the store.
@@ -155,7 +155,7 @@
 
     async fn read_fleet(&mut self, store: &Store) -> Result<(), StoreError> {
         for stored in store.newest(TOPIC, RECORD).await?.records {
-            let applied = take_row(&mut self.fleet, &stored);
+            let applied = apply_row(&mut self.fleet, &stored);
             applied.map_err(|e| StoreError::Malformed(e.to_string()))?;
         }
         for stored in store.newest(TOPIC, REPORTS).await?.records {
