--- a/crates/bench/src/slopes/pool.rs
+++ b/crates/bench/src/slopes/pool.rs
@@ -5,9 +5,9 @@
 
 use thistle_schedule::job_log::{Version, encode, encode_progress, progress_key, submit_key};
 use thistle_schedule::pool::Now;
-use thistle_schedule::progress::{Place, TaskRecord};
+use thistle_schedule::progress::{TaskPlacement, TaskRecord};
 use thistle_schedule::{
-    JobId, JobLog, JobSpec, Objective, Pool, Progress, Room, Step, VmFacts, VmLife, VmReport,
+    JobId, JobLog, JobSpec, Objective, Pool, Progress, Room, Step, VmFacts, VmIncarnation, VmReport,
 };
 
 use super::{Slope, micros};
@@ -55,8 +55,8 @@
     Slope::new(name, per, "us", points)
 }
 
-fn vm_id(vm: u32) -> VmLife {
-    VmLife::new(format!("i-{vm:010x}"), None)
+fn vm_id(vm: u32) -> VmIncarnation {
+    VmIncarnation::new(format!("i-{vm:010x}"), None)
 }
 
 fn spec() -> JobSpec {
@@ -84,7 +84,7 @@
             time: 0,
             step: 0,
             index,
-            place: Place::On(vm_id((job + index) % vms).to_string()),
+            placement: TaskPlacement::On(vm_id((job + index) % vms).to_string()),
             attempt: 1,
             failures: 0,
             checkpoint: String::new(),
@@ -109,7 +109,7 @@
 /// every job and every VM.
 fn taken_over(log: &JobLog, vms: u32) -> Pool {
     let mut pool = Pool::new();
-    pool.taken_over(NOW);
+    pool.record_takeover(NOW);
     for (id, entry) in log.iter() {
         pool.adopt(id, entry, NOW);
     }
@@ -128,7 +128,7 @@
             cold: false,
         };
         pool.list_vm(Arc::new(facts));
-        pool.report(&vm_id(vm), &VmReport::default(), NOW);
+        pool.apply_report(&vm_id(vm), &VmReport::default(), NOW);
     }
     pool
 }
--- a/crates/schedule/src/admission.rs
+++ b/crates/schedule/src/admission.rs
@@ -26,12 +26,12 @@
 
 impl StoreView {
     /// Returns whether the store has answered recently enough for this node to accept callers.
-    pub const fn in_touch(&self, now: Ms) -> bool {
+    pub const fn is_reachable(&self, now: Ms) -> bool {
         self.answered_at > 0 && now.saturating_sub(self.answered_at) < UNREACHABLE_MS
     }
 
     /// Returns whether submissions are sent to the store.
-    pub const fn takes_submissions(&self, now: Ms) -> bool {
+    pub const fn accepts_submissions(&self, now: Ms) -> bool {
         self.answered_at > 0 && now.saturating_sub(self.answered_at) < REFUSE_AFTER_MS
     }
 
@@ -42,7 +42,7 @@
     }
 
     /// Returns whether the store is reachable and no call has failed for `span`.
-    pub const fn sound_for(&self, span: Ms, now: Ms) -> bool {
-        self.in_touch(now) && now.saturating_sub(self.failed_at) >= span
+    pub const fn is_healthy_for(&self, span: Ms, now: Ms) -> bool {
+        self.is_reachable(now) && now.saturating_sub(self.failed_at) >= span
     }
 }
--- a/crates/schedule/src/harm.rs
+++ b/crates/schedule/src/crash_history.rs
@@ -16,7 +16,7 @@
 
 /// The time after a run's start within which the run may have crashed a VM that stops answering, in milliseconds. A VM may
 /// crash 10 ms after the start, and its owner may notice the closed connections 70 ms later.
-pub const AT_START_MS: Ms = 250;
+pub const CRASH_AT_START_MS: Ms = 250;
 /// The number of crashes right after its start, on VMs without tasks of other jobs, at which a task is abandoned. One may be
 /// a coincidence.
 const MAX_CRASHES_ALONE: u32 = 2;
@@ -30,7 +30,7 @@
 /// The delay before a suspect is started again after its first crash, in milliseconds. It doubles with each crash.
 const FIRST_RESTART_DELAY_MS: Ms = 250;
 /// The longest such delay, in milliseconds. A task that may start and does not for 3 s counts as lost.
-pub const MOST_PAUSE_MS: Ms = 2_000;
+pub const MAX_RESTART_DELAY_MS: Ms = 2_000;
 
 /// A VM that ran a task and was unresponsive until its lease expired.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -54,7 +54,7 @@
 
 /// The crash history of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Harm {
+pub struct CrashHistory {
     /// The number of VMs that crashed while they ran the task.
     pub crashes: u32,
     /// The number of these that crashed right after the task's start.
@@ -78,9 +78,9 @@
     GivenUp,
 }
 
-impl Harm {
+impl CrashHistory {
     /// Counts a crash.
-    pub fn add(&mut self, crash: Crash) {
+    pub fn add_crash(&mut self, crash: Crash) {
         self.crashes += 1;
         self.at_start += u32::from(crash.at_start);
         self.alone += u32::from(crash.at_start && crash.alone);
@@ -100,7 +100,7 @@
         let was_unclear = self.unclear.len() < before;
         if was_unclear && crashed {
             // An unclear loss does not record what else ran on the VM.
-            self.add(Crash { at_start: false, alone: false });
+            self.add_crash(Crash { at_start: false, alone: false });
         }
         was_unclear
     }
@@ -128,13 +128,13 @@
     }
 
     /// Returns the delay after a loss before a suspect is started again.
-    pub fn pause(&self) -> Ms {
+    pub fn restart_delay(&self) -> Ms {
         match self.verdict() {
             Verdict::Clear => 0,
             Verdict::Suspect | Verdict::Held | Verdict::GivenUp => {
                 let doubled = FIRST_RESTART_DELAY_MS
                     << self.crashes.saturating_sub(1).min(MAX_CRASHES_WITH_STARTS);
-                doubled.min(MOST_PAUSE_MS)
+                doubled.min(MAX_RESTART_DELAY_MS)
             }
         }
     }
@@ -142,7 +142,7 @@
 
 /// The crash history of one task within its job's record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HarmRecord {
+pub struct CrashHistoryRecord {
     /// The repetition.
     pub time: u32,
     /// The step.
@@ -151,5 +151,5 @@
     pub index: u32,
     /// The task's crash history.
     #[serde(rename = "harm")]
-    pub harm: Harm,
+    pub crash_history: CrashHistory,
 }
--- a/crates/schedule/src/fleet/facts.rs
+++ b/crates/schedule/src/fleet/facts.rs
@@ -76,7 +76,7 @@
     pub cap: usize,
     /// When it was requested, by this node's monotonic clock, or `None` if the request was in the store before the node
     /// started.
-    pub asked_at: Option<Ms>,
+    pub requested_at: Option<Ms>,
 }
 
 /// An order to the machine service.
--- a/crates/schedule/src/fleet/mod.rs
+++ b/crates/schedule/src/fleet/mod.rs
@@ -15,7 +15,7 @@
 
 use crate::Ms;
 use crate::halls::Halls;
-use crate::id::VmLife;
+use crate::id::VmIncarnation;
 use crate::policy::Policy;
 
 pub use facts::{FleetOrder, FleetVm, HoldOff, OrderOutcome, PoolReport, VmState, WaveRequest};
@@ -203,7 +203,7 @@
     }
 
     /// Records the outcome of an order.
-    pub fn order_result(&mut self, vm: &str, outcome: OrderOutcome, now: Ms) {
+    pub fn record_order_result(&mut self, vm: &str, outcome: OrderOutcome, now: Ms) {
         if outcome == OrderOutcome::Unknown {
             self.unanswered.insert(vm.to_owned(), now + LATE_ORDER_MS);
         }
@@ -226,7 +226,7 @@
     }
 
     /// Records that the completion of a wave was reported to the operator.
-    pub fn completed(&mut self, wave: u64) {
+    pub fn record_completed(&mut self, wave: u64) {
         if let Some(record) = self.record.waves.iter_mut().find(|w| w.wave == wave) {
             record.completed = true;
         }
@@ -332,8 +332,8 @@
         if self.off_pool.as_ref() == Some(&vm.pool) {
             return true;
         }
-        let listed = VmLife::from(vm.incarnation.as_deref().unwrap_or_default());
-        let is_listed = |incarnation: &str| VmLife::from(incarnation).may_be(&listed);
+        let listed = VmIncarnation::from(vm.incarnation.as_deref().unwrap_or_default());
+        let is_listed = |incarnation: &str| VmIncarnation::from(incarnation).may_be_same(&listed);
         self.emptied
             .get(name)
             .is_some_and(|(pool, incarnation)| *pool == vm.pool && is_listed(incarnation))
--- a/crates/schedule/src/fleet/moves.rs
+++ b/crates/schedule/src/fleet/moves.rs
@@ -191,7 +191,7 @@
         for vm in self.vms.values() {
             // A VM that is due for maintenance no longer counts, so that it is replaced before it is empty.
             let works = vm.state != VmState::Down
-                && self.halls.takes_work(&vm.hall)
+                && self.halls.accepts_work(&vm.hall)
                 && self.record.work_on(&vm.name).is_none();
             if let Some(size) = sizes.get_mut(&vm.pool).filter(|_| works) {
                 *size += 1;
@@ -200,7 +200,7 @@
         for work in &self.record.work {
             let Purpose::Move { to } = &work.purpose else { continue };
             let vm = self.vms.get(work.vm.as_str());
-            let counts = vm.is_none_or(|vm| self.halls.takes_work(&vm.hall));
+            let counts = vm.is_none_or(|vm| self.halls.accepts_work(&vm.hall));
             if let Some(size) = sizes.get_mut(to.as_str()).filter(|_| counts) {
                 *size += 1;
             }
@@ -251,7 +251,7 @@
     /// no work in another pool, and its pool needs it when the evacuation is withdrawn.
     fn is_free(&self, name: &str, pool: &Arc<str>) -> bool {
         let up = |vm: &super::FleetVm| {
-            vm.pool == *pool && vm.state == VmState::Up && self.halls.takes_work(&vm.hall)
+            vm.pool == *pool && vm.state == VmState::Up && self.halls.accepts_work(&vm.hall)
         };
         self.vms.get(name).is_some_and(up)
             && self.record.work_on(name).is_none()
--- a/crates/schedule/src/fleet/record.rs
+++ b/crates/schedule/src/fleet/record.rs
@@ -80,7 +80,7 @@
 
 impl FleetRecord {
     /// Returns whether both records have the same work and waves.
-    pub fn is_same_work(&self, other: &Self) -> bool {
+    pub fn has_same_work(&self, other: &Self) -> bool {
         self.work == other.work && self.waves == other.waves
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Returns the names of the VMs that a wave will take down soon.
-    pub fn due(&self) -> impl Iterator<Item = &str> {
+    pub fn due_in_waves(&self) -> impl Iterator<Item = &str> {
         self.waves.iter().flat_map(|w| w.left.iter().map(String::as_str))
     }
 
--- a/crates/schedule/src/fleet/wave.rs
+++ b/crates/schedule/src/fleet/wave.rs
@@ -38,7 +38,7 @@
 
     /// Returns whether the wave can wait for VMs that their pools need.
     fn has_time(&self, left: usize, now: Ms) -> bool {
-        let Some(asked_at) = self.request.asked_at else { return false };
+        let Some(asked_at) = self.request.requested_at else { return false };
         let rounds = left.div_ceil(self.request.cap.max(1));
         let needed = VM_TIME_MS * Ms::try_from(rounds).unwrap_or(Ms::MAX) + RESERVE_MS;
         now + needed < asked_at + self.request.duration_ms
@@ -47,7 +47,7 @@
     /// Returns the number of VMs that must be worked on at once for the wave to finish in time.
     fn required_parallelism(&self, left: usize, now: Ms) -> usize {
         let all = self.request.cap.max(1) + EMPTIED_AHEAD;
-        let Some(asked_at) = self.request.asked_at else { return all };
+        let Some(asked_at) = self.request.requested_at else { return all };
         let end = (asked_at + self.request.duration_ms).saturating_sub(RESERVE_MS);
         let time = usize::try_from(end.saturating_sub(now)).unwrap_or(usize::MAX);
         let vm_time = usize::try_from(VM_TIME_MS).unwrap_or(usize::MAX);
--- a/crates/schedule/src/halls.rs
+++ b/crates/schedule/src/halls.rs
@@ -34,12 +34,12 @@
     }
 
     /// Withdraws the request for a hall, and returns whether there was one.
-    pub fn take_back(&mut self, hall: &str) -> bool {
+    pub fn withdraw(&mut self, hall: &str) -> bool {
         self.evacuated.remove(hall).is_some()
     }
 
     /// Returns whether new work may start in a hall.
-    pub fn takes_work(&self, hall: &str) -> bool {
+    pub fn accepts_work(&self, hall: &str) -> bool {
         !self.evacuated.contains_key(hall)
     }
 
@@ -54,7 +54,7 @@
 /// Returns whether the known evacuations are recent enough to start tasks. `read_at` is when the newest read that reached the
 /// end of the operator's requests was sent. `within` is the time allowed until an evacuation takes effect, or `None` on sites
 /// without evacuations.
-pub fn is_known(read_at: Option<Ms>, within: Option<Ms>, now: Ms) -> bool {
+pub fn is_current(read_at: Option<Ms>, within: Option<Ms>, now: Ms) -> bool {
     let Some(within) = within else { return true };
     read_at.is_some_and(|at| now < at + within.saturating_sub(START_DELIVERY_MS))
 }
--- a/crates/schedule/src/id.rs
+++ b/crates/schedule/src/id.rs
@@ -101,12 +101,12 @@
 /// One incarnation of a VM. A VM that crashed, moved or was maintained may restart under the same ID or another one, with
 /// nothing running and all of its counters reset. The start time distinguishes incarnations of one ID.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct VmLife {
+pub struct VmIncarnation {
     id: Arc<str>,
     started_at: Option<u64>,
 }
 
-impl VmLife {
+impl VmIncarnation {
     /// Creates an incarnation that started at `started_at`, in milliseconds since 1970, or `None` if the start time is not known.
     pub fn new(id: impl Into<Arc<str>>, started_at: Option<u64>) -> Self {
         Self { id: id.into(), started_at }
@@ -118,13 +118,13 @@
     }
 
     /// Returns the start time in milliseconds since 1970, if it is known.
-    pub const fn born(&self) -> Option<u64> {
+    pub const fn started_at(&self) -> Option<u64> {
         self.started_at
     }
 
     /// Returns whether both may be the same incarnation: they share an ID, and their start times are equal or one of them is
     /// unknown.
-    pub fn may_be(&self, other: &Self) -> bool {
+    pub fn may_be_same(&self, other: &Self) -> bool {
         self.id == other.id
             && (self.started_at == other.started_at
                 || self.started_at.is_none()
@@ -132,12 +132,12 @@
     }
 
     /// Returns whether both share an ID but differ in their start time.
-    pub fn is_other_life_of(&self, other: &Self) -> bool {
+    pub fn is_other_incarnation_of(&self, other: &Self) -> bool {
         self.id == other.id && self.started_at != other.started_at
     }
 }
 
-impl fmt::Display for VmLife {
+impl fmt::Display for VmIncarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.started_at {
             Some(started_at) => write!(f, "{}{START_TIME_SEPARATOR}{started_at}", self.id),
@@ -147,7 +147,7 @@
 }
 
 /// Parses an incarnation as records hold it. Records of older versions hold only the ID.
-impl From<&str> for VmLife {
+impl From<&str> for VmIncarnation {
     fn from(text: &str) -> Self {
         let parts = text.rsplit_once(START_TIME_SEPARATOR);
         match parts.and_then(|(id, started_at)| Some((id, started_at.parse().ok()?))) {
--- a/crates/schedule/src/job_log.rs
+++ b/crates/schedule/src/job_log.rs
@@ -70,8 +70,8 @@
 /// Encodes a job's progress.
 pub fn encode_progress(version: Version, progress: &Progress) -> Vec<u8> {
     let mut record = encode(&(version, progress));
-    if !progress.harms.is_empty() {
-        record.extend(encode(&progress.harms));
+    if !progress.crash_histories.is_empty() {
+        record.extend(encode(&progress.crash_histories));
     }
     record
 }
@@ -117,7 +117,7 @@
     let ((version, mut progress), rest): ((Version, Progress), _) =
         postcard::take_from_bytes(value)?;
     if !rest.is_empty() {
-        progress.harms = postcard::from_bytes(rest)?;
+        progress.crash_histories = postcard::from_bytes(rest)?;
     }
     Ok((version, progress))
 }
@@ -215,7 +215,7 @@
     }
 
     /// Returns whether some open job has started though its submission has not been read.
-    pub fn has_begun_unseen(&self) -> bool {
+    pub fn has_started_without_submission(&self) -> bool {
         let begun =
             |e: &JobEntry| e.spec.is_none() && e.progress.begun && e.progress.phase == Phase::Open;
         self.jobs.values().any(begun)
--- a/crates/schedule/src/job_log/partition_set.rs
+++ b/crates/schedule/src/job_log/partition_set.rs
@@ -48,7 +48,7 @@
     /// Records which submissions a partition holds, after the newest record of each key was read and before these records are
     /// applied. Submissions that no partition holds any more were dropped. Their entries are hidden until the next reload, so
     /// that their progress is not lost if the submission is read after all.
-    pub fn reloaded(&mut self, partition: u32, there: &HashSet<JobId>) {
+    pub fn record_reload(&mut self, partition: u32, there: &HashSet<JobId>) {
         self.jobs.retain(|id, entry| {
             if there.contains(id) || !entry.partitions.holds(partition) {
                 return there.contains(id) || entry.missing_from != Some(partition);
--- a/crates/schedule/src/lease.rs
+++ b/crates/schedule/src/lease.rs
@@ -33,35 +33,35 @@
 
     /// Returns whether a reading shows that the VM's clock was reset. The reading must have been requested after the last one
     /// arrived.
-    pub fn has_begun_anew(&self, clock_ms: u64) -> bool {
+    pub fn was_clock_reset(&self, clock_ms: u64) -> bool {
         self.clock.is_some_and(|(before, _)| clock_ms < before)
     }
 
     /// Records a reading of the VM's clock.
-    pub fn read_clock(&mut self, clock_ms: u64, now: Ms) {
+    pub fn record_clock(&mut self, clock_ms: u64, now: Ms) {
         self.clock = Some((clock_ms, now));
         self.unresponsive = false;
     }
 
     /// Records that the VM does not answer.
-    pub fn set_silent(&mut self) {
+    pub fn set_unresponsive(&mut self) {
         self.unresponsive = true;
     }
 
     /// Returns whether the VM has not answered the last call.
-    pub const fn is_silent(&self) -> bool {
+    pub const fn is_unresponsive(&self) -> bool {
         self.unresponsive
     }
 
     /// Records that a start was not answered. The VM may restart before the start arrives, which resets its clock, so that the
     /// start does not appear late there and runs under a full lease from then on.
-    pub fn note_unanswered_start(&mut self, now: Ms) {
+    pub fn record_unanswered_start(&mut self, now: Ms) {
         let arrives = now + LATE_START_MS;
         self.expires_at = self.expires_at.max(arrives + stretched(self.length) + MARGIN_MS);
     }
 
     /// Grants a lease now and returns its end on the VM's clock.
-    pub fn give(&mut self, now: Ms) -> Option<u64> {
+    pub fn grant(&mut self, now: Ms) -> Option<u64> {
         let (clock_ms, read_at) = self.clock.filter(|_| !self.unresponsive)?;
         let since = now.saturating_sub(read_at) + self.length;
         self.expires_at = self.expires_at.max(read_at + stretched(since) + MARGIN_MS);
@@ -69,7 +69,7 @@
     }
 
     /// Returns whether no task can run on the VM any more because the lease has certainly expired.
-    pub const fn is_over(&self, now: Ms) -> bool {
+    pub const fn is_expired(&self, now: Ms) -> bool {
         now >= self.expires_at
     }
 }
--- a/crates/schedule/src/lib.rs
+++ b/crates/schedule/src/lib.rs
@@ -3,9 +3,9 @@
 
 pub mod admission;
 pub mod catalog;
+pub mod crash_history;
 pub mod fleet;
 pub mod halls;
-pub mod harm;
 pub mod id;
 pub mod job_log;
 pub mod lease;
@@ -19,9 +19,9 @@
 pub mod workspace;
 
 pub use catalog::{Catalog, Limits, PoolConfig, Queue};
+pub use crash_history::{CrashHistory, Verdict};
 pub use halls::{Evacuation, Halls};
-pub use harm::{Harm, Verdict};
-pub use id::{JobId, RunId, TaskId, VmLife};
+pub use id::{JobId, RunId, TaskId, VmIncarnation};
 pub use job_log::{JobLog, LogChange};
 pub use lease::TaskLease;
 pub use policy::Policy;
--- a/crates/schedule/src/ownership.rs
+++ b/crates/schedule/src/ownership.rs
@@ -24,7 +24,7 @@
 pub const OWNER_LEASE_MS: Ms = 2_200;
 /// How long a node must be unresponsive before other nodes claim its pools, in milliseconds: its lease, the longest time
 /// between two reads of the heartbeats, and a margin for clocks that differ by 2%.
-pub const SILENCE_MS: Ms = 2_700;
+pub const UNRESPONSIVE_MS: Ms = 2_700;
 /// How long a member counts as alive after its last heartbeat, in milliseconds. Members without pools send few heartbeats.
 const ALIVE_MS: Ms = 7_500;
 /// The time between two reads of the heartbeats after which all timeouts are reset, in milliseconds: a little more than the
@@ -36,19 +36,19 @@
 
 /// One incarnation of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct NodeLife {
+pub struct NodeIncarnation {
     /// The node's name.
     pub name: String,
     /// A random number drawn at the node's start.
     #[serde(rename = "life")]
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// The record that a node writes to claim a pool or to release it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The owner.
-    pub owner: NodeLife,
+    pub owner: NodeIncarnation,
     /// Whether the owner has released the pool.
     pub released: bool,
 }
@@ -58,7 +58,7 @@
 pub struct Heartbeat {
     /// The number of the node's incarnation.
     #[serde(rename = "life")]
-    pub life: u64,
+    pub incarnation: u64,
     /// The sequence number, increasing with each heartbeat of the incarnation.
     pub sequence: u64,
     /// Whether the node is about to stop and claims no pools.
@@ -93,7 +93,7 @@
 /// One node's view of owners and members.
 #[derive(Debug)]
 pub struct Ownership {
-    me: NodeLife,
+    me: NodeIncarnation,
     started_at: Ms,
     /// When heartbeats were last read.
     last_read_at: Option<Ms>,
@@ -109,7 +109,7 @@
 
 impl Ownership {
     /// Creates the view of a node that has just started.
-    pub fn new(me: NodeLife, now: Ms) -> Self {
+    pub fn new(me: NodeIncarnation, now: Ms) -> Self {
         let (members, claims, vacant_since) = (HashMap::new(), HashMap::new(), HashMap::new());
         Self {
             me,
@@ -124,8 +124,8 @@
     }
 
     /// Records a heartbeat that was read.
-    pub fn heard(&mut self, name: &str, beat: &Heartbeat, now: Ms) {
-        let Heartbeat { life, sequence, leaving, relay, speed } = *beat;
+    pub fn record_heartbeat(&mut self, name: &str, beat: &Heartbeat, now: Ms) {
+        let Heartbeat { incarnation: life, sequence, leaving, relay, speed } = *beat;
         let update =
             Member { speed, relay, incarnation: life, sequence, leaving, last_contact: now };
         match self.members.get_mut(name) {
@@ -139,16 +139,16 @@
 
     /// Records a heartbeat that was read from the fallback partition. It may be outdated, so it does not introduce another
     /// incarnation of a known member.
-    pub fn heard_aside(&mut self, name: &str, beat: &Heartbeat, now: Ms) {
+    pub fn record_fallback_heartbeat(&mut self, name: &str, beat: &Heartbeat, now: Ms) {
         let is_other_incarnation =
-            self.members.get(name).is_some_and(|m| m.incarnation != beat.life);
+            self.members.get(name).is_some_and(|m| m.incarnation != beat.incarnation);
         if !is_other_incarnation {
-            self.heard(name, beat, now);
+            self.record_heartbeat(name, beat, now);
         }
     }
 
     /// Returns whether the heartbeat of some other node that owns a pool is overdue.
-    pub fn has_quiet_owner(&self, now: Ms) -> bool {
+    pub fn has_overdue_owner(&self, now: Ms) -> bool {
         let is_overdue = |owned: &Owned| {
             let contact = self.members.get(&owned.claim.owner.name).map_or(0, |m| m.last_contact);
             let latest = contact.max(owned.seen_at);
@@ -160,11 +160,11 @@
 
     /// Records that heartbeats are being read now, before they are recorded themselves. After a gap between reads all
     /// timeouts are reset. Returns whether there was such a gap.
-    pub fn listen(&mut self, now: Ms) -> bool {
+    pub fn record_read(&mut self, now: Ms) -> bool {
         let could_not_receive = self.cannot_receive(now);
         self.last_read_at = Some(now);
         if could_not_receive {
-            self.forgive_silence(now);
+            self.reset_timeouts(now);
         }
         could_not_receive
     }
@@ -175,7 +175,7 @@
     }
 
     /// Resets all timeouts, because some heartbeats could not be read.
-    pub fn forgive_silence(&mut self, now: Ms) {
+    pub fn reset_timeouts(&mut self, now: Ms) {
         for member in self.members.values_mut() {
             member.last_contact = now;
         }
@@ -185,7 +185,7 @@
     }
 
     /// Records a claim that was read, with the offset of its record.
-    pub fn claimed(&mut self, pool: &Arc<str>, claim: Claim, offset: u64, now: Ms) {
+    pub fn record_claim(&mut self, pool: &Arc<str>, claim: Claim, offset: u64, now: Ms) {
         let token = token_of(offset);
         let known = self.claims.get(pool);
         if known.is_some_and(|o| o.token >= token) {
@@ -202,7 +202,7 @@
     }
 
     /// Records whether a pool's progress may be in overflow partitions.
-    pub fn set_further_lanes(&mut self, pool: &Arc<str>, open: bool) {
+    pub fn set_overflow_partitions(&mut self, pool: &Arc<str>, open: bool) {
         match open {
             true => self.overflow_partitions.insert(pool.clone()),
             false => self.overflow_partitions.remove(pool),
@@ -210,17 +210,17 @@
     }
 
     /// Replaces the set of pools whose progress may be in overflow partitions.
-    pub fn replace_further_lanes(&mut self, pools: HashSet<Arc<str>>) {
+    pub fn replace_overflow_partitions(&mut self, pools: HashSet<Arc<str>>) {
         self.overflow_partitions = pools;
     }
 
     /// Returns whether a pool's progress may be in overflow partitions.
-    pub fn has_further_lanes(&self, pool: &str) -> bool {
+    pub fn has_overflow_partitions(&self, pool: &str) -> bool {
         self.overflow_partitions.contains(pool)
     }
 
     /// Returns a pool's owner, its token, and whether it has released the pool.
-    pub fn owner(&self, pool: &str) -> Option<(&NodeLife, u64, bool)> {
+    pub fn owner(&self, pool: &str) -> Option<(&NodeIncarnation, u64, bool)> {
         self.claims.get(pool).map(|o| (&o.claim.owner, o.token, o.claim.released))
     }
 
@@ -231,12 +231,12 @@
         let member = self.members.get(&claim.owner.name)?;
         // A previous incarnation of this node no longer exists.
         let other = claim.owner.name != self.me.name;
-        let is_running = member.incarnation == claim.owner.life && !member.leaving;
+        let is_running = member.incarnation == claim.owner.incarnation && !member.leaving;
         member.relay.filter(|_| other && is_running)
     }
 
     /// Returns whether the predecessor of a pool's current owner released the pool.
-    pub fn was_given_up(&self, pool: &str) -> bool {
+    pub fn was_released(&self, pool: &str) -> bool {
         self.claims.get(pool).is_some_and(|o| o.was_released)
     }
 
--- a/crates/schedule/src/ownership/readers.rs
+++ b/crates/schedule/src/ownership/readers.rs
@@ -25,7 +25,7 @@
 impl Ownership {
     /// Returns whether this node reads the records of a pool that it does not own, or `None` while it cannot receive
     /// heartbeats.
-    pub fn reads(&self, pool: &str, now: Ms) -> Option<bool> {
+    pub fn is_reader(&self, pool: &str, now: Ms) -> Option<bool> {
         if now < self.started_at + READ_DELAY_MS {
             return Some(false);
         }
@@ -42,7 +42,7 @@
     }
 
     /// Returns the addresses of the readers to query about a pool's jobs if its owner does not answer.
-    pub fn readers_to_ask(&self, pool: &str, now: Ms) -> Vec<SocketAddr> {
+    pub fn readers_to_query(&self, pool: &str, now: Ms) -> Vec<SocketAddr> {
         let owner = self.relay_of_owner(pool);
         let slow_below = self.slow_below();
         let mut others: Vec<_> = self
--- a/crates/schedule/src/ownership/vacancy.rs
+++ b/crates/schedule/src/ownership/vacancy.rs
@@ -5,7 +5,7 @@
 
 use thistle_model::rendezvous::weight;
 
-use super::{ALIVE_MS, Member, Owned, Ownership, SILENCE_MS};
+use super::{ALIVE_MS, Member, Owned, Ownership, UNRESPONSIVE_MS};
 use crate::Ms;
 
 /// How long the second-best node waits for the best one to claim a pool, in milliseconds. Each further node waits this much
@@ -57,7 +57,7 @@
 impl Ownership {
     /// Records that this node's owner of a pool has ended by itself. Its token must not be used again: the records and orders
     /// of the next owner would be indistinguishable from late ones of this owner.
-    pub fn owner_ended(&mut self, pool: &Arc<str>, token: u64, now: Ms) {
+    pub fn record_owner_end(&mut self, pool: &Arc<str>, token: u64, now: Ms) {
         let Some(owned) = self.claims.get(pool).filter(|o| o.token == token) else { return };
         let was_stable = now.saturating_sub(owned.seen_at) >= STABLE_AFTER_MS;
         let before = self.ended_owners.get(pool).filter(|_| !was_stable);
@@ -130,13 +130,13 @@
             return Some(Vacancy::PreviousIncarnation);
         }
         let last_contact = match self.members.get(&claim.owner.name) {
-            Some(m) if m.incarnation != claim.owner.life && m.last_contact > *seen_at => {
+            Some(m) if m.incarnation != claim.owner.incarnation && m.last_contact > *seen_at => {
                 return Some(Vacancy::Restarted);
             }
             Some(m) => m.last_contact.max(*seen_at),
             None => *seen_at,
         };
-        (now.saturating_sub(last_contact) >= SILENCE_MS).then_some(Vacancy::Unresponsive)
+        (now.saturating_sub(last_contact) >= UNRESPONSIVE_MS).then_some(Vacancy::Unresponsive)
     }
 
     /// Returns the initial wait of a new node, in milliseconds, by the number of members known so far.
--- a/crates/schedule/src/pool/advice.rs
+++ b/crates/schedule/src/pool/advice.rs
@@ -5,7 +5,7 @@
 use super::place::ReadyStep;
 use super::{Now, Order, Pool};
 use crate::Ms;
-use crate::id::{JobId, VmLife};
+use crate::id::{JobId, VmIncarnation};
 use crate::spec::{AdvicePolicy, Step};
 
 /// The maximum number of VMs in one request. The users' estimate of a job's critical path includes one request for about as many.
@@ -29,11 +29,11 @@
 
 /// A request to the service that knows the policies.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Question {
+pub struct AdviceRequest {
     /// The step.
     pub step: StepId,
     /// The VMs to be checked.
-    pub vms: Vec<VmLife>,
+    pub vms: Vec<VmIncarnation>,
     /// The policy of the step's queue, which determines how long a reply takes.
     pub policy: AdvicePolicy,
 }
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct AdviceState {
     /// The VMs that may run the step, with the tickets that starts carry.
-    tickets: BTreeMap<VmLife, String>,
+    tickets: BTreeMap<VmIncarnation, String>,
     valid_until: Ms,
     in_flight: bool,
     retry_at: Ms,
@@ -51,7 +51,12 @@
 impl Pool {
     /// Applies the reply to a request: the VMs that may run the step, with their tickets, and the validity in milliseconds.
     /// `None` means that there was no reply.
-    pub fn advised(&mut self, step: StepId, answer: Option<(Vec<(VmLife, String)>, Ms)>, now: Now) {
+    pub fn apply_advice(
+        &mut self,
+        step: StepId,
+        answer: Option<(Vec<(VmIncarnation, String)>, Ms)>,
+        now: Now,
+    ) {
         let Some(advised) = self.advice.get_mut(&step) else { return };
         advised.in_flight = false;
         advised.retry_at = now.steady + RETRY_MS;
@@ -62,7 +67,7 @@
     }
 
     /// Returns the ticket for a start if current advice allows the VM to run the step.
-    pub(super) fn ticket(&self, step: StepId, vm: &VmLife, now: Ms) -> Option<String> {
+    pub(super) fn ticket(&self, step: StepId, vm: &VmIncarnation, now: Ms) -> Option<String> {
         let advised = self.advice.get(&step).filter(|a| now < a.valid_until)?;
         advised.tickets.get(vm).cloned()
     }
@@ -80,10 +85,10 @@
         if state.in_flight || now.steady < state.retry_at {
             return;
         }
-        let fits = |vm: &&super::Vm| vm.takes_work() && vm.free().holds(step_spec.room());
+        let fits = |vm: &&super::Vm| vm.takes_work() && vm.free().fits(step_spec.room());
         let mut vms: Vec<&super::Vm> = self.vms.values().filter(fits).collect();
         vms.sort_by_key(|vm| std::cmp::Reverse(vm.free().cpu));
-        let vms: Vec<VmLife> =
+        let vms: Vec<VmIncarnation> =
             vms.into_iter().take(VMS_PER_REQUEST).map(|vm| vm.id.clone()).collect();
         if vms.is_empty() {
             return;
@@ -91,6 +96,6 @@
         if let Some(state) = self.advice.get_mut(&step) {
             state.in_flight = true;
         }
-        self.orders.push(Order::Ask(Question { step, vms, policy }));
+        self.orders.push(Order::RequestAdvice(AdviceRequest { step, vms, policy }));
     }
 }
--- a/crates/schedule/src/pool/arrivals.rs
+++ b/crates/schedule/src/pool/arrivals.rs
@@ -138,7 +138,7 @@
         }
         let factor = self.estimates.factor(&spec.queue);
         let work: f64 = spec.steps.iter().map(work_of).sum();
-        let chain = spec.chains().into_iter().max().unwrap_or(0);
+        let chain = spec.critical_paths().into_iter().max().unwrap_or(0);
         let chain = super::rank::scale(chain, factor);
         let chain = f64::from(u32::try_from(chain).unwrap_or(u32::MAX));
         self.arrivals.record(&spec.queue, work * factor, chain, now);
--- a/crates/schedule/src/pool/ends.rs
+++ b/crates/schedule/src/pool/ends.rs
@@ -3,7 +3,7 @@
 use super::job::TaskState;
 use super::{JobKey, Now, Pool, VmKey};
 use crate::Ms;
-use crate::harm::MOST_PAUSE_MS;
+use crate::crash_history::MAX_RESTART_DELAY_MS;
 use crate::id::{RunId, TaskId};
 use crate::progress::Phase;
 use crate::spec::Step;
@@ -83,7 +83,7 @@
         let pause = match task.early_failures {
             // Two failures may be chance.
             0 | 1 => 0,
-            n => (FAILURE_DELAY_MS << n.min(MAX_DELAY_DOUBLINGS)).min(MOST_PAUSE_MS),
+            n => (FAILURE_DELAY_MS << n.min(MAX_DELAY_DOUBLINGS)).min(MAX_RESTART_DELAY_MS),
         };
         task.early_failures += 1;
         task.not_before = now.steady + pause;
--- a/crates/schedule/src/pool/evacuate.rs
+++ b/crates/schedule/src/pool/evacuate.rs
@@ -95,7 +95,7 @@
             key != vm
                 && other.takes_work()
                 && other.excluded_until <= now.steady
-                && other.free().holds(step_spec.room())
+                && other.free().fits(step_spec.room())
                 && (spread == 0 || same_step_count < spread)
         })
     }
--- a/crates/schedule/src/pool/gang.rs
+++ b/crates/schedule/src/pool/gang.rs
@@ -4,7 +4,7 @@
 use super::suspects::Isolation;
 use super::{Now, Pool};
 use crate::Ms;
-use crate::harm::Verdict;
+use crate::crash_history::Verdict;
 use crate::id::RunId;
 use crate::spec::Step;
 
--- a/crates/schedule/src/pool/incarnation.rs
+++ b/crates/schedule/src/pool/incarnation.rs
@@ -5,7 +5,7 @@
 
 use super::run::Run;
 use crate::Ms;
-use crate::id::{JobId, RunId, TaskId, VmLife};
+use crate::id::{JobId, RunId, TaskId, VmIncarnation};
 use crate::vm::{Room, VmFacts};
 
 /// The number of different jobs that fail in a row before a VM is excluded. One job that can never succeed fails on any VM, and
@@ -23,7 +23,7 @@
 /// One incarnation of a VM.
 #[derive(Clone, Debug)]
 pub(super) struct Vm {
-    pub id: VmLife,
+    pub id: VmIncarnation,
     /// The platform's listing of the VM, or `None` if it is known from records only.
     pub facts: Option<Arc<VmFacts>>,
     /// Whether the platform lists the VM now.
@@ -57,7 +57,7 @@
     pub room_rejections: u32,
 }
 impl Vm {
-    pub fn new(id: VmLife) -> Self {
+    pub fn new(id: VmIncarnation) -> Self {
         Self {
             id,
             facts: None,
@@ -135,7 +135,7 @@
         let (room, mut used) = (self.room(), self.used);
         let mut stopped = Vec::new();
         for (&task, run) in self.runs.iter_mut().rev() {
-            if room.holds(used) {
+            if room.fits(used) {
                 break;
             }
             if run.confirmed.is_none() && !run.stopping {
--- a/crates/schedule/src/pool/job.rs
+++ b/crates/schedule/src/pool/job.rs
@@ -5,9 +5,9 @@
 
 use super::{Now, VmKey};
 use crate::Ms;
-use crate::harm::{Harm, HarmRecord};
-use crate::id::{JobId, TaskId, VmLife};
-use crate::progress::{Phase, Place, Progress, TaskRecord};
+use crate::crash_history::{CrashHistory, CrashHistoryRecord};
+use crate::id::{JobId, TaskId, VmIncarnation};
+use crate::progress::{Phase, Progress, TaskPlacement, TaskRecord};
 use crate::quota::WorkspaceKey;
 use crate::spec::JobSpec;
 
@@ -114,7 +114,7 @@
     /// Whether the workspace had exceeded its share when the job was submitted.
     pub beyond_share: bool,
     /// The estimated length of the critical path from each step to the end of the job, in milliseconds.
-    pub chains: Vec<u64>,
+    pub critical_paths: Vec<u64>,
     pub phase: Phase,
     pub begun: bool,
     pub settled_ms: u64,
@@ -127,7 +127,7 @@
     pub accepted: Ms,
     pub dirty: bool,
     /// The crash histories of its tasks. Most tasks have none.
-    pub crash_histories: BTreeMap<TaskId, Harm>,
+    pub crash_histories: BTreeMap<TaskId, CrashHistory>,
     /// When a crash history last changed, on the monotonic clock.
     pub crash_history_changed_at: Ms,
 }
@@ -139,7 +139,7 @@
             id,
             workspace: None,
             beyond_share: false,
-            chains: spec.chains(),
+            critical_paths: spec.critical_paths(),
             phase: Phase::Open,
             begun: false,
             settled_ms: 0,
@@ -157,7 +157,7 @@
     /// Opens the repetitions that are due, up to [`MAX_OPEN_REPETITIONS`].
     pub fn open_due_repetitions(&mut self, now: Now) {
         while self.repetitions.len() < MAX_OPEN_REPETITIONS
-            && self.next_repetition < self.spec.times()
+            && self.next_repetition < self.spec.repetitions()
             && self.spec.due_ms(self.next_repetition) <= now.wall
         {
             self.open_repetition(self.next_repetition);
@@ -186,7 +186,7 @@
     pub fn next_due(&self, now: Now) -> Option<Ms> {
         let waits_for_others = self.repetitions.len() >= MAX_OPEN_REPETITIONS;
         if self.phase != Phase::Open
-            || self.next_repetition >= self.spec.times()
+            || self.next_repetition >= self.spec.repetitions()
             || waits_for_others
         {
             return None;
@@ -236,22 +236,22 @@
             self.repetitions.remove(&time);
             self.done_repetitions.push(time);
         }
-        self.repetitions.is_empty() && self.next_repetition >= self.spec.times()
+        self.repetitions.is_empty() && self.next_repetition >= self.spec.repetitions()
     }
 
     /// Returns the progress record of the job.
-    pub fn progress(&self, vm_id: impl Fn(VmKey) -> Option<VmLife>) -> Progress {
-        let crash_history = |(task, crash_history): (&TaskId, &Harm)| HarmRecord {
+    pub fn progress(&self, vm_id: impl Fn(VmKey) -> Option<VmIncarnation>) -> Progress {
+        let crash_history = |(task, crash_history): (&TaskId, &CrashHistory)| CrashHistoryRecord {
             time: task.time,
             step: task.step,
             index: task.index,
-            harm: crash_history.clone(),
+            crash_history: crash_history.clone(),
         };
         let mut progress = Progress {
             phase: self.phase,
             begun: self.begun,
             settled_ms: self.settled_ms,
-            harms: self.crash_histories.iter().map(crash_history).collect(),
+            crash_histories: self.crash_histories.iter().map(crash_history).collect(),
             ..Progress::default()
         };
         let open = self.phase == Phase::Open;
@@ -269,11 +269,10 @@
                 };
                 for (index, task) in tasks.filter(|(_, t)| counts(t)) {
                     let place = match task.state {
-                        TaskState::Waiting => Place::Waiting,
-                        TaskState::Done => Place::Done,
-                        TaskState::Assigned(vm) => {
-                            vm_id(vm).map_or(Place::Waiting, |id| Place::On(id.to_string()))
-                        }
+                        TaskState::Waiting => TaskPlacement::Waiting,
+                        TaskState::Done => TaskPlacement::Done,
+                        TaskState::Assigned(vm) => vm_id(vm)
+                            .map_or(TaskPlacement::Waiting, |id| TaskPlacement::On(id.to_string())),
                     };
                     let (attempt, failures) = (task.attempt, task.failures);
                     // Only a waiting task resumes from the recorded checkpoint; during a run, the VM has a newer one.
@@ -285,7 +284,7 @@
                         time,
                         step,
                         index,
-                        place,
+                        placement: place,
                         attempt,
                         failures,
                         checkpoint,
--- a/crates/schedule/src/pool/losses.rs
+++ b/crates/schedule/src/pool/losses.rs
@@ -5,8 +5,8 @@
 use super::run::Run;
 use super::{Now, Pool, VmKey};
 use crate::Ms;
-use crate::harm::UnclearLoss;
-use crate::id::{RunId, TaskId, VmLife};
+use crate::crash_history::UnclearLoss;
+use crate::id::{RunId, TaskId, VmIncarnation};
 use crate::vm::VmLoss;
 
 /// A run that was lost with its VM.
@@ -17,12 +17,12 @@
     /// The time since the VM confirmed the start, or else since the run was ordered, in milliseconds.
     pub age: Ms,
     /// Whether the run may exist, or may still start, in the VM's next incarnation, where it counts from now on.
-    pub may_be_there: bool,
+    pub may_exist: bool,
 }
 
 impl Pool {
     /// Records that nothing runs in a VM incarnation any more, and returns the runs that were lost with it.
-    pub fn vm_lost(&mut self, id: &VmLife, loss: VmLoss, now: Now) -> Vec<LostRun> {
+    pub fn vm_lost(&mut self, id: &VmIncarnation, loss: VmLoss, now: Now) -> Vec<LostRun> {
         self.end_incarnation(id, loss, None, now)
     }
 
@@ -32,18 +32,23 @@
     /// Orders name only the VM's ID, so the new incarnation may have executed, or may yet execute, a start meant for the previous
     /// one. Unless that is impossible, a run counts in the new incarnation until its answer under this owner's token shows
     /// whether the run exists.
-    pub fn vm_restarted(&mut self, previous: &VmLife, next: &VmLife, now: Now) -> Vec<LostRun> {
+    pub fn vm_restarted(
+        &mut self,
+        previous: &VmIncarnation,
+        next: &VmIncarnation,
+        now: Now,
+    ) -> Vec<LostRun> {
         self.end_incarnation(previous, VmLoss::Replaced, Some(next), now)
     }
 
     /// Ends the previous incarnations of a VM, known from records, when the listed incarnation answers for the first time. The
     /// records were written before that incarnation was queried.
-    pub(super) fn end_previous_incarnations(&mut self, current: &VmLife, now: Now) {
+    pub(super) fn end_previous_incarnations(&mut self, current: &VmIncarnation, now: Now) {
         if self.vm_keys.get(current).is_some_and(|&key| self.vms[key].token_confirmed) {
             return;
         }
-        let previous = |vm: &&Vm| vm.id.is_other_life_of(current) && !vm.listed;
-        let previous: Vec<VmLife> =
+        let previous = |vm: &&Vm| vm.id.is_other_incarnation_of(current) && !vm.listed;
+        let previous: Vec<VmIncarnation> =
             self.vms.values().filter(previous).map(|vm| vm.id.clone()).collect();
         for previous in previous {
             self.vm_restarted(&previous, current, now);
@@ -52,9 +57,9 @@
 
     fn end_incarnation(
         &mut self,
-        id: &VmLife,
+        id: &VmIncarnation,
         loss: VmLoss,
-        next: Option<&VmLife>,
+        next: Option<&VmIncarnation>,
         now: Now,
     ) -> Vec<LostRun> {
         if loss == VmLoss::Replaced {
@@ -70,7 +75,7 @@
         let lost = |(&task, run): (&TaskId, &Run)| LostRun {
             run: RunId { task, attempt: run.attempt },
             age: now.steady.saturating_sub(run.started),
-            may_be_there: next.is_some() && !run.ends_with_incarnation(),
+            may_exist: next.is_some() && !run.ends_with_incarnation(),
         };
         let lost: Vec<LostRun> = vm.runs.iter().map(lost).collect();
         let unclear = UnclearLoss {
@@ -80,7 +85,7 @@
         };
         for lost in &lost {
             match next {
-                Some(next) if lost.may_be_there => self.move_run(key, next, lost.run, now),
+                Some(next) if lost.may_exist => self.move_run(key, next, lost.run, now),
                 Some(_) | None => self.release(key, lost.run, now),
             }
         }
@@ -90,7 +95,7 @@
     }
 
     /// Moves a run to the VM's next incarnation, whose first answer shows whether the run exists.
-    fn move_run(&mut self, from: VmKey, to: &VmLife, id: RunId, now: Now) {
+    fn move_run(&mut self, from: VmKey, to: &VmIncarnation, id: RunId, now: Now) {
         let Some(run) = self.remove_run(from, id) else { return };
         let to = self.vm_key(to);
         let mut run = run.in_next_incarnation(now.steady);
--- a/crates/schedule/src/pool/mod.rs
+++ b/crates/schedule/src/pool/mod.rs
@@ -35,7 +35,7 @@
 
 use crate::Ms;
 use crate::halls::Halls;
-use crate::id::{JobId, VmLife};
+use crate::id::{JobId, VmIncarnation};
 use crate::policy::Policy;
 use crate::progress::{Phase, Progress};
 use crate::quota::Ledger;
@@ -43,7 +43,7 @@
 use crate::vm::Room;
 
 use advice::AdviceState;
-pub use advice::{Question, StepId};
+pub use advice::{AdviceRequest, StepId};
 use arrivals::Arrivals;
 use estimate::Estimates;
 use incarnation::Vm;
@@ -51,9 +51,9 @@
 pub use losses::LostRun;
 pub use need::Demand;
 pub use order::{Order, StartOrder, StartResult};
-pub use report::ReportNews;
-pub use suspects::GivenUp;
-pub use throttle::Watch;
+pub use report::ReportChanges;
+pub use suspects::AbandonedTask;
+pub use throttle::PollReason;
 pub use vms::VmSummary;
 
 new_key_type! {
@@ -103,7 +103,7 @@
     jobs: SlotMap<JobKey, Job>,
     job_keys: HashMap<JobId, JobKey>,
     vms: SlotMap<VmKey, Vm>,
-    vm_keys: HashMap<VmLife, VmKey>,
+    vm_keys: HashMap<VmIncarnation, VmKey>,
     /// The stable names, which are the same in all incarnations, of VMs that are to be emptied.
     cordoned: HashSet<Arc<str>>,
     /// The stable names of cordoned VMs that another pool needs now.
@@ -121,10 +121,10 @@
     listing_is_complete: bool,
     orders: Vec<Order>,
     dirty: Vec<JobKey>,
-    acks: Vec<(VmLife, u64)>,
+    acks: Vec<(VmIncarnation, u64)>,
     /// Jobs with tasks that have a crash history.
     affected: BTreeSet<JobKey>,
-    abandoned: Vec<GivenUp>,
+    abandoned: Vec<AbandonedTask>,
     /// When the last crash of a VM with runs was detected.
     last_crash_at: Option<Ms>,
     estimates: Estimates,
@@ -191,7 +191,7 @@
     }
 
     /// Returns, per VM, the last run end to acknowledge once the records are written.
-    pub fn take_acks(&mut self) -> Vec<(VmLife, u64)> {
+    pub fn take_acks(&mut self) -> Vec<(VmIncarnation, u64)> {
         std::mem::take(&mut self.acks)
     }
 
@@ -234,7 +234,7 @@
     /// Returns whether some VM is large enough for a task. Returns `true` while no VM's size is known.
     fn fits_somewhere(&self, room: Room) -> bool {
         let mut known = self.vms.values().filter_map(|vm| vm.facts.as_ref()).peekable();
-        known.peek().is_none() || known.any(|facts| facts.room.holds(room))
+        known.peek().is_none() || known.any(|facts| facts.room.fits(room))
     }
 
     /// Marks a job as changed so that its progress is written.
--- a/crates/schedule/src/pool/order.rs
+++ b/crates/schedule/src/pool/order.rs
@@ -4,14 +4,14 @@
 
 use super::job::TaskState;
 use super::{Now, Pool, VmKey};
-use crate::id::{RunId, TaskId, VmLife};
+use crate::id::{RunId, TaskId, VmIncarnation};
 use crate::spec::JobSpec;
 
 /// An order to start a run.
 #[derive(Clone, Debug)]
 pub struct StartOrder {
     /// The VM incarnation.
-    pub vm: VmLife,
+    pub vm: VmIncarnation,
     /// The run.
     pub run: RunId,
     /// The job's specification, whose text is sent with the order.
@@ -32,16 +32,16 @@
     /// Stop a run, or block its start if the start has not arrived yet.
     Stop {
         /// The VM incarnation.
-        vm: VmLife,
+        vm: VmIncarnation,
         /// The run.
         run: RunId,
     },
     /// Request advice on which VMs may run a step.
-    Ask(super::Question),
+    RequestAdvice(super::AdviceRequest),
     /// Limit a run to a share of its full speed.
-    Pace {
+    Throttle {
         /// The VM incarnation.
-        vm: VmLife,
+        vm: VmIncarnation,
         /// The run.
         run: RunId,
         /// The share of the full speed, in percent.
@@ -69,7 +69,13 @@
 
 impl Pool {
     /// Applies the result of a start order.
-    pub fn start_result(&mut self, vm: &VmLife, run: RunId, result: StartResult, now: Now) {
+    pub fn apply_start_result(
+        &mut self,
+        vm: &VmIncarnation,
+        run: RunId,
+        result: StartResult,
+        now: Now,
+    ) {
         let Some(&vm_key) = self.vm_keys.get(vm) else { return };
         let Some(v) = self.vms.get_mut(vm_key) else { return };
         let Some(found) = v.runs.get_mut(&run.task).filter(|r| r.attempt == run.attempt) else {
@@ -96,7 +102,7 @@
     }
 
     /// Records that a VM has answered a stop: the run is about to end, or its start is blocked.
-    pub fn stop_answered(&mut self, vm: &VmLife, run: RunId, now: Now) {
+    pub fn record_stop_answer(&mut self, vm: &VmIncarnation, run: RunId, now: Now) {
         let Some(&vm_key) = self.vm_keys.get(vm) else { return };
         let Some(v) = self.vms.get_mut(vm_key) else { return };
         if let Some(found) = v.runs.get_mut(&run.task).filter(|r| r.attempt == run.attempt) {
--- a/crates/schedule/src/pool/place.rs
+++ b/crates/schedule/src/pool/place.rs
@@ -6,7 +6,7 @@
 use super::suspects::Isolation;
 use super::{JobKey, Now, Order, Pool, StartOrder, StepId, VmKey};
 use crate::Ms;
-use crate::harm::Verdict;
+use crate::crash_history::Verdict;
 use crate::id::{JobId, RunId, TaskId};
 use crate::progress::Phase;
 use crate::spec::Step;
@@ -81,7 +81,7 @@
             let spec = self.jobs[key].spec.clone();
             let step_spec = &spec.steps[step.step];
             // Placement only reduces free room, so `most_free` may be too large but never too small.
-            if !most_free.holds(step_spec.room()) {
+            if !most_free.fits(step_spec.room()) {
                 // No VM has enough room, so the search is skipped.
             } else if step_spec.gang {
                 self.place_gang(step, step_spec, now);
@@ -159,7 +159,7 @@
         let fits = |vm: &Vm| {
             vm.takes_work()
                 && vm.excluded_until <= now
-                && vm.free().holds(step_spec.room())
+                && vm.free().fits(step_spec.room())
                 && vm.may_share(ready.id, isolation, now)
                 && rack.is_none_or(|r| vm.facts.as_ref().is_some_and(|f| &*f.rack == r))
                 && has_labels(vm, step_spec)
--- a/crates/schedule/src/pool/quota.rs
+++ b/crates/schedule/src/pool/quota.rs
@@ -27,7 +27,7 @@
     }
 
     /// Sets the latest records of lent caps and the configuration version to which they apply.
-    pub fn set_lent<'a>(&mut self, as_of: u64, records: impl Iterator<Item = &'a LentCap>) {
+    pub fn set_lent_caps<'a>(&mut self, as_of: u64, records: impl Iterator<Item = &'a LentCap>) {
         self.quota.set_records(as_of, records);
     }
 
@@ -37,14 +37,14 @@
     }
 
     /// Returns the cap use to report to the lender of caps.
-    pub fn say_cap_use(&mut self, token: u64, count: &mut u64) -> Vec<CapUse> {
+    pub fn report_cap_use(&mut self, token: u64, count: &mut u64) -> Vec<CapUse> {
         let waiting = self.waiting_by_workspace();
-        self.quota.to_say(token, count, &waiting)
+        self.quota.to_report(token, count, &waiting)
     }
 
     /// Records that the last report to the lender may not have arrived.
-    pub fn cap_use_not_said(&mut self) {
-        self.quota.forget_said();
+    pub fn cap_use_report_lost(&mut self) {
+        self.quota.forget_reported();
     }
 
     fn waiting_by_workspace(&self) -> HashMap<WorkspaceKey, Room> {
@@ -63,7 +63,7 @@
     pub(super) fn new_job(&mut self, id: JobId, spec: Arc<JobSpec>, now: Now) -> Job {
         let workspace = self.quota.key_of_job(&spec.workspace, spec.admitted_by);
         let job = Job::new(id, spec, now);
-        let beyond_share = !self.quota.take_job(workspace, job.accepted);
+        let beyond_share = !self.quota.charge_job(workspace, job.accepted);
         Job { workspace, beyond_share, ..job }
     }
 
--- a/crates/schedule/src/pool/rank.rs
+++ b/crates/schedule/src/pool/rank.rs
@@ -37,8 +37,9 @@
 impl Pool {
     pub(super) fn rank(&self, job: &Job, now: Ms) -> Rank {
         let factor = self.estimates.factor(&job.spec.queue);
-        let whole = scale(job.chains.iter().copied().max().unwrap_or(0), factor);
-        let ready = job.ready_steps().map(|(_, step, _)| job.chains[step]).max().unwrap_or(0);
+        let whole = scale(job.critical_paths.iter().copied().max().unwrap_or(0), factor);
+        let ready =
+            job.ready_steps().map(|(_, step, _)| job.critical_paths[step]).max().unwrap_or(0);
         let left = scale(ready, factor);
         let objective = scale(whole, f64::from(job.spec.objective.stretch))
             + u64::from(job.spec.objective.target_ms);
--- a/crates/schedule/src/pool/report.rs
+++ b/crates/schedule/src/pool/report.rs
@@ -6,7 +6,7 @@
 use super::run::Run;
 use super::{JobKey, Now, Pool, VmKey};
 use crate::Ms;
-use crate::id::{RunId, TaskId, VmLife};
+use crate::id::{RunId, TaskId, VmIncarnation};
 use crate::vm::{RunEnd, RunRow, VmReport};
 
 /// The maximum number of run ends in one report. A longer list comes in parts, so a run that is missing from one part may be
@@ -20,26 +20,31 @@
 
 /// Unexpected changes found in a report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ReportNews {
+pub struct ReportChanges {
     /// Runs that were released because the report does not list them.
     pub not_listed: Vec<RunId>,
     /// Ends, reported for the first time, of runs that were already abandoned: their work was wasted or done twice.
-    pub of_given_up: Vec<RunEnd>,
+    pub of_abandoned: Vec<RunEnd>,
 }
 
 impl Pool {
     /// Applies a VM's report that was requested under this owner's token.
-    pub fn report(&mut self, vm: &VmLife, report: &VmReport, now: Now) -> ReportNews {
+    pub fn apply_report(
+        &mut self,
+        vm: &VmIncarnation,
+        report: &VmReport,
+        now: Now,
+    ) -> ReportChanges {
         self.resolve_unclear_loss(vm, false, now);
         self.end_previous_incarnations(vm, now);
         let key = self.vm_key(vm);
-        let mut changes = ReportNews::default();
+        let mut changes = ReportChanges::default();
         for end in &report.ended {
             let vm = &self.vms[key];
             let is_new = end.sequence > vm.last_end_sequence && !vm.has_run(end.run);
             self.apply_end(key, end, now);
             if is_new && self.is_of_abandoned_run(end) {
-                changes.of_given_up.push(end.clone());
+                changes.of_abandoned.push(end.clone());
             }
         }
         if let Some(last) = report.ended.iter().map(|e| e.sequence).max() {
@@ -48,7 +53,7 @@
         let complete = report.ended.len() < MAX_ENDS;
         let listed: HashSet<RunId> = report.running.iter().map(|r| r.run).collect();
         for row in &report.running {
-            self.apply_run_row(key, row, report.asked_at, now);
+            self.apply_run_row(key, row, report.requested_at, now);
         }
         if complete {
             changes.not_listed = self.release_missing(key, report, &listed, now);
@@ -56,7 +61,7 @@
         self.throttle(key, now);
         let listing_is_complete = self.listing_is_complete;
         let vm = &mut self.vms[key];
-        vm.record_answer(report.asked_at, listing_is_complete, now.steady);
+        vm.record_answer(report.requested_at, listing_is_complete, now.steady);
         vm.token_confirmed |= complete;
         vm.unknown_runs.retain(|run, _| listed.contains(run));
         self.remove_vm_if_unused(key);
@@ -74,7 +79,7 @@
         let vm = &mut self.vms[key];
         let task = row.run.task;
         if let Some(run) = vm.runs.get_mut(&task).filter(|r| r.attempt == row.run.attempt) {
-            run.figure = row.figure;
+            run.figure = row.metric;
             (run.progress, run.progress_at) = (row.percent, now.steady);
             // A listed run exists, even if this owner did not order it and never received an answer about it.
             run.confirmed.get_or_insert(asked_at);
@@ -128,7 +133,7 @@
         let first = !vm.token_confirmed;
         let missing = |(&task, run): (&TaskId, &Run)| {
             let id = RunId { task, attempt: run.attempt };
-            let confirmed_before = run.confirmed.is_some_and(|at| report.asked_at > at);
+            let confirmed_before = run.confirmed.is_some_and(|at| report.requested_at > at);
             ((first || confirmed_before) && !listed.contains(&id)).then_some(id)
         };
         let missing: Vec<RunId> = vm.runs.iter().filter_map(missing).collect();
--- a/crates/schedule/src/pool/suspects.rs
+++ b/crates/schedule/src/pool/suspects.rs
@@ -6,15 +6,15 @@
 use super::run::Run;
 use super::{JobKey, Now, Pool, VmKey};
 use crate::Ms;
-use crate::harm::{AT_START_MS, Crash, Harm, UnclearLoss, Verdict};
-use crate::id::{JobId, TaskId, VmLife};
+use crate::crash_history::{CRASH_AT_START_MS, Crash, CrashHistory, UnclearLoss, Verdict};
+use crate::id::{JobId, TaskId, VmIncarnation};
 use crate::progress::Phase;
 use crate::spec::Step;
 use crate::vm::VmLoss;
 
 /// The run time for each recorded crash after which a suspect may share its VM again, in milliseconds: four times the period
 /// that counts as soon after the start.
-const PROVEN_MS: Ms = 4 * AT_START_MS;
+const PROVEN_MS: Ms = 4 * CRASH_AT_START_MS;
 /// The run time after which a working lasting task is cleared, in milliseconds. Over a day, VMs also crash under such a task by
 /// chance.
 const CLEARED_MS: Ms = 10_000;
@@ -31,11 +31,11 @@
 
 /// A task that was abandoned because VMs crashed under it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct GivenUp {
+pub struct AbandonedTask {
     /// The task.
     pub task: TaskId,
     /// Its crash history.
-    pub harm: Harm,
+    pub crash_history: CrashHistory,
 }
 
 /// How strictly a task is isolated from other tasks on its VM.
@@ -87,7 +87,7 @@
             return None;
         }
         // The answer to the start may arrive after the end of the VM.
-        let soon = ended.saturating_sub(run.started) <= AT_START_MS;
+        let soon = ended.saturating_sub(run.started) <= CRASH_AT_START_MS;
         let at_start = run.ordered_at.is_some() && (soon || run.confirmed.is_none());
         let alone = self.runs.keys().all(|other| other.job == task.job);
         Some(Crash { at_start, alone })
@@ -119,14 +119,14 @@
         }
         for (task, crash) in crashes {
             self.update_crash_history(task, now, |history| match loss {
-                VmLoss::Replaced => history.add(crash),
+                VmLoss::Replaced => history.add_crash(crash),
                 VmLoss::LeaseOver => history.add_unclear(vm.clone()),
             });
         }
     }
 
     /// Resolves whether a VM that was lost while unresponsive has crashed.
-    pub(super) fn resolve_unclear_loss(&mut self, id: &VmLife, crashed: bool, now: Now) {
+    pub(super) fn resolve_unclear_loss(&mut self, id: &VmIncarnation, crashed: bool, now: Now) {
         if self.affected.is_empty() {
             return;
         }
@@ -152,7 +152,7 @@
     fn resolve_matching_losses(
         &mut self,
         now: Now,
-        vms: impl Fn(&Harm) -> Vec<String>,
+        vms: impl Fn(&CrashHistory) -> Vec<String>,
         crashed: bool,
     ) {
         let mut known = Vec::new();
@@ -171,21 +171,21 @@
 
     /// Returns the VMs that became unresponsive while tasks ran there and whose fate is unclear, with their stable names if
     /// known.
-    pub fn silent_losses(&self) -> Vec<(VmLife, String)> {
+    pub fn unclear_losses(&self) -> Vec<(VmIncarnation, String)> {
         let affected = self.affected.iter().filter_map(|&key| self.jobs.get(key));
         let losses = affected
             .flat_map(|job| job.crash_histories.values())
             .flat_map(|history| &history.unclear);
-        losses.map(|loss| (VmLife::from(loss.vm.as_str()), loss.name.clone())).collect()
+        losses.map(|loss| (VmIncarnation::from(loss.vm.as_str()), loss.name.clone())).collect()
     }
 
     /// Returns the tasks that were abandoned since the last call.
-    pub fn take_given_up(&mut self) -> Vec<GivenUp> {
+    pub fn take_abandoned(&mut self) -> Vec<AbandonedTask> {
         std::mem::take(&mut self.abandoned)
     }
 
     /// Returns the crash history of a task, if it has one.
-    pub fn harm_of(&self, task: TaskId) -> Option<&Harm> {
+    pub fn crash_history_of(&self, task: TaskId) -> Option<&CrashHistory> {
         self.jobs.get(self.job_key(task)?)?.crash_histories.get(&task)
     }
 
@@ -197,7 +197,12 @@
         suspects.map(|history| history.crashes).max().unwrap_or(0)
     }
 
-    fn update_crash_history(&mut self, task: TaskId, now: Now, change: impl FnOnce(&mut Harm)) {
+    fn update_crash_history(
+        &mut self,
+        task: TaskId,
+        now: Now,
+        change: impl FnOnce(&mut CrashHistory),
+    ) {
         let Some(key) = self.job_key(task) else { return };
         let Some(job) = self.jobs.get_mut(key).filter(|job| job.phase == Phase::Open) else {
             return;
@@ -205,14 +210,14 @@
         let history = job.crash_histories.entry(task).or_default();
         change(history);
         let (verdict, history) = (history.verdict(), history.clone());
-        if history == Harm::default() {
+        if history == CrashHistory::default() {
             job.crash_histories.remove(&task);
         }
         job.crash_history_changed_at = now.steady;
         self.update_affected(key);
         self.mark_changed(key);
         if verdict == Verdict::GivenUp {
-            self.abandoned.push(GivenUp { task, harm: history });
+            self.abandoned.push(AbandonedTask { task, crash_history: history });
             self.settle(key, Phase::Failed, now);
         }
     }
@@ -238,28 +243,31 @@
 
     /// Returns whether a working lasting task has a crash history and has run for long enough to be cleared.
     pub(super) fn is_cleared_by_work(&self, task: TaskId, started: Ms, now: Ms) -> bool {
-        now >= started + CLEARED_MS && self.harm_of(task).is_some()
+        now >= started + CLEARED_MS && self.crash_history_of(task).is_some()
     }
 
     /// Returns how long a run of a suspect must last before it may share its VM, or `None` if the task is not a suspect.
     pub(super) fn unproven_for(&self, task: TaskId) -> Option<Ms> {
-        let history = self.harm_of(task).filter(|history| history.verdict() == Verdict::Suspect)?;
+        let history =
+            self.crash_history_of(task).filter(|history| history.verdict() == Verdict::Suspect)?;
         Some(PROVEN_MS * Ms::from(history.crashes))
     }
 
     pub(super) fn verdict(&self, task: TaskId) -> Verdict {
-        self.harm_of(task).map_or(Verdict::Clear, Harm::verdict)
+        self.crash_history_of(task).map_or(Verdict::Clear, CrashHistory::verdict)
     }
 
     /// Returns the isolation of a waiting task, or `None` while it may not be started.
     pub(super) fn isolation(&self, ready: ReadyStep, index: usize, now: Ms) -> Option<Isolation> {
         let task = ready.task(index);
-        let Some(history) = self.harm_of(task) else { return Some(Isolation::FromSuspects) };
+        let Some(history) = self.crash_history_of(task) else {
+            return Some(Isolation::FromSuspects);
+        };
         let lost_at = self
             .job_key(task)
             .and_then(|key| self.jobs.get(key))
             .map_or(0, |j| j.crash_history_changed_at);
-        let waited = now.checked_sub(lost_at + history.pause());
+        let waited = now.checked_sub(lost_at + history.restart_delay());
         match (history.verdict(), waited) {
             (Verdict::Clear, _) => Some(Isolation::FromSuspects),
             (Verdict::Held | Verdict::GivenUp, _) | (Verdict::Suspect, None) => None,
--- a/crates/schedule/src/pool/takeover.rs
+++ b/crates/schedule/src/pool/takeover.rs
@@ -5,10 +5,10 @@
 use super::job::TaskState;
 use super::run::Run;
 use super::{Ms, Now, Pool};
-use crate::harm::HarmRecord;
-use crate::id::{JobId, TaskId, VmLife};
+use crate::crash_history::CrashHistoryRecord;
+use crate::id::{JobId, TaskId, VmIncarnation};
 use crate::job_log::JobEntry;
-use crate::progress::{Phase, Place, Progress, TaskRecord};
+use crate::progress::{Phase, Progress, TaskPlacement, TaskRecord};
 use crate::spec::JobSpec;
 
 /// The maximum age, in milliseconds, at which a job read from the records counts towards the arrival rate. Older jobs are read
@@ -17,7 +17,7 @@
 
 impl Pool {
     /// Records that this owner has just taken over the pool.
-    pub fn taken_over(&mut self, now: Now) {
+    pub fn record_takeover(&mut self, now: Now) {
         self.moves_allowed_from = now.steady + self.policy.tasks.pause_after_takeover_ms;
     }
 
@@ -43,7 +43,9 @@
             // All repetitions before a recorded one are due as well, whatever this node's clock says.
             job.open_repetitions_up_to(last);
         }
-        for HarmRecord { time, step, index, harm } in &entry.progress.harms {
+        for CrashHistoryRecord { time, step, index, crash_history: harm } in
+            &entry.progress.crash_histories
+        {
             let task = TaskId { job: id, time: *time, step: *step, index: *index };
             job.crash_histories.insert(task, harm.clone());
         }
@@ -82,10 +84,12 @@
 
     fn adopt_task(&mut self, job_id: JobId, record: &TaskRecord, now: Now) {
         let id = TaskId { job: job_id, time: record.time, step: record.step, index: record.index };
-        let state = match &record.place {
-            Place::Waiting => TaskState::Waiting,
-            Place::Done => TaskState::Done,
-            Place::On(vm) => TaskState::Assigned(self.vm_key(&VmLife::from(vm.as_str()))),
+        let state = match &record.placement {
+            TaskPlacement::Waiting => TaskState::Waiting,
+            TaskPlacement::Done => TaskState::Done,
+            TaskPlacement::On(vm) => {
+                TaskState::Assigned(self.vm_key(&VmIncarnation::from(vm.as_str())))
+            }
         };
         let Some(job) = self.job_mut(id) else { return };
         let step_spec = job.spec.steps.get(usize::from(id.step)).cloned();
@@ -107,7 +111,7 @@
     }
 
     /// Returns the VM incarnations that have runs, each with the platform's listing if there is one.
-    pub fn vms_with_runs(&self) -> Vec<(VmLife, Option<Arc<crate::vm::VmFacts>>)> {
+    pub fn vms_with_runs(&self) -> Vec<(VmIncarnation, Option<Arc<crate::vm::VmFacts>>)> {
         let busy = |vm: &&super::Vm| !vm.runs.is_empty();
         self.vms.values().filter(busy).map(|vm| (vm.id.clone(), vm.facts.clone())).collect()
     }
--- a/crates/schedule/src/pool/throttle.rs
+++ b/crates/schedule/src/pool/throttle.rs
@@ -7,7 +7,7 @@
 use super::run::{FULL_SPEED, Run};
 use super::{Now, Order, Pool, VmKey};
 use crate::Ms;
-use crate::id::{RunId, TaskId, VmLife};
+use crate::id::{RunId, TaskId, VmIncarnation};
 
 /// The share of the target, in percent, from which filling tasks are slowed down.
 const SLOW_DOWN_ABOVE_PERCENT: u64 = 85;
@@ -24,7 +24,7 @@
 
 /// The reason for polling a VM, which determines how often it is polled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Watch {
+pub enum PollReason {
     /// The figures of serving tasks that share the VM with filling tasks.
     Figures,
     /// The ends of tasks that end by themselves.
@@ -46,16 +46,16 @@
 
 impl Pool {
     /// Returns the reason for polling a VM.
-    pub fn watch(&self, vm: &VmLife) -> Watch {
+    pub fn poll_reason(&self, vm: &VmIncarnation) -> PollReason {
         let vm = self.vm_keys.get(vm).and_then(|&key| self.vms.get(key));
-        let Some(vm) = vm else { return Watch::Lease };
+        let Some(vm) = vm else { return PollReason::Lease };
         let any = |is: fn(&Run) -> bool| vm.runs.values().any(is);
         if any(|run| run.fills) && any(|run| run.tail_target_ms > 0) {
-            Watch::Figures
+            PollReason::Figures
         } else if any(|run| !run.lasting) {
-            Watch::Ends
+            PollReason::Ends
         } else {
-            Watch::Lease
+            PollReason::Lease
         }
     }
 
@@ -77,7 +77,7 @@
             if percent != run.speed_percent {
                 (run.speed_percent, run.speed_set_at) = (percent, now.steady);
                 let run = run_id(task, run);
-                let order = |percent| Order::Pace { vm: id.clone(), run, percent };
+                let order = |percent| Order::Throttle { vm: id.clone(), run, percent };
                 self.orders.extend(percent.map(order));
             }
         }
--- a/crates/schedule/src/pool/vms.rs
+++ b/crates/schedule/src/pool/vms.rs
@@ -7,14 +7,14 @@
 use super::{Now, Pool, VmKey};
 use crate::Ms;
 use crate::halls::Halls;
-use crate::id::VmLife;
+use crate::id::VmIncarnation;
 use crate::vm::{Room, VmFacts};
 
 /// The state of a VM, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VmSummary {
     /// The incarnation.
-    pub id: VmLife,
+    pub id: VmIncarnation,
     /// The VM's stable name.
     pub name: Arc<str>,
     /// The resources in use; CPU is in thousandths of a core.
@@ -34,13 +34,13 @@
         self.name_incarnation(&facts.id);
         let key = self.vm_key(&facts.id);
         let cordoned = self.cordoned.contains(&facts.name);
-        let evacuated = !self.halls.takes_work(&facts.hall);
+        let evacuated = !self.halls.accepts_work(&facts.hall);
         let vm = &mut self.vms[key];
         let is_change = !vm.listed || vm.draining() != facts.draining;
         vm.listed = true;
         (vm.answered_unlisted, vm.leaving_unannounced) = (None, false);
         (vm.cordoned, vm.evacuated) = (cordoned, evacuated);
-        vm.shrunk |= !facts.room.holds(vm.room());
+        vm.shrunk |= !facts.room.fits(vm.room());
         if facts.room != vm.room() && vm.room_rejections > 0 {
             (vm.room_rejections, vm.excluded_until) = (0, 0);
         }
@@ -62,7 +62,7 @@
 
     /// Marks a VM incarnation as no longer listed by the platform. Returns whether it was listed before. Its runs count until its
     /// lease is over or their ends are known.
-    pub fn unlist_vm(&mut self, id: &VmLife) -> bool {
+    pub fn unlist_vm(&mut self, id: &VmIncarnation) -> bool {
         let Some(&key) = self.vm_keys.get(id) else { return false };
         let was_listed = std::mem::replace(&mut self.vms[key].listed, false);
         self.remove_vm_if_unused(key);
@@ -70,7 +70,7 @@
     }
 
     /// Sets whether the VM listing is believed complete, so that an unlisted VM is treated as leaving.
-    pub fn set_listing_is_sound(&mut self, complete: bool) {
+    pub fn set_listing_is_complete(&mut self, complete: bool) {
         self.listing_is_complete = complete;
     }
 
@@ -89,18 +89,18 @@
             return;
         }
         for vm in self.vms.values_mut() {
-            vm.evacuated = vm.facts.as_ref().is_some_and(|f| !halls.takes_work(&f.hall));
+            vm.evacuated = vm.facts.as_ref().is_some_and(|f| !halls.accepts_work(&f.hall));
         }
         self.halls = halls;
     }
 
     /// Sets the stable names of the VMs that are emptied for a pool that needs them now.
-    pub fn set_hurried(&mut self, names: HashSet<Arc<str>>) {
+    pub fn set_urgent(&mut self, names: HashSet<Arc<str>>) {
         self.urgent = names;
     }
 
     /// Sets the stable names of the VMs that maintenance will soon take down.
-    pub fn set_due(&mut self, names: HashSet<Arc<str>>) {
+    pub fn set_due_for_maintenance(&mut self, names: HashSet<Arc<str>>) {
         self.due_for_maintenance = names;
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Returns the stable names of VMs that have runs but no lasting tasks, those that can be empty soonest first.
-    pub fn light(&self, now: Now) -> Vec<Arc<str>> {
+    pub fn without_lasting_tasks(&self, now: Now) -> Vec<Arc<str>> {
         let ends = |vm: &&Vm| vm.takes_work() && !vm.runs.is_empty() && vm.lasting_runs() == 0;
         let mut vms: Vec<(Ms, u32, &Vm)> = self
             .vms
@@ -124,7 +124,7 @@
     }
 
     /// Records whether the last call to a VM was answered.
-    pub fn set_reachable(&mut self, id: &VmLife, reachable: bool, now: Now) {
+    pub fn set_reachable(&mut self, id: &VmIncarnation, reachable: bool, now: Now) {
         let Some(&key) = self.vm_keys.get(id) else { return };
         let vm = &mut self.vms[key];
         vm.reachable = reachable;
@@ -135,13 +135,13 @@
     }
 
     /// Returns the VMs that still have runs or unknown runs although the platform does not list them.
-    pub fn unlisted_with_runs(&self) -> Vec<VmLife> {
+    pub fn unlisted_with_runs(&self) -> Vec<VmIncarnation> {
         let busy = |vm: &&Vm| !(vm.listed || vm.runs.is_empty() && vm.unknown_runs.is_empty());
         self.vms.values().filter(busy).map(|vm| vm.id.clone()).collect()
     }
 
     /// Returns the stable name and the incarnation of each cordoned VM that has no runs.
-    pub fn emptied(&self) -> Vec<(Arc<str>, VmLife)> {
+    pub fn emptied(&self) -> Vec<(Arc<str>, VmIncarnation)> {
         let empty = |vm: &&Vm| {
             vm.cordoned && vm.runs.is_empty() && vm.unknown_runs.is_empty() && vm.token_confirmed
         };
@@ -163,7 +163,7 @@
     }
 
     /// Returns the key of a VM incarnation, which is added if it is not known yet.
-    pub(super) fn vm_key(&mut self, id: &VmLife) -> VmKey {
+    pub(super) fn vm_key(&mut self, id: &VmIncarnation) -> VmKey {
         if let Some(&key) = self.vm_keys.get(id) {
             return key;
         }
@@ -174,8 +174,8 @@
 
     /// Assigns runs to a listed incarnation if records of older program versions name the VM by its ID only, without a start
     /// time: this incarnation may have them.
-    fn name_incarnation(&mut self, incarnation: &VmLife) {
-        let without_start_time = VmLife::new(incarnation.id().clone(), None);
+    fn name_incarnation(&mut self, incarnation: &VmIncarnation) {
+        let without_start_time = VmIncarnation::new(incarnation.id().clone(), None);
         if *incarnation == without_start_time || self.vm_keys.contains_key(incarnation) {
             return;
         }
--- a/crates/schedule/src/progress.rs
+++ b/crates/schedule/src/progress.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::harm::HarmRecord;
-use crate::id::VmLife;
+use crate::crash_history::CrashHistoryRecord;
+use crate::id::VmIncarnation;
 
 /// The phase of a job: open or settled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -46,7 +46,7 @@
 
 /// The state of a task in a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Place {
+pub enum TaskPlacement {
     /// The task waits for a run.
     Waiting,
     /// The task was ordered to run on this VM incarnation, and no end of the run is known.
@@ -66,7 +66,7 @@
     pub index: u32,
     /// The state of the task.
     #[serde(rename = "place")]
-    pub place: Place,
+    pub placement: TaskPlacement,
     /// The number of its last run.
     pub attempt: u32,
     /// The number of failed runs.
@@ -92,7 +92,7 @@
     /// The crash histories of tasks whose VMs were lost, also once the job is settled. They come last in an encoded record,
     /// so that older versions can read the rest.
     #[serde(skip)]
-    pub harms: Vec<HarmRecord>,
+    pub crash_histories: Vec<CrashHistoryRecord>,
 }
 
 impl Progress {
@@ -109,10 +109,10 @@
     }
 
     /// Returns the VMs on which tasks were ordered to run and may still run.
-    pub fn placed_on(&self) -> impl Iterator<Item = VmLife> {
-        self.tasks.iter().filter_map(|t| match &t.place {
-            Place::On(vm) => Some(VmLife::from(vm.as_str())),
-            Place::Waiting | Place::Done => None,
+    pub fn assigned_vms(&self) -> impl Iterator<Item = VmIncarnation> {
+        self.tasks.iter().filter_map(|t| match &t.placement {
+            TaskPlacement::On(vm) => Some(VmIncarnation::from(vm.as_str())),
+            TaskPlacement::Waiting | TaskPlacement::Done => None,
         })
     }
 }
--- a/crates/schedule/src/quota/ledger.rs
+++ b/crates/schedule/src/quota/ledger.rs
@@ -141,7 +141,7 @@
     }
 
     /// Charges a job that was accepted at a time to its workspace, and returns whether it is within the workspace's share.
-    pub fn take_job(&mut self, key: Option<WorkspaceKey>, accepted: Ms) -> bool {
+    pub fn charge_job(&mut self, key: Option<WorkspaceKey>, accepted: Ms) -> bool {
         let Some(entry) = key.and_then(|key| self.arena.get_mut(key)) else { return true };
         let Some(weight) = entry.weight else { return true };
         entry.jobs.charge(weight, accepted)
@@ -205,7 +205,7 @@
 
     /// Returns the reports to send to the lender, given the waiting demand of each workspace. They cover workspaces that are or
     /// were short, that want less than last reported, or whose record is newer than the last report.
-    pub fn to_say(
+    pub fn to_report(
         &mut self,
         token: u64,
         count: &mut u64,
@@ -224,7 +224,7 @@
             let reported = entry.reported.as_ref();
             let is_short = entry.held_back || !within(wanted, share, lent.cap);
             let was_short = reported.is_some_and(|r| !within(r.wanted, share, lent.cap));
-            let is_new = reported.is_none_or(|r| r.number < lent.number && r.said.0 <= token);
+            let is_new = reported.is_none_or(|r| r.number < lent.number && r.sequence.0 <= token);
             let differs = reported.is_none_or(|r| r.used != entry.used || r.wanted != wanted);
             let can_return =
                 lent.is_short && reported.is_some_and(|r| has_fallen(wanted, r.wanted, lent.cap));
@@ -235,7 +235,7 @@
             let report = CapUse {
                 pool: self.pool.to_string(),
                 workspace: entry.name.to_string(),
-                said: (token, *count),
+                sequence: (token, *count),
                 number: lent.number,
                 used: entry.used,
                 wanted,
@@ -248,7 +248,7 @@
     }
 
     /// Forgets all reports, as they may not have arrived, so that they are sent again.
-    pub fn forget_said(&mut self) {
+    pub fn forget_reported(&mut self) {
         for entry in self.arena.values_mut() {
             entry.reported = None;
         }
--- a/crates/schedule/src/quota/lender.rs
+++ b/crates/schedule/src/quota/lender.rs
@@ -60,10 +60,10 @@
     }
 
     /// Records the report of a pool's owner, unless a later one is known.
-    pub fn take(&mut self, report: CapUse) {
+    pub fn record_use(&mut self, report: CapUse) {
         let key = (Arc::from(report.pool.as_str()), Arc::from(report.workspace.as_str()));
         let known = self.reports.get(&key);
-        if known.is_none_or(|known| known.said < report.said) {
+        if known.is_none_or(|known| known.sequence < report.sequence) {
             self.reports.insert(key, report);
         }
     }
--- a/crates/schedule/src/quota/mod.rs
+++ b/crates/schedule/src/quota/mod.rs
@@ -72,7 +72,7 @@
     pub workspace: String,
     /// The owner's token and the sequence number of its report. A later report replaces earlier ones.
     #[serde(rename = "said")]
-    pub said: (u64, u64),
+    pub sequence: (u64, u64),
     /// The number of the record that the owner follows.
     pub number: u64,
     /// The capacity that the workspace uses in the pool, or may use.
--- a/crates/schedule/src/spec.rs
+++ b/crates/schedule/src/spec.rs
@@ -189,7 +189,7 @@
     }
 
     /// Returns the number of times that the steps run.
-    pub fn times(&self) -> u32 {
+    pub fn repetitions(&self) -> u32 {
         self.repeats.map_or(1, |r| r.count.max(1))
     }
 
@@ -206,7 +206,7 @@
     }
 
     /// Returns, for each step, the longest chain of estimated work from that step to the end of the job, in milliseconds.
-    pub fn chains(&self) -> Vec<u64> {
+    pub fn critical_paths(&self) -> Vec<u64> {
         let own = |i: usize| u64::from(self.steps[i].estimated_ms);
         let mut chains: Vec<u64> = (0..self.steps.len()).map(own).collect();
         for i in (0..self.steps.len()).rev() {
--- a/crates/schedule/src/vm.rs
+++ b/crates/schedule/src/vm.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Ms;
-use crate::id::{RunId, VmLife};
+use crate::id::{RunId, VmIncarnation};
 
 /// An amount of processor, memory and accelerators, as a VM has it or a task requires it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -21,7 +21,7 @@
 
 impl Room {
     /// Returns whether `other` fits into this amount.
-    pub const fn holds(self, other: Self) -> bool {
+    pub const fn fits(self, other: Self) -> bool {
         self.cpu >= other.cpu && self.mem_mb >= other.mem_mb && self.gpu >= other.gpu
     }
 
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VmFacts {
     /// The incarnation.
-    pub id: VmLife,
+    pub id: VmIncarnation,
     /// The VM's name, the same over all of its incarnations; empty if the platform does not list it.
     pub name: Arc<str>,
     /// The pool that it belongs to.
@@ -106,7 +106,7 @@
     pub percent: u32,
     /// The tail response time in milliseconds for a serving task, the processor in use for other tasks, or `None` if the VM
     /// does not report it.
-    pub figure: Option<u64>,
+    pub metric: Option<u64>,
 }
 
 /// Why a VM incarnation no longer runs any tasks.
@@ -152,7 +152,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VmReport {
     /// When the report was requested.
-    pub asked_at: Ms,
+    pub requested_at: Ms,
     /// The runs in progress.
     pub running: Vec<RunRow>,
     /// The ended runs that are not acknowledged.
--- a/crates/schedule/src/workspace.rs
+++ b/crates/schedule/src/workspace.rs
@@ -127,7 +127,7 @@
 
     /// Carries over `limited_since` of each limited workspace from the previous version of the configuration, if one was read
     /// and limited the workspace too. Otherwise `limited_since` is `version`.
-    pub fn follow(&mut self, before: Option<&Self>, version: u64) {
+    pub fn inherit_limits(&mut self, before: Option<&Self>, version: u64) {
         for workspace in self.all.iter_mut().filter(|w| limits(w.cap)) {
             let known = before.and_then(|before| before.get(&workspace.name));
             let known = known.filter(|known| limits_all_of(known.cap, workspace.cap));
@@ -157,7 +157,7 @@
     }
 
     /// Returns log messages about parts of the configuration that were left out. They contain no keys.
-    pub fn doubts(&self) -> &[String] {
+    pub fn warnings(&self) -> &[String] {
         &self.warnings
     }
 }
--- a/crates/schedule/tests/admission.rs
+++ b/crates/schedule/tests/admission.rs
@@ -41,7 +41,7 @@
         if now < 2_000 || now % JOB_EVERY_MS != 0 {
             continue;
         }
-        if !view.takes_submissions(now) {
+        if !view.accepts_submissions(now) {
             outcome.refused_at_once += 1;
             outcome.refused_needlessly += u32::from(!silent);
         } else if !silent {
@@ -94,13 +94,13 @@
 #[gtest]
 fn a_store_that_has_never_answered_takes_nothing() {
     let view = StoreView::default();
-    expect_that!(view.takes_submissions(500), eq(false));
-    expect_that!(view.in_touch(500), eq(false));
+    expect_that!(view.accepts_submissions(500), eq(false));
+    expect_that!(view.is_reachable(500), eq(false));
 }
 
 #[gtest]
 fn one_that_failed_lately_is_not_sound() {
     let view = StoreView { answered_at: 9_900, failed_at: 8_000 };
-    expect_that!(view.sound_for(2_500, 10_000), eq(false));
-    expect_that!(view.sound_for(2_500, 10_500), eq(true));
+    expect_that!(view.is_healthy_for(2_500, 10_000), eq(false));
+    expect_that!(view.is_healthy_for(2_500, 10_500), eq(true));
 }
--- a/crates/schedule/tests/caps_of_settled_jobs.rs
+++ b/crates/schedule/tests/caps_of_settled_jobs.rs
@@ -25,7 +25,7 @@
         shares,
         is_short: false,
     };
-    pool.set_lent(1, [lent].iter());
+    pool.set_lent_caps(1, [lent].iter());
     pool
 }
 
@@ -53,7 +53,7 @@
     let mut after = owner();
     after.adopt(first, &entry, at(100));
     let rows = running.iter().map(|start| row(start.run, 50)).collect();
-    after.report(&vm("a", 1).id, &report(110, rows, vec![]), at(110));
+    after.apply_report(&vm("a", 1).id, &report(110, rows, vec![]), at(110));
     after.submit(second, of_lunch(), at(120));
     expect_that!(
         starts(&after.plan(at(130))),
--- a/crates/schedule/tests/common/mod.rs
+++ b/crates/schedule/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use thistle_schedule::pool::{Now, Order, StartOrder, StartResult};
 use thistle_schedule::{
     EndKind, JobId, JobSpec, Ms, Objective, Pool, Room, RunEnd, RunId, RunRow, Step, VmFacts,
-    VmLife, VmReport,
+    VmIncarnation, VmReport,
 };
 
 pub const WALL: u64 = 1_700_000_000_000;
@@ -40,7 +40,7 @@
 pub fn vm(name: &str, life: u32) -> Arc<VmFacts> {
     let room = Room { cpu: 4_000, mem_mb: 10_000, gpu: 0 };
     Arc::new(VmFacts {
-        id: VmLife::new(format!("i-{name}-{life}"), None),
+        id: VmIncarnation::new(format!("i-{name}-{life}"), None),
         name: name.into(),
         pool: "desk".into(),
         addr: ([127, 0, 0, 1], 1).into(),
@@ -60,7 +60,7 @@
     for name in names {
         let facts = vm(name, 1);
         pool.list_vm(facts.clone());
-        pool.report(&facts.id, &VmReport::default(), at(0));
+        pool.apply_report(&facts.id, &VmReport::default(), at(0));
     }
     pool
 }
@@ -68,7 +68,7 @@
 pub fn starts(orders: &[Order]) -> Vec<StartOrder> {
     let start = |order: &Order| match order {
         Order::Start(start) => Some(start.clone()),
-        Order::Stop { .. } | Order::Pace { .. } | Order::Ask(_) => None,
+        Order::Stop { .. } | Order::Throttle { .. } | Order::RequestAdvice(_) => None,
     };
     orders.iter().filter_map(start).collect()
 }
@@ -76,7 +76,7 @@
 pub fn stops(orders: &[Order]) -> Vec<RunId> {
     let stop = |order: &Order| match order {
         Order::Stop { run, .. } => Some(*run),
-        Order::Start(_) | Order::Pace { .. } | Order::Ask(_) => None,
+        Order::Start(_) | Order::Throttle { .. } | Order::RequestAdvice(_) => None,
     };
     orders.iter().filter_map(stop).collect()
 }
@@ -92,7 +92,7 @@
     let started = starts(&pool.plan(at(now)));
     pool.take_records();
     for start in &started {
-        pool.start_result(&start.vm, start.run, StartResult::Started, at(now));
+        pool.apply_start_result(&start.vm, start.run, StartResult::Started, at(now));
     }
     started
 }
@@ -102,24 +102,24 @@
 }
 
 pub fn row(run: RunId, percent: u32) -> RunRow {
-    RunRow { run, checkpoint: String::new(), percent, figure: None }
+    RunRow { run, checkpoint: String::new(), percent, metric: None }
 }
 
 pub fn report(asked_at: Ms, running: Vec<RunRow>, ended: Vec<RunEnd>) -> VmReport {
-    VmReport { asked_at, running, ended }
+    VmReport { requested_at: asked_at, running, ended }
 }
 
 /// Ends a run in a report of its VM that lists nothing else as running.
 pub fn end_run(pool: &mut Pool, start: &StartOrder, kind: EndKind, now: Ms) {
     let ended = vec![end(now, start.run, kind)];
-    pool.report(&start.vm, &report(0, Vec::new(), ended), at(now));
+    pool.apply_report(&start.vm, &report(0, Vec::new(), ended), at(now));
 }
 
 /// Reports every lasting run of a VM as at work.
 pub fn all_at_work(pool: &mut Pool, started: &[StartOrder], now: Ms) {
     for start in started {
         let rows = started.iter().filter(|s| s.vm == start.vm).map(|s| row(s.run, 100)).collect();
-        pool.report(&start.vm, &report(now, rows, Vec::new()), at(now));
+        pool.apply_report(&start.vm, &report(now, rows, Vec::new()), at(now));
     }
 }
 
--- a/crates/schedule/tests/crashing.rs
+++ b/crates/schedule/tests/crashing.rs
@@ -19,11 +19,12 @@
 
 use common::{JOB, at, job, plan_and_start, pool_with, starts, step, vm};
 use googletest::prelude::*;
-use thistle_schedule::harm::{Crash, HarmRecord, UnclearLoss};
+use thistle_schedule::crash_history::{Crash, CrashHistoryRecord, UnclearLoss};
 use thistle_schedule::job_log::{JobEntry, Version, encode_progress, progress_key};
 use thistle_schedule::pool::StartResult;
 use thistle_schedule::{
-    Harm, JobId, JobLog, Ms, Phase, Pool, Progress, Step, Verdict, VmFacts, VmLoss, VmReport,
+    CrashHistory, JobId, JobLog, Ms, Phase, Pool, Progress, Step, Verdict, VmFacts, VmLoss,
+    VmReport,
 };
 
 /// How long a VM that crashed is away.
@@ -64,7 +65,12 @@
             started += orders.iter().filter(|s| s.run.task.index == 0).count();
             orders.dedup_by_key(|start| start.vm.clone());
             for start in orders {
-                self.pool.start_result(&start.vm, start.run, StartResult::Started, at(self.now));
+                self.pool.apply_start_result(
+                    &start.vm,
+                    start.run,
+                    StartResult::Started,
+                    at(self.now),
+                );
                 self.crash(&start.vm);
             }
             self.now += 500;
@@ -87,12 +93,12 @@
             self.pool.list_vm(facts.clone());
             // The VM on which it was started has crashed before it answered.
             if !self.pool.vms_with_runs().iter().any(|(id, _)| *id == facts.id) {
-                self.pool.report(&facts.id, &VmReport::default(), at(self.now));
+                self.pool.apply_report(&facts.id, &VmReport::default(), at(self.now));
             }
         }
     }
 
-    fn crash(&mut self, id: &thistle_schedule::VmLife) {
+    fn crash(&mut self, id: &thistle_schedule::VmIncarnation) {
         let (&name, &life) = self
             .lives
             .iter()
@@ -105,7 +111,7 @@
         self.pool.list_vm(next.clone());
         self.pool.vm_lost(id, VmLoss::Replaced, at(self.now));
         self.pool.unlist_vm(id);
-        self.pool.report(&next.id, &VmReport::default(), at(self.now));
+        self.pool.apply_report(&next.id, &VmReport::default(), at(self.now));
     }
 }
 
@@ -124,9 +130,9 @@
     }
 }
 
-fn harm(crashes: &[(bool, bool)]) -> Harm {
-    let mut harm = Harm::default();
-    crashes.iter().for_each(|&(at_start, alone)| harm.add(Crash { at_start, alone }));
+fn harm(crashes: &[(bool, bool)]) -> CrashHistory {
+    let mut harm = CrashHistory::default();
+    crashes.iter().for_each(|&(at_start, alone)| harm.add_crash(Crash { at_start, alone }));
     harm
 }
 
@@ -173,8 +179,9 @@
 fn what_speaks_against_a_task_is_in_the_record_and_older_records_are_read() {
     let version = Version { token: 3, number: 1 };
     let without = Progress { begun: true, ..Progress::default() };
-    let record = HarmRecord { time: 0, step: 1, index: 2, harm: harm(&[(true, false)]) };
-    let with = Progress { harms: vec![record], ..without.clone() };
+    let record =
+        CrashHistoryRecord { time: 0, step: 1, index: 2, crash_history: harm(&[(true, false)]) };
+    let with = Progress { crash_histories: vec![record], ..without.clone() };
     for progress in [without, with] {
         let mut log = JobLog::default();
         let value = encode_progress(version, &progress);
@@ -199,7 +206,7 @@
     pool.vm_lost(&started[0].vm, VmLoss::Replaced, at(3_000));
     pool.unlist_vm(&started[0].vm);
     let reborn = vm(&started[0].vm.id()[2..3], 2);
-    pool.report(&reborn.id, &VmReport::default(), at(3_010));
+    pool.apply_report(&reborn.id, &VmReport::default(), at(3_010));
     // Both began right before the crash: either may have done it. Of two VMs one may be held by a suspect.
     expect_that!(plan_and_start(&mut pool, 3_020), is_empty(), "there is a pause first");
     let again = plan_and_start(&mut pool, 3_300);
@@ -220,15 +227,15 @@
     let name = first[0].vm.id()[2..3].to_owned();
     pool.list_vm(VmFacts { draining: true, ..vm(&name, 1).as_ref().clone() }.into());
     pool.vm_lost(&first[0].vm, VmLoss::Replaced, at(100));
-    expect_that!(pool.harm_of(first[0].run.task), none());
+    expect_that!(pool.crash_history_of(first[0].run.task), none());
 
     let second = plan_and_start(&mut pool, 200);
     pool.vm_lost(&second[0].vm, VmLoss::LeaseOver, at(7_000));
-    expect_that!(pool.silent_losses(), len(eq(1)));
+    expect_that!(pool.unclear_losses(), len(eq(1)));
     // It answers again: it was cut off.
-    pool.report(&second[0].vm, &VmReport::default(), at(7_100));
-    expect_that!(pool.silent_losses(), is_empty());
-    expect_that!(pool.harm_of(second[0].run.task), none());
+    pool.apply_report(&second[0].vm, &VmReport::default(), at(7_100));
+    expect_that!(pool.unclear_losses(), is_empty());
+    expect_that!(pool.crash_history_of(second[0].run.task), none());
 }
 
 /// A task that crashed its VMs was started a sixth time: the entry of a VM was gone before its silence was noticed, and an answer
@@ -241,16 +248,16 @@
 #[gtest]
 fn an_answer_to_an_older_question_does_not_make_a_crash_a_departure() {
     let mut pool = pool_with(&["a", "b"]);
-    pool.set_listing_is_sound(true);
+    pool.set_listing_is_complete(true);
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     let first = plan_and_start(&mut pool, 10);
     let (task, vm_id) = (first[0].run.task, &first[0].vm);
     pool.unlist_vm(vm_id);
     // Asked at 12, when its entry stood.
     let rows = vec![common::row(first[0].run, 10)];
-    pool.report(vm_id, &common::report(12, rows, vec![]), at(500));
+    pool.apply_report(vm_id, &common::report(12, rows, vec![]), at(500));
     pool.vm_lost(vm_id, VmLoss::Replaced, at(1_000));
-    expect_that!(pool.harm_of(task).map(|harm| harm.crashes), some(eq(1)));
+    expect_that!(pool.crash_history_of(task).map(|harm| harm.crashes), some(eq(1)));
 
     // One that answers what it is asked when it is off the list is leaving.
     let second = plan_and_start(&mut pool, 1_100);
@@ -258,10 +265,10 @@
     pool.unlist_vm(vm_id);
     for asked_at in [1_110, 1_700] {
         let rows = vec![common::row(second[0].run, 10)];
-        pool.report(vm_id, &common::report(asked_at, rows, vec![]), at(asked_at + 400));
+        pool.apply_report(vm_id, &common::report(asked_at, rows, vec![]), at(asked_at + 400));
     }
     pool.vm_lost(vm_id, VmLoss::Replaced, at(3_000));
-    expect_that!(pool.harm_of(task).map(|harm| harm.crashes), some(eq(1)));
+    expect_that!(pool.crash_history_of(task).map(|harm| harm.crashes), some(eq(1)));
 }
 
 /// By reading: the answer to a start and the end of its VM's connections are heard of by different tasks, so that the end may
@@ -273,9 +280,9 @@
     let start = starts(&pool.plan(at(10))).pop().expect("there is room");
     pool.take_records();
     pool.set_reachable(&start.vm, false, at(20));
-    pool.start_result(&start.vm, start.run, StartResult::Started, at(21));
+    pool.apply_start_result(&start.vm, start.run, StartResult::Started, at(21));
     pool.vm_lost(&start.vm, VmLoss::Replaced, at(3_000));
-    let harm = pool.harm_of(start.run.task).cloned().unwrap_or_default();
+    let harm = pool.crash_history_of(start.run.task).cloned().unwrap_or_default();
     expect_that!((harm.crashes, harm.alone), eq((1, 1)));
 }
 
@@ -295,7 +302,7 @@
     let name = on_first.id().trim_start_matches("i-").split('-').next().unwrap_or_default();
     let next = vm(name, 2);
     pool.list_vm(next.clone());
-    pool.report(&next.id, &VmReport::default(), at(40));
+    pool.apply_report(&next.id, &VmReport::default(), at(40));
     let after = pool.demand(2_000, at(600)).in_time();
     expect_that!(crashed, ge(1));
     expect_that!(after, ge(before + 4_000), "a VM of its own for a suspect that waits");
--- a/crates/schedule/tests/dropped_submissions.rs
+++ b/crates/schedule/tests/dropped_submissions.rs
@@ -48,12 +48,12 @@
     let mut log = JobLog::default();
     submit(&mut log, FIRST);
     complete(&mut log);
-    log.reloaded(SPARE, &HashSet::new());
+    log.record_reload(SPARE, &HashSet::new());
     expect_that!(phase(&log), some(eq(Phase::Completed)), "it never stood in the spare partition");
-    log.reloaded(FIRST, &HashSet::new());
+    log.record_reload(FIRST, &HashSet::new());
     expect_that!(phase(&log), none());
     expect_that!(log.iter().count(), eq(0));
-    log.reloaded(SPARE, &HashSet::new());
+    log.record_reload(SPARE, &HashSet::new());
     expect_that!(submit(&mut log, FIRST), some(eq(LogChange::Submitted(JOB))));
     expect_that!(phase(&log), some(eq(Phase::Completed)));
 }
@@ -62,9 +62,9 @@
 fn a_job_that_the_newest_records_lack_twice_is_forgotten() {
     let mut log = JobLog::default();
     submit(&mut log, FIRST);
-    log.reloaded(FIRST, &HashSet::from([JOB]));
+    log.record_reload(FIRST, &HashSet::from([JOB]));
     expect_that!(log.len(), eq(1));
-    log.reloaded(FIRST, &HashSet::new());
-    log.reloaded(FIRST, &HashSet::new());
+    log.record_reload(FIRST, &HashSet::new());
+    log.record_reload(FIRST, &HashSet::new());
     expect_that!(log.len(), eq(0));
 }
--- a/crates/schedule/tests/emptying.rs
+++ b/crates/schedule/tests/emptying.rs
@@ -22,21 +22,21 @@
     let started = plan_and_start(&mut pool, 10).remove(0);
     let b = common::vm("b", 1);
     pool.list_vm(b.clone());
-    pool.report(&b.id, &report(0, vec![], vec![]), at(20));
+    pool.apply_report(&b.id, &report(0, vec![], vec![]), at(20));
     let names: HashSet<Arc<str>> = [Arc::from("a")].into();
     pool.set_cordoned(names.clone());
-    pool.set_hurried(names);
+    pool.set_urgent(names);
     (pool, started)
 }
 
 #[gtest]
 fn what_can_be_resumed_is_stopped_on_a_vm_that_another_pool_needs_and_resumes_elsewhere() {
     let (mut pool, started) = hurried(saving(1, 1_000));
-    pool.report(&started.vm, &report(500, vec![row(started.run, 10)], vec![]), at(510));
+    pool.apply_report(&started.vm, &report(500, vec![row(started.run, 10)], vec![]), at(510));
     expect_that!(stops(&pool.plan(at(520))), eq(&vec![started.run]));
     expect_that!(stops(&pool.plan(at(530))), is_empty(), "told once");
     let stopped = RunEnd { checkpoint: "half".into(), ..end(1, started.run, EndKind::Stopped) };
-    pool.report(&started.vm, &report(600, vec![], vec![stopped]), at(610));
+    pool.apply_report(&started.vm, &report(600, vec![], vec![stopped]), at(610));
     let again = starts(&pool.plan(at(620)));
     expect_that!(again, len(eq(1)));
     expect_that!(again[0].vm, eq(&common::vm("b", 1).id));
@@ -46,11 +46,11 @@
 #[gtest]
 fn a_run_that_is_nearly_done_or_would_lose_its_work_is_left_to_end() {
     let (mut pool, started) = hurried(saving(1, 1_000));
-    pool.report(&started.vm, &report(3_000, vec![row(started.run, 90)], vec![]), at(3_010));
+    pool.apply_report(&started.vm, &report(3_000, vec![row(started.run, 90)], vec![]), at(3_010));
     expect_that!(stops(&pool.plan(at(3_020))), is_empty(), "a tenth of 3.3 s is left");
     for shape in [step(1, 1_000), Step { gang: true, ..saving(1, 1_000) }] {
         let (mut pool, started) = hurried(shape);
-        pool.report(&started.vm, &report(100, vec![row(started.run, 1)], vec![]), at(110));
+        pool.apply_report(&started.vm, &report(100, vec![row(started.run, 1)], vec![]), at(110));
         expect_that!(stops(&pool.plan(at(120))), is_empty());
     }
 }
@@ -58,8 +58,8 @@
 #[gtest]
 fn a_vm_that_is_emptied_for_maintenance_lets_its_tasks_end() {
     let (mut pool, started) = hurried(saving(1, 1_000));
-    pool.set_hurried(HashSet::new());
-    pool.report(&started.vm, &report(100, vec![row(started.run, 1)], vec![]), at(110));
+    pool.set_urgent(HashSet::new());
+    pool.apply_report(&started.vm, &report(100, vec![row(started.run, 1)], vec![]), at(110));
     expect_that!(stops(&pool.plan(at(120))), is_empty());
 }
 
@@ -71,17 +71,20 @@
     let long = plan_and_start(&mut pool, 10).remove(0);
     pool.submit(JobId(2), job(vec![step(1, 1_000)]), at(0));
     let short = plan_and_start(&mut pool, 10).remove(0);
-    pool.report(&long.vm, &report(900, vec![row(long.run, 90)], vec![]), at(910));
-    pool.report(&short.vm, &report(900, vec![row(short.run, 20)], vec![]), at(910));
+    pool.apply_report(&long.vm, &report(900, vec![row(long.run, 90)], vec![]), at(910));
+    pool.apply_report(&short.vm, &report(900, vec![row(short.run, 20)], vec![]), at(910));
     let names = [long.vm, short.vm].map(|vm| vm.id().split('-').nth(1).map(Arc::from));
-    expect_that!(pool.light(at(910)), eq(&names.into_iter().flatten().collect::<Vec<Arc<str>>>()));
+    expect_that!(
+        pool.without_lasting_tasks(at(910)),
+        eq(&names.into_iter().flatten().collect::<Vec<Arc<str>>>())
+    );
 }
 
 #[gtest]
 fn tasks_to_be_resumed_count_like_running_ones_in_their_pools_need() {
     let (mut pool, started) = hurried(saving(1, 1_000));
     let stopped = RunEnd { checkpoint: "half".into(), ..end(1, started.run, EndKind::Stopped) };
-    pool.report(&started.vm, &report(600, vec![], vec![stopped]), at(610));
+    pool.apply_report(&started.vm, &report(600, vec![], vec![stopped]), at(610));
     let load = pool.load(at(620));
     expect_that!((load.waiting_cpu, load.used_cpu), eq((0, 1_000)));
 }
@@ -93,12 +96,12 @@
     let started = plan_and_start(&mut pool, 10).remove(0);
     let b = common::vm("b", 1);
     pool.list_vm(b.clone());
-    pool.report(&b.id, &report(0, vec![], vec![]), at(20));
-    pool.report(&started.vm, &report(20, vec![row(started.run, 100)], vec![]), at(30));
+    pool.apply_report(&b.id, &report(0, vec![], vec![]), at(20));
+    pool.apply_report(&started.vm, &report(20, vec![row(started.run, 100)], vec![]), at(30));
     pool.unlist_vm(&started.vm);
-    pool.set_listing_is_sound(false);
+    pool.set_listing_is_complete(false);
     expect_that!(stops(&pool.plan(at(40))), is_empty());
-    pool.set_listing_is_sound(true);
+    pool.set_listing_is_complete(true);
     expect_that!(stops(&pool.plan(at(50))), eq(&vec![started.run]));
 }
 
@@ -112,7 +115,7 @@
     common::all_at_work(&mut pool, &started, 100);
     for name in ["c", "d"] {
         pool.list_vm(common::vm(name, 1));
-        pool.report(&common::vm(name, 1).id, &report(0, vec![], vec![]), at(20));
+        pool.apply_report(&common::vm(name, 1).id, &report(0, vec![], vec![]), at(20));
     }
     for draining in ["b", "a"] {
         let mut pool = pool.clone();
--- a/crates/schedule/tests/evacuation.rs
+++ b/crates/schedule/tests/evacuation.rs
@@ -13,7 +13,7 @@
 use fleet_common::{busy, two_pools, vms_of};
 use googletest::prelude::*;
 use thistle_schedule::fleet::{Fleet, FleetRecord, FleetVm, HoldOff, VmState};
-use thistle_schedule::halls::is_known;
+use thistle_schedule::halls::is_current;
 use thistle_schedule::{EndKind, Evacuation, Halls, JobId, Pool, Step, VmFacts, VmReport};
 
 fn evacuated(names: &[&str]) -> Arc<Halls> {
@@ -31,7 +31,7 @@
 fn bring_up(pool: &mut Pool, hall: &str, name: &str) {
     let facts = vm_in(hall, name);
     pool.list_vm(facts.clone());
-    pool.report(&facts.id, &VmReport::default(), at(0));
+    pool.apply_report(&facts.id, &VmReport::default(), at(0));
 }
 
 /// VMs of four cores: two in hall a, two in hall b.
@@ -85,7 +85,7 @@
     pool.submit(JOB, job(vec![lasting(2, 1)]), at(0));
     let started = plan_and_start(&mut pool, 10);
     for start in &started {
-        pool.report(&start.vm, &report(20, vec![row(start.run, 100)], Vec::new()), at(20));
+        pool.apply_report(&start.vm, &report(20, vec![row(start.run, 100)], Vec::new()), at(20));
     }
     let lost = &started[0].vm;
     let hall = if lost.id().starts_with("i-a") { "a" } else { "b" };
@@ -122,10 +122,10 @@
 /// The operator's requests are read all the time; a read that was sent before a request tells nothing of it.
 #[gtest]
 fn evacuations_are_known_for_less_than_the_time_until_they_take_effect() {
-    expect_that!(is_known(None, None, 9_000), eq(true), "there are none");
-    expect_that!(is_known(None, Some(5_000), 9_000), eq(false), "nothing was read");
-    expect_that!(is_known(Some(5_100), Some(5_000), 9_000), eq(true));
-    expect_that!(is_known(Some(5_000), Some(5_000), 9_000), eq(false), "a start takes a second");
+    expect_that!(is_current(None, None, 9_000), eq(true), "there are none");
+    expect_that!(is_current(None, Some(5_000), 9_000), eq(false), "nothing was read");
+    expect_that!(is_current(Some(5_100), Some(5_000), 9_000), eq(true));
+    expect_that!(is_current(Some(5_000), Some(5_000), 9_000), eq(false), "a start takes a second");
 }
 
 fn fleet_vm(name: &str, pool: &str, hall: &str) -> FleetVm {
@@ -177,7 +177,7 @@
     for (hall, name) in [("a", "a1"), ("b", "b1")] {
         let facts = vm_in(hall, name);
         pool.list_vm(VmFacts { cold: hall == "a", ..facts.as_ref().clone() }.into());
-        pool.report(&facts.id, &VmReport::default(), at(0));
+        pool.apply_report(&facts.id, &VmReport::default(), at(0));
     }
     pool.submit(JOB, job(vec![step(4, 1_000)]), at(0));
     let warm = plan_and_start(&mut pool, 10);
--- a/crates/schedule/tests/fleet.rs
+++ b/crates/schedule/tests/fleet.rs
@@ -49,7 +49,7 @@
     let first = fleet.plan(20);
     expect_that!(first, len(eq(1)));
     // Without an answer it may be down at any moment.
-    fleet.order_result(&first[0].vm, OrderOutcome::Unknown, 30);
+    fleet.record_order_result(&first[0].vm, OrderOutcome::Unknown, 30);
     fleet.set_report(&"desk".into(), emptied(&names), 35);
     expect_that!(vms_of(&fleet.plan(2_000)), eq(&vec![first[0].vm.as_str()]));
 }
@@ -60,7 +60,7 @@
     fleet.plan(10);
     fleet.set_report(&"desk".into(), emptied(&["a"]), 20);
     fleet.plan(30);
-    fleet.order_result("a", OrderOutcome::Done, 40);
+    fleet.record_order_result("a", OrderOutcome::Done, 40);
     fleet.plan(50);
     expect_that!(fleet.to_complete(), is_empty());
     fleet.set_vms(vec![vm("a", "desk", 1, VmState::Away)], 60);
@@ -70,7 +70,7 @@
     fleet.plan(2_110);
     expect_that!(fleet.to_complete(), eq(&vec![1]));
     expect_that!(fleet.record().cordoned().count(), eq(0));
-    fleet.completed(1);
+    fleet.record_completed(1);
     expect_that!(fleet.to_complete(), is_empty());
 }
 
@@ -162,9 +162,9 @@
     let mut fleet = two_pools();
     fleet.set_report(&"desk".into(), busy(0, 90_000, &[]), 10);
     let orders = fleet.plan(20);
-    fleet.order_result(&orders[0].vm, OrderOutcome::Unknown, 30);
+    fleet.record_order_result(&orders[0].vm, OrderOutcome::Unknown, 30);
     fleet.plan(1_000);
-    fleet.order_result("o", OrderOutcome::Done, 1_010);
+    fleet.record_order_result("o", OrderOutcome::Done, 1_010);
     let mut vms = vec![vm("o", "desk", 2, VmState::Up)];
     vms.extend((0..6).map(|i| vm(&format!("d{i}"), "desk", 1, VmState::Up)));
     fleet.set_vms(vms, 3_000);
@@ -188,7 +188,7 @@
     fleet.set_vms(vec![off(VmState::Up)], 0);
     fleet.set_wave(wave(&["o"], 1));
     expect_that!(vms_of(&fleet.plan(10)), eq(&vec!["o"]));
-    fleet.order_result("o", OrderOutcome::Done, 20);
+    fleet.record_order_result("o", OrderOutcome::Done, 20);
     fleet.set_vms(vec![off(VmState::Up)], 30);
     fleet.plan(40);
     expect_that!(fleet.to_complete(), is_empty());
@@ -217,7 +217,7 @@
     let mut fleet = two_pools();
     fleet.set_report(&"desk".into(), busy(0, 90_000, &[]), 10);
     expect_that!(vms_of(&fleet.plan(20)), eq(&vec!["o"]));
-    fleet.order_result("o", OrderOutcome::Done, 30);
+    fleet.record_order_result("o", OrderOutcome::Done, 30);
     let mut vms: Vec<FleetVm> = vec![vm("o", "desk", 2, VmState::Up)];
     vms.extend((0..6).map(|i| vm(&format!("d{i}"), "desk", 1, VmState::Up)));
     vms.extend((0..6).map(|i| vm(&format!("h{i}"), "hub", 1, VmState::Up)));
@@ -244,7 +244,7 @@
     fleet.set_report(&"desk".into(), busy(60_000, 90_000, &[]), 10);
     fleet.set_report(&"hub".into(), busy(0, 20_000, &[]), 10);
     let request = wave(&["d0", "h0"], 2);
-    fleet.set_wave(WaveRequest { asked_at: Some(0), ..request });
+    fleet.set_wave(WaveRequest { requested_at: Some(0), ..request });
     let begun = |fleet: &Fleet| -> Vec<String> {
         let maintain = Purpose::Maintain { wave: 1 };
         let work = fleet.record().work.iter().filter(|w| w.purpose == maintain);
--- a/crates/schedule/tests/fleet_common/mod.rs
+++ b/crates/schedule/tests/fleet_common/mod.rs
@@ -22,7 +22,7 @@
 
 pub fn wave(names: &[&str], cap: usize) -> WaveRequest {
     let vms = names.iter().map(|n| (*n).to_owned()).collect();
-    WaveRequest { wave: 1, vms, duration_ms: 25_000, cap, asked_at: None }
+    WaveRequest { wave: 1, vms, duration_ms: 25_000, cap, requested_at: None }
 }
 
 pub fn fleet(names: &[&str], cap: usize) -> Fleet {
--- a/crates/schedule/tests/fleet_succession.rs
+++ b/crates/schedule/tests/fleet_succession.rs
@@ -40,7 +40,7 @@
     after.set_wave(wave(&["a", "b"], 1));
     after.set_report(&"desk".into(), emptied(&["a", "b"]), 100);
     expect_that!(vms_of(&after.plan(110)), eq(&vms_of(&first)));
-    after.order_result(&first[0].vm, OrderOutcome::Done, 120);
+    after.record_order_result(&first[0].vm, OrderOutcome::Done, 120);
     after.plan(130);
     let mut vms = up(&["a", "b", "c"]);
     vms.iter_mut().filter(|vm| *vm.name == *first[0].vm).for_each(|vm| vm.state = VmState::Away);
@@ -93,7 +93,7 @@
     fleet.set_vms([others.clone(), vec![vm("o", "off", 1, VmState::Up)]].concat(), 0);
     fleet.set_report(&"desk".into(), busy(0, 90_000, &[]), 10);
     expect_that!(vms_of(&fleet.plan(20)), eq(&vec!["o"]));
-    fleet.order_result("o", OrderOutcome::Done, 30);
+    fleet.record_order_result("o", OrderOutcome::Done, 30);
     fleet.set_vms([others, vec![vm("o", "desk", 2, VmState::Up)]].concat(), 1_700);
     fleet.plan(1_800);
     expect_that!(fleet.record().work, is_empty());
@@ -137,7 +137,7 @@
     expect_that!(vms_of(&fleet.plan(10)), eq(&vec!["o"]), "the move is ordered again");
     fleet.set_vms(vec![vm("o", "desk", 2, VmState::Up)], 20);
     fleet.plan(30);
-    fleet.order_result("o", OrderOutcome::Done, 40);
+    fleet.record_order_result("o", OrderOutcome::Done, 40);
     fleet.plan(50);
     let report = emptied(&["o"]);
     let emptied = vec![("o".to_owned(), "o-2".to_owned())];
--- a/crates/schedule/tests/histories/machine.rs
+++ b/crates/schedule/tests/histories/machine.rs
@@ -142,7 +142,7 @@
             row(RunId { task, attempt: run.attempt }, 100)
         };
         let running = self.runs.iter().map(row).collect();
-        VmReport { asked_at: now, running, ended: self.ended.clone() }
+        VmReport { requested_at: now, running, ended: self.ended.clone() }
     }
 
     /// Returns the core-milliseconds that other jobs' tasks have worked there.
--- a/crates/schedule/tests/histories/mod.rs
+++ b/crates/schedule/tests/histories/mod.rs
@@ -9,8 +9,8 @@
 use thistle_schedule::job_log::{Version, encode, encode_progress, progress_key, submit_key};
 use thistle_schedule::pool::{Order, StartOrder, StartResult};
 use thistle_schedule::{
-    EndKind, JobId, JobLog, JobSpec, LogChange, Ms, Phase, Policy, Pool, Step, TaskId, VmLife,
-    VmLoss,
+    EndKind, JobId, JobLog, JobSpec, LogChange, Ms, Phase, Policy, Pool, Step, TaskId,
+    VmIncarnation, VmLoss,
 };
 
 use crate::common::{at, job, lasting, step};
@@ -90,7 +90,7 @@
     ends: BTreeMap<JobId, Ms>,
     settled: BTreeSet<JobId>,
     /// VMs that are gone and on which a new owner knows of runs, and when their lease is surely over.
-    orphans: BTreeMap<VmLife, Ms>,
+    orphans: BTreeMap<VmIncarnation, Ms>,
     figures: Figures,
 }
 
@@ -195,7 +195,7 @@
                 self.pool.list_vm(machine.facts());
             }
         }
-        self.pool.set_listing_is_sound(true);
+        self.pool.set_listing_is_complete(true);
     }
 
     fn trouble(&mut self) {
@@ -253,12 +253,13 @@
             machine.heard = now;
             machine.given_up = false;
             self.pool.set_reachable(&id, true, at(now));
-            self.pool.report(&id, &machine.report(now), at(now));
+            self.pool.apply_report(&id, &machine.report(now), at(now));
         }
     }
 
     fn give_up_orphans(&mut self) {
-        let there: Vec<VmLife> = self.machines.iter().map(|m| m.facts().id.clone()).collect();
+        let there: Vec<VmIncarnation> =
+            self.machines.iter().map(|m| m.facts().id.clone()).collect();
         for id in self.pool.unlisted_with_runs().into_iter().filter(|id| !there.contains(id)) {
             self.orphans.entry(id).or_insert(self.now + LEASE);
         }
@@ -291,9 +292,9 @@
                     for machine in self.machines.iter_mut().filter(|m| m.facts().id == vm) {
                         machine.end(run.task, EndKind::Stopped);
                     }
-                    self.pool.stop_answered(&vm, run, at(self.now));
+                    self.pool.record_stop_answer(&vm, run, at(self.now));
                 }
-                Order::Pace { .. } | Order::Ask(_) => (),
+                Order::Throttle { .. } | Order::RequestAdvice(_) => (),
             }
         }
     }
@@ -317,7 +318,7 @@
         let Some(i) = self.machines.iter().position(|m| m.facts().id == start.vm) else { return };
         if !self.machines[i].answers(now) {
             let result = StartResult::Unhealthy;
-            self.pool.start_result(&start.vm, start.run, result, at(now));
+            self.pool.apply_start_result(&start.vm, start.run, result, at(now));
             return;
         }
         let task = start.run.task;
@@ -326,7 +327,7 @@
         let machine = &mut self.machines[i];
         machine.start(start.run, shape, now, now.saturating_add(lasts));
         if !self.guilty.contains(&task) {
-            self.pool.start_result(&start.vm, start.run, StartResult::Started, at(now));
+            self.pool.apply_start_result(&start.vm, start.run, StartResult::Started, at(now));
             return;
         }
         let (crashes, since) = self.crashed.entry(task).or_default();
--- a/crates/schedule/tests/job_records.rs
+++ b/crates/schedule/tests/job_records.rs
@@ -17,7 +17,7 @@
     submit_key,
 };
 use thistle_schedule::pool::Now;
-use thistle_schedule::progress::{Place, TaskRecord};
+use thistle_schedule::progress::{TaskPlacement, TaskRecord};
 use thistle_schedule::{
     Caller, EndKind, JobLog, JobSpec, LogChange, Phase, Pool, Progress, Repeats,
 };
@@ -53,7 +53,11 @@
         time: 0,
         step: 0,
         index,
-        place: if index < done { Place::Done } else { Place::On("i-a-1".to_owned()) },
+        placement: if index < done {
+            TaskPlacement::Done
+        } else {
+            TaskPlacement::On("i-a-1".to_owned())
+        },
         attempt: 1,
         failures: 0,
         checkpoint: String::new(),
@@ -225,7 +229,7 @@
     let entry = entry_of(&mut before, &spec);
     let mut after = pool_with(&["a"]);
     after.adopt(JOB, &entry, at(2_800));
-    after.report(&second[0].vm, &report(2_900, vec![], vec![]), at(2_900));
+    after.apply_report(&second[0].vm, &report(2_900, vec![], vec![]), at(2_900));
     let mut times = times_run(&mut after, 3_000);
     times.sort_unstable();
     expect_that!(times, not(contains(eq(&0))));
@@ -240,7 +244,7 @@
         time: 3,
         step: 0,
         index: 0,
-        place: Place::Waiting,
+        placement: TaskPlacement::Waiting,
         attempt: 1,
         failures: 1,
         checkpoint: String::new(),
--- a/crates/schedule/tests/late_ends.rs
+++ b/crates/schedule/tests/late_ends.rs
@@ -31,7 +31,7 @@
 fn a_task_that_waits_is_done_by_the_end_of_its_last_run() {
     let (mut pool, start) = given_up(step(1, 500));
     let ended = vec![end(1, start.run, EndKind::Done)];
-    pool.report(&start.vm, &report(7_100, vec![], ended), at(7_110));
+    pool.apply_report(&start.vm, &report(7_100, vec![], ended), at(7_110));
     expect_that!(starts(&pool.plan(at(7_120))), is_empty());
     expect_that!(phase(&mut pool), some(eq(Phase::Completed)));
 }
@@ -41,13 +41,13 @@
     let (mut pool, start) = given_up(step(1, 500));
     let other = vm("b", 1);
     pool.list_vm(other.clone());
-    pool.report(&other.id, &report(7_020, vec![], vec![]), at(7_030));
+    pool.apply_report(&other.id, &report(7_020, vec![], vec![]), at(7_030));
     let again = start_of_only(&plan_and_start(&mut pool, 7_040));
     let ended = vec![end(1, start.run, EndKind::Done)];
-    pool.report(&start.vm, &report(7_100, vec![], ended), at(7_110));
+    pool.apply_report(&start.vm, &report(7_100, vec![], ended), at(7_110));
     expect_that!(phase(&mut pool), not(some(eq(Phase::Completed))));
     let ended = vec![end(1, again.run, EndKind::Done)];
-    pool.report(&again.vm, &report(8_100, vec![], ended), at(8_110));
+    pool.apply_report(&again.vm, &report(8_100, vec![], ended), at(8_110));
     expect_that!(phase(&mut pool), some(eq(Phase::Completed)));
 }
 
@@ -59,7 +59,11 @@
         (EndKind::Done, Step { gang: true, ..step(1, 500) }),
     ] {
         let (mut pool, start) = given_up(step);
-        pool.report(&start.vm, &report(7_100, vec![], vec![end(1, start.run, kind)]), at(7_110));
+        pool.apply_report(
+            &start.vm,
+            &report(7_100, vec![], vec![end(1, start.run, kind)]),
+            at(7_110),
+        );
         expect_that!(starts(&pool.plan(at(7_120))), len(eq(1)), "{kind:?}");
     }
 }
--- a/crates/schedule/tests/link_world/link.rs
+++ b/crates/schedule/tests/link_world/link.rs
@@ -2,7 +2,7 @@
 //! starts and two stops under way, each sent until it is known what came of it.
 
 use thistle_schedule::pool::{StartOrder, StartResult};
-use thistle_schedule::{Ms, RunId, RunRow, TaskLease, VmLife, VmLoss, VmReport};
+use thistle_schedule::{Ms, RunId, RunRow, TaskLease, VmIncarnation, VmLoss, VmReport};
 
 use super::vm::{Answer, Call};
 use super::{Event, LEASE};
@@ -44,7 +44,7 @@
 
 #[derive(Debug)]
 pub struct Link {
-    pub vm: VmLife,
+    pub vm: VmIncarnation,
     pub token: u64,
     /// When the last question was answered by this life of the VM.
     answered_at: Option<Ms>,
@@ -70,7 +70,7 @@
 }
 
 impl Link {
-    pub fn new(vm: VmLife, token: u64, now: Ms) -> Self {
+    pub fn new(vm: VmIncarnation, token: u64, now: Ms) -> Self {
         Self {
             vm,
             token,
@@ -172,13 +172,13 @@
             self.starts.remove(i);
             return false;
         }
-        let Some(deadline) = start.deadline.or_else(|| self.lease.give(now)) else {
+        let Some(deadline) = start.deadline.or_else(|| self.lease.grant(now)) else {
             events.push(Event::Started(self.vm.clone(), run, StartResult::NotTaken));
             self.starts.remove(i);
             return false;
         };
         start.deadline = Some(deadline);
-        if start.may_be_there && self.lease.is_silent() {
+        if start.may_be_there && self.lease.is_unresponsive() {
             start.again_at = now + RETRY;
             return true;
         }
@@ -201,7 +201,7 @@
         if self.hold.is_some() || now < self.ask_at {
             return;
         }
-        let deadline = self.lease.give(now);
+        let deadline = self.lease.grant(now);
         let wait = self.next_wait;
         let in_its_life = self.answered_at.is_some_and(|at| now <= at + IN_ITS_LIFE);
         let last_seen = if in_its_life { self.acked } else { 0 };
@@ -251,7 +251,7 @@
     }
 
     /// Ends the link as the VM has started again.
-    pub fn end_with(&mut self, life: VmLife, events: &mut Vec<Event>) {
+    pub fn end_with(&mut self, life: VmIncarnation, events: &mut Vec<Event>) {
         self.over = true;
         self.lapses += 1;
         events.push(Event::Restarted(self.vm.clone(), life));
@@ -272,7 +272,7 @@
                 self.end_with(life, events);
                 return;
             }
-            self.lease.read_clock(clock, now);
+            self.lease.record_clock(clock, now);
             if !self.reachable {
                 events.push(Event::Reachable(self.vm.clone(), true));
             }
@@ -286,12 +286,15 @@
                 let result = StartResult::StartedWithCopies;
                 events.push(Event::Started(self.vm.clone(), start.order.run, result));
             }
-            let row = |run| RunRow { run, checkpoint: String::new(), percent: 100, figure: None };
+            let row = |run| RunRow { run, checkpoint: String::new(), percent: 100, metric: None };
             let running = running.into_iter().map(row).collect();
-            events.push(Event::Report(self.vm.clone(), VmReport { asked_at, running, ended }));
+            events.push(Event::Report(
+                self.vm.clone(),
+                VmReport { requested_at: asked_at, running, ended },
+            ));
             return;
         }
-        self.lease.set_silent();
+        self.lease.set_unresponsive();
         if self.reachable && wait > 0 {
             // One answer may have been lost.
             self.next_wait = 0;
@@ -301,7 +304,7 @@
             events.push(Event::Reachable(self.vm.clone(), false));
         }
         (self.reachable, self.next_wait) = (false, 0);
-        if self.lease.is_over(now) && !self.lost {
+        if self.lease.is_expired(now) && !self.lost {
             self.lost = true;
             self.lapses += 1;
             events.push(Event::Lost(self.vm.clone(), VmLoss::LeaseOver));
@@ -322,7 +325,7 @@
             Some(_) | None => {
                 if answer.is_none() {
                     start.may_be_there = true;
-                    self.lease.note_unanswered_start(now);
+                    self.lease.record_unanswered_start(now);
                 }
                 start.again_at = if answer.is_none() { now } else { now + RETRY };
                 return;
--- a/crates/schedule/tests/link_world/machines.rs
+++ b/crates/schedule/tests/link_world/machines.rs
@@ -89,7 +89,7 @@
         self.runs.note_start(&life, run, given, now);
         self.check_start(run);
         assert!(
-            room.holds(used) || self.troubles.rooms_shrink,
+            room.fits(used) || self.troubles.rooms_shrink,
             "LIMIT: over room on {name} at {now}: {used:?}"
         );
         self.answer(message, Answer::Started);
@@ -205,12 +205,12 @@
     }
 
     /// Returns the name of a life, which a VM that keeps its ID tells by when it started.
-    fn life_of(&mut self, name: &str, life: u32) -> VmLife {
+    fn life_of(&mut self, name: &str, life: u32) -> VmIncarnation {
         if !self.troubles.ids_are_kept {
             return vm_facts(name, life).id.clone();
         }
         // Its clock may have been set back since its former life.
         let back = if self.rng.random_bool(0.1) { 100_000 } else { 0 };
-        VmLife::new(format!("i-{name}"), Some(WALL + self.now + u64::from(life) - back))
+        VmIncarnation::new(format!("i-{name}"), Some(WALL + self.now + u64::from(life) - back))
     }
 }
--- a/crates/schedule/tests/link_world/mod.rs
+++ b/crates/schedule/tests/link_world/mod.rs
@@ -17,11 +17,11 @@
 use thistle_schedule::job_log::{
     Version, cancel_key, encode, encode_progress, progress_key, submit_key,
 };
-use thistle_schedule::ownership::{Claim, NodeLife, Ownership};
+use thistle_schedule::ownership::{Claim, NodeIncarnation, Ownership};
 use thistle_schedule::pool::{Order, StartOrder, StartResult};
 use thistle_schedule::{
     EndKind, JobId, JobLog, Ms, Phase, Pool, Progress, Repeats, Room, RunEnd, RunId, Step, TaskId,
-    VmFacts, VmLife, VmLoss, VmReport,
+    VmFacts, VmIncarnation, VmLoss, VmReport,
 };
 
 use self::link::Link;
@@ -58,12 +58,12 @@
 /// What the owner is told.
 #[derive(Clone, Debug)]
 pub enum Event {
-    Report(VmLife, VmReport),
-    Started(VmLife, RunId, StartResult),
-    Stopped(VmLife, RunId),
-    Reachable(VmLife, bool),
-    Lost(VmLife, VmLoss),
-    Restarted(VmLife, VmLife),
+    Report(VmIncarnation, VmReport),
+    Started(VmIncarnation, RunId, StartResult),
+    Stopped(VmIncarnation, RunId),
+    Reachable(VmIncarnation, bool),
+    Lost(VmIncarnation, VmLoss),
+    Restarted(VmIncarnation, VmIncarnation),
 }
 
 /// A call on its way to a VM, or waiting there for an end.
@@ -72,7 +72,7 @@
     id: u64,
     arrives: Ms,
     sent: Ms,
-    vm: VmLife,
+    vm: VmIncarnation,
     token: u64,
     call: Call,
     answered: bool,
@@ -86,7 +86,7 @@
 struct Decided {
     until: Ms,
     records: Vec<(JobId, Progress)>,
-    acks: Vec<(VmLife, u64)>,
+    acks: Vec<(VmIncarnation, u64)>,
     orders: Vec<Order>,
 }
 
@@ -102,7 +102,7 @@
     links: BTreeMap<Arc<str>, Link>,
     links_opened: u64,
     events: Vec<Event>,
-    orphans: BTreeMap<VmLife, Ms>,
+    orphans: BTreeMap<VmIncarnation, Ms>,
     writing: Option<Decided>,
     looked_at: Ms,
     log: JobLog,
@@ -142,7 +142,7 @@
             writing: None,
             looked_at: 0,
             log: JobLog::default(),
-            ownership: Ownership::new(NodeLife { name: "a".to_owned(), life: 1 }, 0),
+            ownership: Ownership::new(NodeIncarnation { name: "a".to_owned(), incarnation: 1 }, 0),
             shard: "desk".into(),
             token: 0,
             number: 0,
@@ -223,7 +223,7 @@
     }
 
     /// Sends a call; what becomes of it depends on the way to its VM.
-    fn send(&mut self, vm: &VmLife, token: u64, call: Call) -> u64 {
+    fn send(&mut self, vm: &VmIncarnation, token: u64, call: Call) -> u64 {
         self.next_call += 1;
         let way = self.vms.values().find(|v| v.id.id() == vm.id()).map_or(Way::Clear, |v| v.way);
         let late = way == Way::Late && self.rng.random_bool(0.5);
--- a/crates/schedule/tests/link_world/owner.rs
+++ b/crates/schedule/tests/link_world/owner.rs
@@ -5,7 +5,7 @@
 impl World {
     /// The owner ends by itself, by a panic or a VM's mistaken word, and its node begins another one.
     pub(super) fn end_owner(&mut self) {
-        self.ownership.owner_ended(&self.shard, self.token, self.now);
+        self.ownership.record_owner_end(&self.shard, self.token, self.now);
         match self.ownership.my_token(&self.shard) {
             // It goes on under the token that it has.
             Some(token) => self.begin_owner(token),
@@ -15,10 +15,10 @@
 
     /// The node claims the pool anew, as does any other node that takes over.
     pub(super) fn replace_owner(&mut self) {
-        let owner = NodeLife { name: "a".to_owned(), life: 1 };
+        let owner = NodeIncarnation { name: "a".to_owned(), incarnation: 1 };
         let claim = Claim { owner, released: false };
         // The offset of a claim is one below its token.
-        self.ownership.claimed(&self.shard, claim, self.token, self.now);
+        self.ownership.record_claim(&self.shard, claim, self.token, self.now);
         self.begin_owner(self.token + 1);
     }
 
@@ -69,9 +69,9 @@
             let other =
                 there.iter().find(|(id, name)| ***name == *vm.name || id.id() == vm.id.id());
             let Some((life, _)) = other else { continue };
-            if !life.is_other_life_of(&vm.id) {
+            if !life.is_other_incarnation_of(&vm.id) {
                 self.events.push(Event::Lost(vm.id.clone(), VmLoss::Replaced));
-            } else if life.born() > vm.id.born() {
+            } else if life.started_at() > vm.id.started_at() {
                 let (life, mut events) = (life.clone(), std::mem::take(&mut self.events));
                 match self.link_mut(&vm.id) {
                     Some(link) => link.end_with(life, &mut events),
@@ -87,17 +87,17 @@
         }
     }
 
-    fn open_link(&mut self, life: VmLife) {
+    fn open_link(&mut self, life: VmIncarnation) {
         let token = (self.token << 24) | self.links_opened;
         self.links_opened += 1;
         self.links.insert(life.id().clone(), Link::new(life, token, self.now));
     }
 
-    fn link(&self, vm: &VmLife) -> Option<&Link> {
+    fn link(&self, vm: &VmIncarnation) -> Option<&Link> {
         self.links.get(vm.id()).filter(|link| link.vm == *vm)
     }
 
-    fn link_mut(&mut self, vm: &VmLife) -> Option<&mut Link> {
+    fn link_mut(&mut self, vm: &VmIncarnation) -> Option<&mut Link> {
         self.links.get_mut(vm.id()).filter(|link| link.vm == *vm)
     }
 
@@ -132,7 +132,7 @@
         } else {
             self.carry_out(step);
         }
-        let known: BTreeSet<VmLife> =
+        let known: BTreeSet<VmIncarnation> =
             self.pool.vm_summaries().into_iter().map(|vm| vm.id).collect();
         self.links.retain(|_, link| known.contains(&link.vm));
     }
@@ -163,7 +163,7 @@
         let vm = vm.clone();
         let Some(link) = self.links.get_mut(vm.id()).filter(|link| link.vm == vm) else {
             if let Order::Start(start) = &order {
-                self.pool.start_result(&vm, start.run, StartResult::NotTaken, at(self.now));
+                self.pool.apply_start_result(&vm, start.run, StartResult::NotTaken, at(self.now));
             }
             return;
         };
@@ -182,7 +182,7 @@
                 }
                 link.stop(run);
             }
-            Order::Pace { .. } | Order::Ask(_) => (),
+            Order::Throttle { .. } | Order::RequestAdvice(_) => (),
         }
     }
 
@@ -194,7 +194,7 @@
         match event {
             Event::Report(vm, _) if self.link(&vm).is_none() => (),
             Event::Report(vm, report) => {
-                let news = self.pool.report(&vm, &report, now);
+                let news = self.pool.apply_report(&vm, &report, now);
                 if !report.ended.is_empty() || !news.not_listed.is_empty() {
                     let ended = report.ended.iter().map(|e| format!("{} {:?}", e.run, e.kind));
                     let ended: Vec<String> = ended.collect();
@@ -202,13 +202,13 @@
                     self.tell(|| {
                         format!(
                             "{vm}, asked {}: ended {ended:?}, not listed {gone:?}",
-                            report.asked_at
+                            report.requested_at
                         )
                     });
                 }
             }
-            Event::Started(vm, run, result) => self.pool.start_result(&vm, run, result, now),
-            Event::Stopped(vm, run) => self.pool.stop_answered(&vm, run, now),
+            Event::Started(vm, run, result) => self.pool.apply_start_result(&vm, run, result, now),
+            Event::Stopped(vm, run) => self.pool.record_stop_answer(&vm, run, now),
             Event::Reachable(vm, reachable) => {
                 self.pool.set_reachable(&vm, reachable, now);
                 if !reachable {
@@ -237,7 +237,7 @@
     pub(super) fn drop_orphans(&mut self) {
         let now = self.now;
         let over = self.orphans.iter().filter(|(_, at)| **at <= now);
-        let over: Vec<VmLife> = over.map(|(vm, _)| vm.clone()).collect();
+        let over: Vec<VmIncarnation> = over.map(|(vm, _)| vm.clone()).collect();
         for vm in over {
             self.orphans.remove(&vm);
             self.pool.vm_lost(&vm, VmLoss::LeaseOver, at(now));
--- a/crates/schedule/tests/link_world/vm.rs
+++ b/crates/schedule/tests/link_world/vm.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use thistle_schedule::pool::StartOrder;
-use thistle_schedule::{EndKind, Ms, Room, RunEnd, RunId, TaskId, VmLife};
+use thistle_schedule::{EndKind, Ms, Room, RunEnd, RunId, TaskId, VmIncarnation};
 
 use super::LEASE;
 
@@ -18,7 +18,7 @@
 pub enum Answer {
     Held {
         /// The life that answers.
-        life: VmLife,
+        life: VmIncarnation,
         clock: u64,
         running: Vec<RunId>,
         ended: Vec<RunEnd>,
@@ -62,7 +62,7 @@
 
 #[derive(Debug)]
 pub struct SimVm {
-    pub id: VmLife,
+    pub id: VmIncarnation,
     pub life: u32,
     pub born: Ms,
     /// Its clock's speed, in thousandths.
@@ -91,7 +91,7 @@
 }
 
 impl SimVm {
-    pub fn new(id: VmLife, life: u32, room: Room, speed: u64, born: Ms) -> Self {
+    pub fn new(id: VmIncarnation, life: u32, room: Room, speed: u64, born: Ms) -> Self {
         Self {
             id,
             life,
@@ -170,6 +170,6 @@
         if there.is_some() || self.barred.get(&run.task).is_some_and(|&b| run.attempt <= b) {
             return Some(Answer::Old);
         }
-        (self.guards_room && !self.has.holds(self.used().plus(demand))).then_some(Answer::NoRoom)
+        (self.guards_room && !self.has.fits(self.used().plus(demand))).then_some(Answer::NoRoom)
     }
 }
--- a/crates/schedule/tests/lives.rs
+++ b/crates/schedule/tests/lives.rs
@@ -8,8 +8,8 @@
 use googletest::prelude::*;
 use thistle_schedule::job_log::JobEntry;
 use thistle_schedule::pool::StartResult;
-use thistle_schedule::progress::Place;
-use thistle_schedule::{EndKind, Ms, Phase, Pool, VmFacts, VmLife, VmReport};
+use thistle_schedule::progress::TaskPlacement;
+use thistle_schedule::{EndKind, Ms, Phase, Pool, VmFacts, VmIncarnation, VmReport};
 
 /// A task under which a VM has crashed is started again by then.
 const AFTER_A_CRASH: Ms = 1_000;
@@ -17,25 +17,27 @@
 /// Returns a VM in the life that started then.
 fn listed(name: &str, born: u64) -> Arc<VmFacts> {
     let facts = vm(name, 1);
-    let id = VmLife::new(facts.id.id().clone(), Some(born));
+    let id = VmIncarnation::new(facts.id.id().clone(), Some(born));
     Arc::new(VmFacts { id, ..VmFacts::clone(&facts) })
 }
 
 /// Returns a pool whose only VM has answered in its first life.
-fn pool_of_one() -> (Pool, VmLife, VmLife) {
+fn pool_of_one() -> (Pool, VmIncarnation, VmIncarnation) {
     let mut pool = Pool::new();
     let facts = listed("a", 1_000);
     pool.list_vm(facts.clone());
-    pool.report(&facts.id, &VmReport::default(), at(0));
+    pool.apply_report(&facts.id, &VmReport::default(), at(0));
     (pool, facts.id.clone(), listed("a", 2_000).id.clone())
 }
 
 #[gtest]
 fn a_life_is_read_as_it_is_written_and_an_id_alone_is_one_of_unknown_start() {
-    for life in [VmLife::new("i-7f3a", Some(1_796_283_012_152)), VmLife::new("i-7f3a", None)] {
-        expect_that!(VmLife::from(life.to_string().as_str()), eq(&life));
+    for life in
+        [VmIncarnation::new("i-7f3a", Some(1_796_283_012_152)), VmIncarnation::new("i-7f3a", None)]
+    {
+        expect_that!(VmIncarnation::from(life.to_string().as_str()), eq(&life));
     }
-    expect_that!(VmLife::from("i@x").id().as_ref(), eq("i@x"));
+    expect_that!(VmIncarnation::from("i@x").id().as_ref(), eq("i@x"));
 }
 
 #[gtest]
@@ -43,12 +45,12 @@
     let (mut pool, former, life) = pool_of_one();
     pool.submit(JOB, job(vec![step(1, 700)]), at(0));
     let run = starts(&pool.plan(at(10)))[0].run;
-    pool.start_result(&former, run, StartResult::Started, at(20));
-    pool.report(&former, &report(30, vec![row(run, 10)], vec![]), at(30));
+    pool.apply_start_result(&former, run, StartResult::Started, at(20));
+    pool.apply_report(&former, &report(30, vec![row(run, 10)], vec![]), at(30));
     let lost = pool.vm_restarted(&former, &life, at(40));
-    expect_that!((lost.len(), lost[0].may_be_there), eq((1, false)));
+    expect_that!((lost.len(), lost[0].may_exist), eq((1, false)));
     pool.list_vm(listed("a", 2_000));
-    pool.report(&life, &VmReport::default(), at(50));
+    pool.apply_report(&life, &VmReport::default(), at(50));
     expect_that!(starts(&pool.plan(at(AFTER_A_CRASH))).len(), eq(1));
 }
 
@@ -62,13 +64,13 @@
         pool.submit(JOB, job(vec![step(1, 700)]), at(0));
         let run = starts(&pool.plan(at(10)))[0].run;
         if let Some(answer) = answer {
-            pool.start_result(&former, run, answer, at(20));
+            pool.apply_start_result(&former, run, answer, at(20));
         }
-        expect_that!(pool.vm_restarted(&former, &life, at(40))[0].may_be_there, eq(true));
+        expect_that!(pool.vm_restarted(&former, &life, at(40))[0].may_exist, eq(true));
         pool.list_vm(listed("a", 2_000));
         expect_that!(starts(&pool.plan(at(50))), is_empty());
         let ended = is_done.then(|| end(1, run, EndKind::Done));
-        pool.report(&life, &report(60, vec![], ended.into_iter().collect()), at(60));
+        pool.apply_report(&life, &report(60, vec![], ended.into_iter().collect()), at(60));
         let again = starts(&pool.plan(at(AFTER_A_CRASH))).len();
         expect_that!(again, eq(usize::from(!is_done)), "{answer:?}");
     }
@@ -81,14 +83,14 @@
     before.submit(JOB, spec.clone(), at(0));
     let run = starts(&before.plan(at(10)))[0].run;
     let progress = before.take_records().remove(0).1;
-    expect_that!(progress.tasks[0].place, eq(&Place::On("i-a-1".to_owned())));
+    expect_that!(progress.tasks[0].placement, eq(&TaskPlacement::On("i-a-1".to_owned())));
 
     let mut after = Pool::new();
     after.adopt(JOB, &JobEntry { spec: Some(spec), progress, ..JobEntry::default() }, at(100));
     let facts = listed("a", 1_000);
     after.list_vm(facts.clone());
     let ended = vec![end(7, run, EndKind::Done)];
-    after.report(&facts.id, &report(110, vec![], ended), at(110));
+    after.apply_report(&facts.id, &report(110, vec![], ended), at(110));
     after.plan(at(110));
     expect_that!(after.take_records()[0].1.phase, eq(Phase::Completed));
 }
@@ -105,10 +107,10 @@
     let mut after = Pool::new();
     after.adopt(JOB, &JobEntry { spec: Some(spec), progress, ..JobEntry::default() }, at(100));
     let facts = listed("a", 500);
-    expect_that!(facts.id.is_other_life_of(&former), eq(true));
+    expect_that!(facts.id.is_other_incarnation_of(&former), eq(true));
     after.list_vm(facts.clone());
     let ended = vec![end(1, run, EndKind::Done)];
-    after.report(&facts.id, &report(110, vec![], ended), at(110));
+    after.apply_report(&facts.id, &report(110, vec![], ended), at(110));
     expect_that!(starts(&after.plan(at(110))), is_empty());
     expect_that!(after.take_records()[0].1.phase, eq(Phase::Completed));
 }
--- a/crates/schedule/tests/need.rs
+++ b/crates/schedule/tests/need.rs
@@ -16,7 +16,7 @@
     pool.submit(JobId(2), new.into(), at(now));
     let facts = vm("a", 1);
     pool.list_vm(facts.clone());
-    pool.report(&facts.id, &VmReport::default(), at(now));
+    pool.apply_report(&facts.id, &VmReport::default(), at(now));
     let started = starts(&pool.plan(at(now)));
     expect_that!(started, len(eq(1)));
     started[0].run.task.job
--- a/crates/schedule/tests/ownership.rs
+++ b/crates/schedule/tests/ownership.rs
@@ -5,16 +5,16 @@
 
 use googletest::prelude::*;
 use thistle_schedule::ownership::{
-    Claim, Heartbeat, NodeLife, OWNER_LEASE_MS, Ownership, SILENCE_MS,
+    Claim, Heartbeat, NodeIncarnation, OWNER_LEASE_MS, Ownership, UNRESPONSIVE_MS,
 };
 use thistle_schedule::{Ms, TaskLease};
 
-fn node(name: &str, life: u64) -> NodeLife {
-    NodeLife { name: name.to_owned(), life }
+fn node(name: &str, life: u64) -> NodeIncarnation {
+    NodeIncarnation { name: name.to_owned(), incarnation: life }
 }
 
 fn beat(life: u64, sequence: u64) -> Heartbeat {
-    Heartbeat { life, sequence, leaving: false, relay: None, speed: 0 }
+    Heartbeat { incarnation: life, sequence, leaving: false, relay: None, speed: 0 }
 }
 
 fn claim(name: &str, life: u64) -> Claim {
@@ -27,7 +27,7 @@
 
 /// Returns what a node that has listened all the time claims.
 fn claims_of(view: &mut Ownership, names: &[&str], now: Ms) -> Vec<Arc<str>> {
-    view.listen(now);
+    view.record_read(now);
     wanted(view, names, now)
 }
 
@@ -45,7 +45,7 @@
         let now = 900 + round * 100;
         for view in &mut views {
             for i in 0..3 {
-                view.heard(&format!("n{i}"), &beat(1, round + 1), now);
+                view.record_heartbeat(&format!("n{i}"), &beat(1, round + 1), now);
             }
         }
         for i in 0..3 {
@@ -54,7 +54,7 @@
             };
             claimed[i] += 1;
             for view in &mut views {
-                view.claimed(&pool, claim(&format!("n{i}"), 1), round * 10 + i as u64, now);
+                view.record_claim(&pool, claim(&format!("n{i}"), 1), round * 10 + i as u64, now);
             }
         }
     }
@@ -65,27 +65,27 @@
 #[gtest]
 fn a_silent_owner_keeps_its_pool_for_longer_than_its_lease() {
     let mut view = Ownership::new(node("b", 1), 0);
-    view.heard("b", &beat(1, 1), 0);
-    view.heard("a", &beat(1, 1), 1_000);
-    view.claimed(&"desk".into(), claim("a", 1), 0, 900);
+    view.record_heartbeat("b", &beat(1, 1), 0);
+    view.record_heartbeat("a", &beat(1, 1), 1_000);
+    view.record_claim(&"desk".into(), claim("a", 1), 0, 900);
     for now in [1_000, 2_000, 3_000] {
-        view.listen(now);
+        view.record_read(now);
     }
     expect_that!(wanted(&mut view, &["desk"], 1_000 + OWNER_LEASE_MS), is_empty());
-    view.heard("b", &beat(1, 2), 1_000 + SILENCE_MS);
-    view.listen(1_000 + SILENCE_MS);
-    expect_that!(wanted(&mut view, &["desk"], 1_000 + SILENCE_MS), len(eq(1)));
+    view.record_heartbeat("b", &beat(1, 2), 1_000 + UNRESPONSIVE_MS);
+    view.record_read(1_000 + UNRESPONSIVE_MS);
+    expect_that!(wanted(&mut view, &["desk"], 1_000 + UNRESPONSIVE_MS), len(eq(1)));
 }
 
 #[gtest]
 fn silence_counts_anew_after_this_node_could_not_listen() {
     let mut view = Ownership::new(node("b", 1), 0);
-    view.heard("a", &beat(1, 1), 1_000);
-    view.claimed(&"desk".into(), claim("a", 1), 0, 900);
-    view.listen(9_000);
+    view.record_heartbeat("a", &beat(1, 1), 1_000);
+    view.record_claim(&"desk".into(), claim("a", 1), 0, 900);
+    view.record_read(9_000);
     expect_that!(wanted(&mut view, &["desk"], 9_100), is_empty());
     for now in [10_000, 11_000, 12_000] {
-        view.listen(now);
+        view.record_read(now);
     }
     expect_that!(wanted(&mut view, &["desk"], 12_000), len(eq(1)));
 }
@@ -95,16 +95,16 @@
 #[gtest]
 fn a_node_that_has_not_listened_lately_claims_nothing() {
     let mut view = Ownership::new(node("b", 1), 0);
-    view.listen(1_000);
-    view.heard("a", &beat(1, 1), 1_000);
-    view.claimed(&"desk".into(), claim("a", 1), 0, 900);
+    view.record_read(1_000);
+    view.record_heartbeat("a", &beat(1, 1), 1_000);
+    view.record_claim(&"desk".into(), claim("a", 1), 0, 900);
     expect_that!(wanted(&mut view, &["desk"], 9_000), is_empty());
 }
 
 #[gtest]
 fn a_restarted_owner_takes_its_pool_back_at_once() {
     let mut view = Ownership::new(node("a", 2), 5_000);
-    view.claimed(&"desk".into(), claim("a", 1), 0, 5_010);
+    view.record_claim(&"desk".into(), claim("a", 1), 0, 5_010);
     expect_that!(claims_of(&mut view, &["desk"], 5_020), len(eq(1)));
 }
 
@@ -114,10 +114,10 @@
     let released = Claim { owner: node("c", 1), released: true };
     let mut first = 0;
     for view in &mut views {
-        view.heard("a", &beat(1, 1), 2_000);
-        view.heard("b", &beat(1, 1), 2_000);
-        view.claimed(&"desk".into(), claim("c", 1), 0, 1_000);
-        view.claimed(&"desk".into(), released.clone(), 1, 2_000);
+        view.record_heartbeat("a", &beat(1, 1), 2_000);
+        view.record_heartbeat("b", &beat(1, 1), 2_000);
+        view.record_claim(&"desk".into(), claim("c", 1), 0, 1_000);
+        view.record_claim(&"desk".into(), released.clone(), 1, 2_000);
         first += claims_of(view, &["desk"], 2_010).len();
     }
     expect_that!(first, eq(1));
@@ -126,72 +126,72 @@
 #[gtest]
 fn a_late_giving_up_by_a_former_owner_changes_nothing() {
     let mut view = Ownership::new(node("b", 1), 0);
-    view.claimed(&"desk".into(), claim("a", 1), 0, 100);
-    view.claimed(&"desk".into(), claim("b", 1), 1, 200);
+    view.record_claim(&"desk".into(), claim("a", 1), 0, 100);
+    view.record_claim(&"desk".into(), claim("b", 1), 1, 200);
     let late = Claim { owner: node("a", 1), released: true };
-    view.claimed(&"desk".into(), late, 2, 300);
+    view.record_claim(&"desk".into(), late, 2, 300);
     expect_that!(view.my_token("desk"), some(eq(2)));
 }
 
 #[gtest]
 fn tokens_rise_and_an_older_claim_is_no_news() {
     let mut view = Ownership::new(node("a", 1), 0);
-    view.claimed(&"desk".into(), claim("a", 1), 7, 100);
-    view.claimed(&"desk".into(), claim("b", 1), 3, 200);
+    view.record_claim(&"desk".into(), claim("a", 1), 7, 100);
+    view.record_claim(&"desk".into(), claim("b", 1), 3, 200);
     expect_that!(view.my_token("desk"), some(eq(8)));
-    view.claimed(&"desk".into(), claim("b", 1), 9, 300);
+    view.record_claim(&"desk".into(), claim("b", 1), 9, 300);
     expect_that!(view.my_token("desk"), none());
 }
 
 #[gtest]
 fn a_lease_of_unknown_origin_is_over_after_its_full_length_on_a_slow_clock() {
     let lease = TaskLease::new(6_000, 1_000);
-    expect_that!(lease.is_over(7_100), eq(false));
-    expect_that!(lease.is_over(7_300), eq(true));
+    expect_that!(lease.is_expired(7_100), eq(false));
+    expect_that!(lease.is_expired(7_300), eq(true));
 }
 
 #[gtest]
 fn a_lease_given_on_an_old_reading_of_the_clock_is_bounded_from_that_reading() {
     let mut lease = TaskLease::new(6_000, 0);
-    expect_that!(lease.give(10), none());
-    lease.read_clock(500_000, 100);
-    expect_that!(lease.give(1_100), some(eq(507_000)));
+    expect_that!(lease.grant(10), none());
+    lease.record_clock(500_000, 100);
+    expect_that!(lease.grant(1_100), some(eq(507_000)));
     // The VM's clock may have run 2% slow since the reading: 7,000 of its ms take 7,143 of ours.
-    expect_that!(lease.is_over(100 + 7_143), eq(false));
-    expect_that!(lease.is_over(100 + 7_143 + 200), eq(true));
+    expect_that!(lease.is_expired(100 + 7_143), eq(false));
+    expect_that!(lease.is_expired(100 + 7_143 + 200), eq(true));
 }
 
 #[gtest]
 fn an_owner_whose_heartbeats_go_elsewhere_is_not_silent() {
     let mut view = Ownership::new(node("b", 1), 0);
-    view.claimed(&"desk".into(), claim("a", 1), 0, 900);
-    view.heard("a", &beat(1, 1), 1_000);
-    expect_that!(view.has_quiet_owner(1_500), eq(false));
-    expect_that!(view.has_quiet_owner(2_000), eq(true));
+    view.record_claim(&"desk".into(), claim("a", 1), 0, 900);
+    view.record_heartbeat("a", &beat(1, 1), 1_000);
+    expect_that!(view.has_overdue_owner(1_500), eq(false));
+    expect_that!(view.has_overdue_owner(2_000), eq(true));
     for (now, sequence) in [(2_000, 2), (3_000, 3), (4_000, 4), (5_000, 5)] {
-        view.listen(now);
-        view.heard_aside("a", &beat(1, sequence), now);
+        view.record_read(now);
+        view.record_fallback_heartbeat("a", &beat(1, sequence), now);
         expect_that!(wanted(&mut view, &["desk"], now), is_empty());
     }
     // An old word of an earlier life says nothing.
-    view.heard_aside("a", &beat(9, 90), 5_500);
-    view.listen(6_000);
-    view.listen(7_000);
+    view.record_fallback_heartbeat("a", &beat(9, 90), 5_500);
+    view.record_read(6_000);
+    view.record_read(7_000);
     expect_that!(wanted(&mut view, &["desk"], 7_600), is_empty());
-    view.listen(7_700);
+    view.record_read(7_700);
     expect_that!(wanted(&mut view, &["desk"], 7_700), len(eq(1)));
 }
 
 #[gtest]
 fn silence_counts_anew_when_not_all_heartbeats_can_be_read() {
     let mut view = Ownership::new(node("b", 1), 0);
-    view.claimed(&"desk".into(), claim("a", 1), 0, 900);
-    view.heard("a", &beat(1, 1), 1_000);
+    view.record_claim(&"desk".into(), claim("a", 1), 0, 900);
+    view.record_heartbeat("a", &beat(1, 1), 1_000);
     for now in [1_000, 2_000, 3_000] {
-        view.listen(now);
-        view.forgive_silence(now);
+        view.record_read(now);
+        view.reset_timeouts(now);
     }
-    view.listen(4_000);
+    view.record_read(4_000);
     expect_that!(wanted(&mut view, &["desk"], 4_000), is_empty());
 }
 
@@ -201,15 +201,15 @@
 #[gtest]
 fn a_vm_that_does_not_answer_gets_no_new_lease() {
     let mut lease = TaskLease::new(6_000, 0);
-    lease.read_clock(50_000, 1_000);
-    expect_that!(lease.give(1_000), some(eq(56_000)));
-    lease.set_silent();
+    lease.record_clock(50_000, 1_000);
+    expect_that!(lease.grant(1_000), some(eq(56_000)));
+    lease.set_unresponsive();
     for now in [2_000, 4_000, 6_000] {
-        expect_that!(lease.give(now), none());
+        expect_that!(lease.grant(now), none());
     }
-    expect_that!(lease.is_over(7_300), eq(true));
-    lease.read_clock(58_000, 9_000);
-    expect_that!(lease.give(9_000), some(eq(64_000)));
+    expect_that!(lease.is_expired(7_300), eq(true));
+    lease.record_clock(58_000, 9_000);
+    expect_that!(lease.grant(9_000), some(eq(64_000)));
 }
 
 #[gtest]
@@ -220,7 +220,7 @@
     let mut claimed: Vec<(&str, usize)> = Vec::new();
     for view in &mut views {
         for (name, speed) in speeds {
-            view.heard(name, &Heartbeat { speed, ..beat(1, 1) }, 900);
+            view.record_heartbeat(name, &Heartbeat { speed, ..beat(1, 1) }, 900);
         }
     }
     for (i, (name, _)) in speeds.into_iter().enumerate() {
@@ -240,12 +240,12 @@
         for i in 0..12 {
             let speed = if i % 4 == 0 { 20_000 } else { 5_000 };
             let beat = Heartbeat { speed, relay: relay(i), ..beat(1, 1) };
-            view.heard(&format!("n{i}"), &beat, 1_000);
+            view.record_heartbeat(&format!("n{i}"), &beat, 1_000);
         }
     };
     let mut view = Ownership::new(node("me", 1), 0);
     heard(&mut view);
-    view.claimed(&"desk".into(), claim("me", 1), 0, 900);
+    view.record_claim(&"desk".into(), claim("me", 1), 0, 900);
     let first: Vec<u16> = view.relays(1_000).iter().take(3).map(|addr| addr.port() % 4).collect();
     expect_that!(first, eq(&vec![0, 0, 0]));
     expect_that!(view.relays(1_000), len(eq(12)));
@@ -265,17 +265,17 @@
 fn an_owner_that_has_ended_by_itself_is_begun_again_under_a_new_token_only() {
     let mut view = Ownership::new(node("a", 1), 0);
     let desk: Arc<str> = "desk".into();
-    view.claimed(&desk, claim("a", 1), 0, 1_000);
+    view.record_claim(&desk, claim("a", 1), 0, 1_000);
     expect_that!(claims_of(&mut view, &["desk"], 1_000), is_empty());
     expect_that!(view.has_ended("desk"), eq(false));
-    view.owner_ended(&desk, 1, 2_000);
+    view.record_owner_end(&desk, 1, 2_000);
     expect_that!(view.has_ended("desk"), eq(true));
     expect_that!(view.my_token("desk"), none());
     expect_that!(claims_of(&mut view, &["desk"], 2_200), len(eq(1)));
     // The claim of before, read once more, changes nothing.
-    view.claimed(&desk, claim("a", 1), 0, 2_200);
+    view.record_claim(&desk, claim("a", 1), 0, 2_200);
     expect_that!(view.my_token("desk"), none());
-    view.claimed(&desk, claim("a", 1), 7, 2_300);
+    view.record_claim(&desk, claim("a", 1), 7, 2_300);
     expect_that!(view.my_token("desk"), some(eq(8)));
     expect_that!(claims_of(&mut view, &["desk"], 2_300), is_empty());
 }
@@ -284,10 +284,10 @@
 fn a_pool_whose_owner_ended_is_left_to_another_node_that_claimed_it() {
     let mut view = Ownership::new(node("a", 1), 0);
     let desk: Arc<str> = "desk".into();
-    view.claimed(&desk, claim("a", 1), 0, 1_000);
-    view.owner_ended(&desk, 1, 2_000);
-    view.claimed(&desk, claim("b", 1), 3, 2_050);
-    view.heard("b", &beat(1, 1), 2_200);
+    view.record_claim(&desk, claim("a", 1), 0, 1_000);
+    view.record_owner_end(&desk, 1, 2_000);
+    view.record_claim(&desk, claim("b", 1), 3, 2_050);
+    view.record_heartbeat("b", &beat(1, 1), 2_200);
     expect_that!(claims_of(&mut view, &["desk"], 2_300), is_empty());
 }
 
@@ -300,19 +300,19 @@
         now += 100;
         let owns = view.my_token("desk").is_some();
         if owns {
-            view.owner_ended(&desk, claims, now);
+            view.record_owner_end(&desk, claims, now);
         }
         if !claims_of(&mut view, &["desk"], now).is_empty() {
-            view.claimed(&desk, claim("a", 1), claims, now);
+            view.record_claim(&desk, claim("a", 1), claims, now);
             claims += 1;
         }
     }
     // Every 100 ms it was 600 times in a minute.
     expect_that!(claims, le(25));
-    view.owner_ended(&desk, claims, now);
+    view.record_owner_end(&desk, claims, now);
     // One that has worked for long is begun again soon.
-    view.claimed(&desk, claim("a", 1), claims, now);
-    view.owner_ended(&desk, claims + 1, now + 20_000);
+    view.record_claim(&desk, claim("a", 1), claims, now);
+    view.record_owner_end(&desk, claims + 1, now + 20_000);
     expect_that!(claims_of(&mut view, &["desk"], now + 20_200), len(eq(1)));
 }
 
@@ -323,8 +323,8 @@
     let mut view = Ownership::new(node("a", 2), 0);
     let relay: SocketAddr = ([127, 0, 0, 1], 7_060).into();
     let former = Heartbeat { relay: Some(relay), ..beat(1, 9) };
-    view.heard("a", &former, 100);
-    view.claimed(&"desk".into(), claim("a", 1), 0, 100);
+    view.record_heartbeat("a", &former, 100);
+    view.record_claim(&"desk".into(), claim("a", 1), 0, 100);
     expect_that!(view.relay_of_owner("desk"), none());
 }
 
@@ -339,8 +339,8 @@
     let mut slow = Ownership::new(node("b", 1), 0);
     expect_that!(claims_of(&mut slow, &["desk"], 360), is_empty());
     expect_that!(claims_of(&mut slow, &["desk"], 820), is_empty());
-    slow.heard("b", &Heartbeat { speed: 10_770, ..beat(1, 1) }, 820);
-    slow.heard("a", &Heartbeat { speed: 45_000, ..beat(1, 1) }, 820);
+    slow.record_heartbeat("b", &Heartbeat { speed: 10_770, ..beat(1, 1) }, 820);
+    slow.record_heartbeat("a", &Heartbeat { speed: 45_000, ..beat(1, 1) }, 820);
     expect_that!(claims_of(&mut slow, &["desk"], 1_000), is_empty());
     expect_that!(claims_of(&mut slow, &["desk"], 1_450), len(eq(1)));
 }
@@ -350,14 +350,14 @@
 #[gtest]
 fn a_node_listens_for_as_long_as_the_first_heartbeats_of_all_take() {
     let first_claim = |nodes: u64| {
-        let mut view = Ownership::new(NodeLife { name: "me".to_owned(), life: 1 }, 0);
+        let mut view = Ownership::new(NodeIncarnation { name: "me".to_owned(), incarnation: 1 }, 0);
         let pool = ["desk".into()];
         (900..60_000).step_by(50).find(|&now| {
-            view.listen(now);
+            view.record_read(now);
             // It is the fastest of all that it hears.
             let slow = Heartbeat { speed: 10, ..beat(1, now) };
-            (0..nodes).for_each(|i| view.heard(&format!("n{i}"), &slow, now));
-            view.heard("me", &Heartbeat { speed: 100, ..beat(1, now) }, now);
+            (0..nodes).for_each(|i| view.record_heartbeat(&format!("n{i}"), &slow, now));
+            view.record_heartbeat("me", &Heartbeat { speed: 100, ..beat(1, now) }, now);
             !view.to_claim(pool.iter(), now).is_empty()
         })
     };
--- a/crates/schedule/tests/policies.rs
+++ b/crates/schedule/tests/policies.rs
@@ -5,23 +5,23 @@
 use common::{JOB, at, job, pool_with, report, row, starts, step};
 use googletest::prelude::*;
 use thistle_schedule::job_log::JobEntry;
-use thistle_schedule::pool::{Order, Question};
-use thistle_schedule::progress::{Place, TaskRecord};
+use thistle_schedule::pool::{AdviceRequest, Order};
+use thistle_schedule::progress::{TaskPlacement, TaskRecord};
 use thistle_schedule::spec::AdvicePolicy;
 use thistle_schedule::{EndKind, JobId, JobSpec, Pool, Progress, RunRow, Step};
 
-fn questions(orders: &[Order]) -> Vec<Question> {
+fn questions(orders: &[Order]) -> Vec<AdviceRequest> {
     let question = |o: &Order| match o {
-        Order::Ask(question) => Some(question.clone()),
-        Order::Start(_) | Order::Stop { .. } | Order::Pace { .. } => None,
+        Order::RequestAdvice(question) => Some(question.clone()),
+        Order::Start(_) | Order::Stop { .. } | Order::Throttle { .. } => None,
     };
     orders.iter().filter_map(question).collect()
 }
 
 fn paces(orders: &[Order]) -> Vec<u32> {
     let pace = |o: &Order| match o {
-        Order::Pace { percent, .. } => Some(*percent),
-        Order::Start(_) | Order::Stop { .. } | Order::Ask(_) => None,
+        Order::Throttle { percent, .. } => Some(*percent),
+        Order::Start(_) | Order::Stop { .. } | Order::RequestAdvice(_) => None,
     };
     orders.iter().filter_map(pace).collect()
 }
@@ -43,7 +43,7 @@
     // One question at a time.
     expect_that!(questions(&pool.plan(at(20))), is_empty());
     let good = vec![(asked[0].vms[1].clone(), "t-1".to_owned())];
-    pool.advised(asked[0].step, Some((good, 3_000)), at(60));
+    pool.apply_advice(asked[0].step, Some((good, 3_000)), at(60));
     let started = starts(&pool.plan(at(70)));
     expect_that!(started, len(eq(2)));
     expect_that!(started.iter().all(|s| s.vm == asked[0].vms[1]), eq(true));
@@ -56,7 +56,7 @@
     pool.submit(JOB, advised_job(), at(0));
     let asked = questions(&pool.plan(at(10)));
     let good = vec![(asked[0].vms[0].clone(), "t-1".to_owned())];
-    pool.advised(asked[0].step, Some((good, 1_000)), at(60));
+    pool.apply_advice(asked[0].step, Some((good, 1_000)), at(60));
     let orders = pool.plan(at(1_100));
     expect_that!(starts(&orders), is_empty());
     expect_that!(questions(&orders), len(eq(1)));
@@ -67,7 +67,7 @@
     let mut pool = pool_with(&["a"]);
     pool.submit(JOB, advised_job(), at(0));
     let asked = questions(&pool.plan(at(10)));
-    pool.advised(asked[0].step, None, at(900));
+    pool.apply_advice(asked[0].step, None, at(900));
     expect_that!(questions(&pool.plan(at(910))), is_empty());
     expect_that!(questions(&pool.plan(at(1_300))), len(eq(1)));
 }
@@ -86,7 +86,7 @@
 
 fn with_tail(rows: &[RunRow], ms: u64, percent: u32) -> Vec<RunRow> {
     let mut rows = rows.to_vec();
-    rows[0].figure = Some(ms);
+    rows[0].metric = Some(ms);
     rows[1].percent = percent;
     rows
 }
@@ -95,14 +95,14 @@
 fn filling_tasks_are_slowed_fast_and_let_go_slowly() {
     let (mut pool, rows) = mixed();
     let vm = common::vm("a", 1).id.clone();
-    expect_that!(pool.watch(&vm), eq(thistle_schedule::pool::Watch::Figures));
-    pool.report(&vm, &report(1_000, with_tail(&rows, 95, 100), vec![]), at(1_000));
+    expect_that!(pool.poll_reason(&vm), eq(thistle_schedule::pool::PollReason::Figures));
+    pool.apply_report(&vm, &report(1_000, with_tail(&rows, 95, 100), vec![]), at(1_000));
     expect_that!(paces(&pool.plan(at(1_000))), eq(&vec![25]));
-    pool.report(&vm, &report(1_600, with_tail(&rows, 120, 25), vec![]), at(1_600));
+    pool.apply_report(&vm, &report(1_600, with_tail(&rows, 120, 25), vec![]), at(1_600));
     expect_that!(paces(&pool.plan(at(1_600))), eq(&vec![0]));
-    pool.report(&vm, &report(2_200, with_tail(&rows, 70, 0), vec![]), at(2_200));
+    pool.apply_report(&vm, &report(2_200, with_tail(&rows, 70, 0), vec![]), at(2_200));
     expect_that!(paces(&pool.plan(at(2_200))), is_empty());
-    pool.report(&vm, &report(2_800, with_tail(&rows, 40, 0), vec![]), at(2_800));
+    pool.apply_report(&vm, &report(2_800, with_tail(&rows, 40, 0), vec![]), at(2_800));
     expect_that!(paces(&pool.plan(at(2_800))), eq(&vec![20]));
 }
 
@@ -124,7 +124,7 @@
     let (mut pool, rows) = mixed();
     let vm = common::vm("a", 1).id.clone();
     for (time, progress) in [(1_000, 41), (1_600, 55), (2_200, 80)] {
-        pool.report(&vm, &report(time, with_tail(&rows, 40, progress), vec![]), at(time));
+        pool.apply_report(&vm, &report(time, with_tail(&rows, 40, progress), vec![]), at(time));
         expect_that!(paces(&pool.plan(at(time))), is_empty());
     }
 }
@@ -133,14 +133,14 @@
 fn filling_tasks_work_at_full_speed_again_when_nothing_serves_beside_them() {
     let (mut pool, rows) = mixed();
     let vm = common::vm("a", 1).id.clone();
-    pool.report(&vm, &report(1_000, with_tail(&rows, 95, 10), vec![]), at(1_000));
+    pool.apply_report(&vm, &report(1_000, with_tail(&rows, 95, 10), vec![]), at(1_000));
     expect_that!(paces(&pool.plan(at(1_000))), eq(&vec![25]));
     pool.cancel(JOB, at(1_100));
     let ended = vec![common::end(1, rows[0].run, EndKind::Stopped)];
     let mut told = Vec::new();
     for time in (1_600..4_500).step_by(600) {
         let ended = if time == 1_600 { ended.clone() } else { Vec::new() };
-        pool.report(&vm, &report(time, vec![rows[1].clone()], ended), at(time));
+        pool.apply_report(&vm, &report(time, vec![rows[1].clone()], ended), at(time));
         told.extend(paces(&pool.plan(at(time))));
     }
     expect_that!(told, eq(&vec![45, 65, 85, 100]));
@@ -159,7 +159,7 @@
                 time: 0,
                 step: 0,
                 index: 0,
-                place: Place::On("i-a-1".into()),
+                placement: TaskPlacement::On("i-a-1".into()),
                 attempt: run.attempt,
                 failures: 0,
                 checkpoint: String::new(),
@@ -170,7 +170,7 @@
         }
         let vm = common::vm("a", 1);
         after.list_vm(vm.clone());
-        after.report(&vm.id, &report(110, with_tail(&rows, tail, 50), vec![]), at(110));
+        after.apply_report(&vm.id, &report(110, with_tail(&rows, tail, 50), vec![]), at(110));
         expect_that!(paces(&after.plan(at(110))), eq(&told), "tail {tail}");
     }
 }
--- a/crates/schedule/tests/pool.rs
+++ b/crates/schedule/tests/pool.rs
@@ -50,7 +50,7 @@
         let started = plan_and_start(&mut pool, round * 100);
         let mut stopped = end(round, started[0].run, EndKind::Stopped);
         stopped.checkpoint = format!("c{round}");
-        pool.report(&started[0].vm, &report(0, vec![], vec![stopped]), at(round * 100 + 50));
+        pool.apply_report(&started[0].vm, &report(0, vec![], vec![stopped]), at(round * 100 + 50));
     }
     let again = plan_and_start(&mut pool, 1_000);
     expect_that!(again[0].run.attempt, eq(5));
@@ -83,12 +83,12 @@
     expect_that!(starts(&pool.plan(at(40))), is_empty());
     // Stops were answered, ends are not listed yet: a report asked for before says nothing.
     for start in &first {
-        pool.stop_answered(&start.vm, start.run, at(50));
+        pool.record_stop_answer(&start.vm, start.run, at(50));
     }
-    pool.report(&first[0].vm, &report(45, vec![], vec![]), at(55));
+    pool.apply_report(&first[0].vm, &report(45, vec![], vec![]), at(55));
     expect_that!(starts(&pool.plan(at(56))), is_empty());
     // One asked for afterwards shows that they never came to run.
-    pool.report(&first[0].vm, &report(60, vec![], vec![]), at(65));
+    pool.apply_report(&first[0].vm, &report(60, vec![], vec![]), at(65));
     expect_that!(starts(&pool.plan(at(66))), len(eq(1)));
 }
 
@@ -97,7 +97,7 @@
     let mut pool = pool_with(&["a"]);
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     let started = plan_and_start(&mut pool, 100);
-    pool.report(&started[0].vm, &report(90, vec![], vec![]), at(110));
+    pool.apply_report(&started[0].vm, &report(90, vec![], vec![]), at(110));
     expect_that!(starts(&pool.plan(at(120))), is_empty());
     end_run(&mut pool, &started[0], EndKind::Done, 130);
     pool.plan(at(140));
@@ -110,7 +110,7 @@
     pool.list_vm(vm("a", 1));
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     expect_that!(starts(&pool.plan(at(10))), is_empty());
-    pool.report(&vm("a", 1).id, &VmReport::default(), at(20));
+    pool.apply_report(&vm("a", 1).id, &VmReport::default(), at(20));
     expect_that!(starts(&pool.plan(at(30))), len(eq(1)));
 }
 
@@ -135,12 +135,12 @@
         attempt: 3,
     };
     let id = vm("a", 1).id.clone();
-    pool.report(&id, &report(5, vec![row(stray, 100)], vec![]), at(10));
+    pool.apply_report(&id, &report(5, vec![row(stray, 100)], vec![]), at(10));
     pool.submit(JOB, job(vec![step(1, 500)]), at(20));
     let orders = pool.plan(at(30));
     expect_that!(stops(&orders), eq(&vec![stray]));
     expect_that!(starts(&orders), is_empty());
-    pool.report(&id, &report(40, vec![], vec![end(1, stray, EndKind::Stopped)]), at(50));
+    pool.apply_report(&id, &report(40, vec![], vec![end(1, stray, EndKind::Stopped)]), at(50));
     expect_that!(starts(&pool.plan(at(60))), len(eq(1)));
 }
 
@@ -152,7 +152,7 @@
     }
     let started = plan_and_start(&mut pool, 10);
     let ended = (1..).zip(&started).map(|(n, s)| end(n, s.run, EndKind::Failed)).collect();
-    pool.report(&started[0].vm, &report(0, vec![], ended), at(20));
+    pool.apply_report(&started[0].vm, &report(0, vec![], ended), at(20));
     expect_that!(starts(&pool.plan(at(30))), is_empty());
     expect_that!(starts(&pool.plan(at(6_000))), len(eq(3)));
 }
@@ -186,7 +186,7 @@
     expect_that!(starts(&pool.plan(at(10))), is_empty());
     let facts = vm("b", 1);
     pool.list_vm(facts.clone());
-    pool.report(&facts.id, &VmReport::default(), at(20));
+    pool.apply_report(&facts.id, &VmReport::default(), at(20));
     let started = plan_and_start(&mut pool, 30);
     expect_that!(started, len(eq(5)));
     expect_that!(started.iter().all(|s| s.run.attempt == 1), eq(true));
@@ -269,7 +269,7 @@
     let mut pool = pool_with(&["a", "b"]);
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     let first = starts(&pool.plan(at(10)));
-    pool.start_result(&first[0].vm, first[0].run, StartResult::Unhealthy, at(20));
+    pool.apply_start_result(&first[0].vm, first[0].run, StartResult::Unhealthy, at(20));
     let second = starts(&pool.plan(at(30)));
     expect_that!(second[0].vm, not(eq(&first[0].vm)));
     expect_that!(second[0].run.attempt, eq(2));
@@ -285,7 +285,7 @@
     all_at_work(&mut pool, &started, 20);
     let facts = vm("b", 1);
     pool.list_vm(facts.clone());
-    pool.report(&facts.id, &VmReport::default(), at(30));
+    pool.apply_report(&facts.id, &VmReport::default(), at(30));
     let mut leaving = vm("a", 1).as_ref().clone();
     leaving.draining = true;
     pool.list_vm(leaving.into());
@@ -315,7 +315,7 @@
     let started = plan_and_start(&mut pool, 10);
     let mut running = row(started[0].run, 100);
     running.checkpoint = "half".to_owned();
-    pool.report(&started[0].vm, &report(20, vec![running], vec![]), at(30));
+    pool.apply_report(&started[0].vm, &report(20, vec![running], vec![]), at(30));
     pool.vm_lost(&started[0].vm, VmLoss::LeaseOver, at(7_000));
     let again = plan_and_start(&mut pool, 7_010);
     expect_that!(again[0].checkpoint, eq("half"));
@@ -329,7 +329,7 @@
     let mut broken = end(1, started[0].run, EndKind::Broken);
     broken.checkpoint = "half".to_owned();
     let alone = end(2, started[1].run, EndKind::Alone);
-    pool.report(&started[0].vm, &report(0, vec![], vec![broken, alone]), at(20));
+    pool.apply_report(&started[0].vm, &report(0, vec![], vec![broken, alone]), at(20));
     let again = plan_and_start(&mut pool, 30);
     expect_that!(again.iter().all(|s| s.checkpoint == "half"), eq(true));
 }
--- a/crates/schedule/tests/quota_kinds.rs
+++ b/crates/schedule/tests/quota_kinds.rs
@@ -13,7 +13,7 @@
 
 fn say(lender: &mut Lender, pool: &str, count: u64, number: u64, used: Room) {
     let (pool, workspace) = (pool.to_owned(), "lunch".to_owned());
-    lender.take(CapUse { pool, workspace, said: (1, count), number, used, wanted: used });
+    lender.record_use(CapUse { pool, workspace, sequence: (1, count), number, used, wanted: used });
 }
 
 /// Memory had no limit while processors had one. What pools had of it was known by words that bound nobody, and the whole
--- a/crates/schedule/tests/quota_world/mod.rs
+++ b/crates/schedule/tests/quota_world/mod.rs
@@ -254,7 +254,7 @@
             if self.without == Without::Confirmation {
                 word.number = number;
             }
-            self.lender.take(word);
+            self.lender.record_use(word);
         }
         self.heard = self.arrived.len();
         let cap = self.configs[self.lender_version].1;
@@ -333,7 +333,7 @@
         let waiting = owner.waiting.iter().fold(Room::default(), |sum, r| sum.plus(*r));
         let waiting: HashMap<WorkspaceKey, Room> =
             owner.key.map(|k| (k, waiting)).into_iter().collect();
-        let words = owner.ledger.to_say(owner.token, &mut owner.count, &waiting);
+        let words = owner.ledger.to_report(owner.token, &mut owner.count, &waiting);
         if !words.is_empty() {
             owner.says_at = self.now + SAY_EVERY;
         }
@@ -341,7 +341,7 @@
             let delay = if self.trouble { self.rng.random_range(1..60) } else { 1 };
             // Some never arrive, and the owner is told so, or is gone by then.
             if self.trouble && self.rng.random_bool(0.1) {
-                self.owners[pool].ledger.forget_said();
+                self.owners[pool].ledger.forget_reported();
                 continue;
             }
             self.words.push((self.now + delay, word));
--- a/crates/schedule/tests/readers.rs
+++ b/crates/schedule/tests/readers.rs
@@ -2,17 +2,19 @@
 
 use googletest::prelude::*;
 use thistle_schedule::Ms;
-use thistle_schedule::ownership::{Claim, Heartbeat, NodeLife, Ownership, READERS, token_of};
+use thistle_schedule::ownership::{
+    Claim, Heartbeat, NodeIncarnation, Ownership, READERS, token_of,
+};
 
 const POOLS: [&str; 5] = ["desk", "routes", "hub", "zones", "portal"];
 
-fn life(i: usize) -> NodeLife {
-    NodeLife { name: format!("node-{i}"), life: 1 }
+fn life(i: usize) -> NodeIncarnation {
+    NodeIncarnation { name: format!("node-{i}"), incarnation: 1 }
 }
 
 fn beat(speed: u32, i: usize) -> Heartbeat {
     let relay = format!("10.0.{}.{}:7060", i / 200, i % 200).parse().ok();
-    Heartbeat { life: 1, sequence: 1, leaving: false, relay, speed }
+    Heartbeat { incarnation: 1, sequence: 1, leaving: false, relay, speed }
 }
 
 /// Returns the views of nodes that have all heard of each other at `now`; of each five the last is slow.
@@ -20,9 +22,9 @@
     let speed = |i: usize| if i % 5 == 4 { 100 } else { 1_000 };
     let view = |i: usize| {
         let mut view = Ownership::new(life(i), 0);
-        view.listen(now);
+        view.record_read(now);
         for other in 0..nodes {
-            view.heard(&life(other).name, &beat(speed(other), other), now);
+            view.record_heartbeat(&life(other).name, &beat(speed(other), other), now);
         }
         view
     };
@@ -30,7 +32,7 @@
 }
 
 fn readers(views: &[Ownership], pool: &str, now: Ms) -> Vec<usize> {
-    (0..views.len()).filter(|&i| views[i].reads(pool, now) == Some(true)).collect()
+    (0..views.len()).filter(|&i| views[i].is_reader(pool, now) == Some(true)).collect()
 }
 
 /// Load pattern: a loss of power of all nodes. With every node reading, 97 nodes asked for 13 MB each.
@@ -72,11 +74,11 @@
         let mut first = None;
         for now in (3_000..30_000).step_by(100) {
             for (i, view) in views.iter_mut().enumerate() {
-                view.listen(now);
+                view.record_read(now);
                 for other in 0..97 {
                     let sequence = now;
                     let speed = if other % 5 == 4 { 100 } else { 1_000 };
-                    view.heard(
+                    view.record_heartbeat(
                         &life(other).name,
                         &Heartbeat { sequence, ..beat(speed, other) },
                         now,
@@ -97,7 +99,7 @@
 #[gtest]
 fn a_node_that_does_not_hear_the_others_does_not_know() {
     let views = views(9, 3_000);
-    expect_that!(views[0].reads("desk", 9_000), none());
+    expect_that!(views[0].is_reader("desk", 9_000), none());
 }
 
 #[gtest]
@@ -105,12 +107,12 @@
     let mut views = views(97, 3_000);
     let owner = Claim { owner: life(7), released: false };
     for view in &mut views {
-        view.claimed(&"desk".into(), owner.clone(), token_of(0), 3_000);
+        view.record_claim(&"desk".into(), owner.clone(), token_of(0), 3_000);
     }
     let relay = |i: usize| beat(0, i).relay.unwrap();
     let read_by: Vec<_> = readers(&views, "desk", 3_000).into_iter().map(relay).collect();
     for (i, view) in views.iter().enumerate() {
-        let asked = view.readers_to_ask("desk", 3_000);
+        let asked = view.readers_to_query("desk", 3_000);
         expect_that!(asked, not(is_empty()));
         expect_that!(asked, not(contains(eq(&relay(i)))));
         expect_that!(asked, not(contains(eq(&relay(7)))));
--- a/crates/schedule/tests/repeats.rs
+++ b/crates/schedule/tests/repeats.rs
@@ -34,7 +34,7 @@
     expect_that!(pauses.max(), some(le(2_200)), "{starts:?}");
     // One that has worked for a while begins anew.
     let start = plan_and_start(&mut pool, 22_000).pop().expect("its pause is over");
-    pool.report(&start.vm, &report(26_000, vec![row(start.run, 100)], vec![]), at(26_000));
+    pool.apply_report(&start.vm, &report(26_000, vec![row(start.run, 100)], vec![]), at(26_000));
     end_run(&mut pool, &start, EndKind::Failed, 26_100);
     expect_that!(plan_and_start(&mut pool, 26_200).len(), eq(1));
 }
@@ -48,7 +48,7 @@
     for now in (20..20_000).step_by(100) {
         for order in fleet.plan(now) {
             orders.push(now);
-            fleet.order_result(&order.vm, OrderOutcome::NotDone, now + 10);
+            fleet.record_order_result(&order.vm, OrderOutcome::NotDone, now + 10);
         }
     }
     expect_that!(orders.len(), le(15), "{orders:?}");
--- a/crates/schedule/tests/room.rs
+++ b/crates/schedule/tests/room.rs
@@ -30,7 +30,7 @@
     let started = starts(&pool.plan(at(10)));
     pool.take_records();
     // One of them has arrived; of the others nothing is known.
-    pool.start_result(&started[0].vm, started[0].run, StartResult::Started, at(20));
+    pool.apply_start_result(&started[0].vm, started[0].run, StartResult::Started, at(20));
     pool.list_vm(with_room(2_000));
     let called_off = stops(&pool.plan(at(30)));
     expect_that!(called_off, len(eq(2)), "two of four cores are left, and one is in use for sure");
@@ -51,7 +51,7 @@
     let rows = vec![row(started[3].run, 50)];
     let done = started[..3].iter().zip(1..);
     let ended = done.map(|(s, n)| common::end(n, s.run, thistle_schedule::EndKind::Done)).collect();
-    pool.report(&started[0].vm, &report(40, rows, ended), at(41));
+    pool.apply_report(&started[0].vm, &report(40, rows, ended), at(41));
     expect_that!(pool.plan(at(50)), is_empty());
     pool.list_vm(with_room(4_000));
     expect_that!(starts(&pool.plan(at(60))), len(eq(1)));
@@ -69,7 +69,7 @@
     after.submit(JobId(9), job(vec![step(1, 1_000)]), at(100));
     after.list_vm(with_room(2_000));
     let rows = started[..2].iter().map(|s| row(s.run, 10)).collect();
-    after.report(&started[0].vm, &report(110, rows, vec![]), at(111));
+    after.apply_report(&started[0].vm, &report(110, rows, vec![]), at(111));
     expect_that!(starts(&after.plan(at(120))), is_empty(), "two cores run there");
 }
 #[gtest]
@@ -80,9 +80,9 @@
     for now in (0..8_000).step_by(100) {
         for start in starts(&pool.plan(at(now))) {
             asked += 1;
-            pool.start_result(&start.vm, start.run, StartResult::NoRoom, at(now));
+            pool.apply_start_result(&start.vm, start.run, StartResult::NoRoom, at(now));
         }
-        pool.report(&vm("a", 1).id, &VmReport::default(), at(now));
+        pool.apply_report(&vm("a", 1).id, &VmReport::default(), at(now));
     }
     expect_that!(asked, le(5), "every half second would be 16 times");
     // What it says of itself counts at once.
--- a/crates/schedule/tests/shares.rs
+++ b/crates/schedule/tests/shares.rs
@@ -9,7 +9,7 @@
 use thistle_schedule::policy::SharePolicy;
 use thistle_schedule::pool::StartResult;
 use thistle_schedule::{
-    EndKind, JobId, JobSpec, Ms, Policy, Pool, Room, RunId, VmLife, VmReport, Workspace,
+    EndKind, JobId, JobSpec, Ms, Policy, Pool, Room, RunId, VmIncarnation, VmReport, Workspace,
 };
 
 /// VMs of four cores.
@@ -30,7 +30,7 @@
 struct Play {
     pool: Pool,
     due: BTreeMap<JobId, (bool, Ms)>,
-    runs: Vec<(Ms, VmLife, RunId)>,
+    runs: Vec<(Ms, VmIncarnation, RunId)>,
     sequence: u64,
     in_time: usize,
 }
@@ -43,7 +43,7 @@
         for i in 0..VMS {
             let facts = vm(&format!("m{i}"), 1);
             pool.list_vm(facts.clone());
-            pool.report(&facts.id, &VmReport::default(), at(0));
+            pool.apply_report(&facts.id, &VmReport::default(), at(0));
         }
         let names = (0..=OTHERS).map(|i| format!("w{i}"));
         let workspace = |name: String| Workspace {
@@ -54,7 +54,7 @@
         };
         pool.set_workspaces(1, &names.map(workspace).collect::<Vec<_>>());
         // An owner has read how caps are lent before it starts anything: nobody is limited.
-        pool.set_lent(1, std::iter::empty());
+        pool.set_lent_caps(1, std::iter::empty());
         Self { pool, due: BTreeMap::new(), runs: Vec::new(), sequence: 0, in_time: 0 }
     }
 
@@ -73,8 +73,8 @@
     fn tick(&mut self, now: Ms) {
         let (over, left) = std::mem::take(&mut self.runs).into_iter().partition(|run| run.0 <= now);
         self.runs = left;
-        let over: Vec<(Ms, VmLife, RunId)> = over;
-        let vms: BTreeSet<VmLife> = over.iter().map(|run| run.1.clone()).collect();
+        let over: Vec<(Ms, VmIncarnation, RunId)> = over;
+        let vms: BTreeSet<VmIncarnation> = over.iter().map(|run| run.1.clone()).collect();
         for vm in vms {
             let rows =
                 self.runs.iter().filter(|r| r.1 == vm).map(|r| common::row(r.2, 50)).collect();
@@ -85,10 +85,10 @@
                 let (counts, due) = self.due[&run.task.job];
                 self.in_time += usize::from(counts && now <= due);
             }
-            self.pool.report(&vm, &report(now, rows, ended), at(now));
+            self.pool.apply_report(&vm, &report(now, rows, ended), at(now));
         }
         for start in starts(&self.pool.plan(at(now))) {
-            self.pool.start_result(&start.vm, start.run, StartResult::Started, at(now));
+            self.pool.apply_start_result(&start.vm, start.run, StartResult::Started, at(now));
             self.runs.push((now + WORK_MS, start.vm, start.run));
         }
         self.pool.take_records();
@@ -136,7 +136,7 @@
     let workspace =
         Workspace { name: "w".into(), weight: 1, cap: Room::default(), limited_since: 0 };
     pool.set_workspaces(1, &[workspace]);
-    pool.set_lent(1, std::iter::empty());
+    pool.set_lent_caps(1, std::iter::empty());
     let spec = JobSpec { workspace: "w".into(), ..job(vec![step(1, 500)]).as_ref().clone() };
     for id in 1..20 {
         pool.submit(JobId(id), Arc::new(spec.clone()), at(0));
--- a/crates/schedule/tests/takeover.rs
+++ b/crates/schedule/tests/takeover.rs
@@ -32,7 +32,7 @@
     after.adopt(JOB, entry, at(100));
     after.list_vm(vm("a", 1));
     after.list_vm(vm("b", 1));
-    after.report(&vm("b", 1).id, &VmReport::default(), at(110));
+    after.apply_report(&vm("b", 1).id, &VmReport::default(), at(110));
     after
 }
 
@@ -47,10 +47,10 @@
     let mut after = successor(&entry);
     expect_that!(starts(&after.plan(at(120))), is_empty());
     let run = started[0].run;
-    after.report(&started[0].vm, &report(130, vec![row(run, 100)], vec![]), at(131));
+    after.apply_report(&started[0].vm, &report(130, vec![row(run, 100)], vec![]), at(131));
     expect_that!(starts(&after.plan(at(140))), is_empty());
     let done = vec![end(1, run, EndKind::Done)];
-    after.report(&started[0].vm, &report(150, vec![], done), at(151));
+    after.apply_report(&started[0].vm, &report(150, vec![], done), at(151));
     after.plan(at(160));
     expect_that!(after.take_records()[0].1.phase, eq(Phase::Completed));
 }
@@ -66,7 +66,7 @@
     let mut after = successor(&entry);
     after.set_cordoned([std::sync::Arc::from("a")].into());
     expect_that!(stops(&after.plan(at(120))), is_empty(), "its VM has not answered yet");
-    after.report(&vm("a", 1).id, &report(130, vec![row(run, 100)], vec![]), at(131));
+    after.apply_report(&vm("a", 1).id, &report(130, vec![row(run, 100)], vec![]), at(131));
     expect_that!(stops(&after.plan(at(140))), eq(&vec![run]));
 }
 
@@ -82,19 +82,19 @@
     let entry = entry_of(&mut before, &spec);
 
     let mut after = Pool::new();
-    after.taken_over(at(100));
+    after.record_takeover(at(100));
     after.adopt(JOB, &entry, at(100));
     for name in ["a", "b", "c", "d"] {
         after.list_vm(vm(name, 1));
     }
     for name in ["c", "d"] {
-        after.report(&vm(name, 1).id, &VmReport::default(), at(150));
+        after.apply_report(&vm(name, 1).id, &VmReport::default(), at(150));
     }
     after.set_cordoned([std::sync::Arc::from("a"), std::sync::Arc::from("b")].into());
     let mut all_at_work = |now| {
         for start in &runs {
             let rows = vec![row(start.run, 100)];
-            after.report(&start.vm, &report(now, rows, vec![]), at(now));
+            after.apply_report(&start.vm, &report(now, rows, vec![]), at(now));
         }
         stops(&after.plan(at(now)))
     };
@@ -114,7 +114,7 @@
     let mut after = Pool::new();
     after.adopt(JOB, &entry, at(100));
     after.list_vm(vm("a", 1));
-    after.report(&vm("a", 1).id, &report(105, vec![], vec![]), at(110));
+    after.apply_report(&vm("a", 1).id, &report(105, vec![], vec![]), at(110));
     let again = starts(&after.plan(at(120)));
     expect_that!(again, len(eq(1)));
     expect_that!(again[0].run.attempt, gt(lost[0].run.attempt));
@@ -131,7 +131,7 @@
     let mut after = Pool::new();
     after.adopt(JOB, &entry, at(100));
     after.list_vm(vm("b", 1));
-    after.report(&vm("b", 1).id, &VmReport::default(), at(110));
+    after.apply_report(&vm("b", 1).id, &VmReport::default(), at(110));
     expect_that!(starts(&after.plan(at(120))), is_empty());
     expect_that!(after.unlisted_with_runs(), eq(&vec![vm("a", 1).id.clone()]));
     after.vm_lost(&vm("a", 1).id, VmLoss::LeaseOver, at(7_000));
@@ -152,7 +152,7 @@
     after.adopt(JOB, &entry, at(100));
     after.list_vm(vm("a", 1));
     // The second attempt was ordered by the predecessor and is not there.
-    after.report(&vm("a", 1).id, &report(101, vec![], vec![]), at(102));
+    after.apply_report(&vm("a", 1).id, &report(101, vec![], vec![]), at(102));
     let again = plan_and_start(&mut after, 110);
     common::end_run(&mut after, &again[0], EndKind::Failed, 120);
     after.plan(at(130));
@@ -210,7 +210,7 @@
     let started = plan_and_start(&mut before, 10);
     let both =
         vec![end(1, started[0].run, EndKind::Failed), end(2, started[1].run, EndKind::Failed)];
-    before.report(&started[0].vm, &report(0, vec![], both), at(20));
+    before.apply_report(&started[0].vm, &report(0, vec![], both), at(20));
     before.plan(at(25));
     let entry = entry_of(&mut before, &spec);
     expect_that!(entry.progress.phase, eq(Phase::Open));
@@ -218,7 +218,7 @@
     let mut after = Pool::new();
     after.adopt(JOB, &entry, at(100));
     after.list_vm(vm("a", 1));
-    after.report(&vm("a", 1).id, &report(101, vec![], vec![]), at(102));
+    after.apply_report(&vm("a", 1).id, &report(101, vec![], vec![]), at(102));
     let again = plan_and_start(&mut after, 110);
     expect_that!(again, len(eq(2)));
     common::end_run(&mut after, &again[1], EndKind::Failed, 120);
@@ -239,7 +239,7 @@
         time: 0,
         step: 0,
         index: 0,
-        place: thistle_schedule::progress::Place::On(started[0].vm.to_string()),
+        placement: thistle_schedule::progress::TaskPlacement::On(started[0].vm.to_string()),
         attempt: 1,
         failures: 0,
         checkpoint: String::new(),
@@ -250,9 +250,9 @@
     expect_that!(common::stops(&after.plan(at(100))), eq(&vec![started[0].run]));
     after.list_vm(vm("a", 1));
     let listed = report(150, vec![row(started[0].run, 100)], vec![]);
-    after.report(&started[0].vm, &listed, at(150));
+    after.apply_report(&started[0].vm, &listed, at(150));
     expect_that!(common::stops(&after.plan(at(150))), is_empty());
-    after.report(&started[0].vm, &listed, at(1_200));
+    after.apply_report(&started[0].vm, &listed, at(1_200));
     expect_that!(common::stops(&after.plan(at(1_200))), eq(&vec![started[0].run]));
 }
 
@@ -267,11 +267,11 @@
 
     let mut after = pool_with(&["a"]);
     let listed = report(150, vec![row(run, 100)], vec![]);
-    after.report(&vm("a", 1).id, &listed, at(150));
+    after.apply_report(&vm("a", 1).id, &listed, at(150));
     expect_that!(stops(&after.plan(at(150))), eq(&vec![run]));
-    after.report(&vm("a", 1).id, &listed, at(600));
+    after.apply_report(&vm("a", 1).id, &listed, at(600));
     expect_that!(stops(&after.plan(at(600))), is_empty());
-    after.report(&vm("a", 1).id, &listed, at(1_200));
+    after.apply_report(&vm("a", 1).id, &listed, at(1_200));
     expect_that!(stops(&after.plan(at(1_200))), eq(&vec![run]));
 }
 
--- a/crates/schedule/tests/unclear.rs
+++ b/crates/schedule/tests/unclear.rs
@@ -17,17 +17,17 @@
     let mut pool = pool_with(&["a", "b"]);
     pool.submit(JOB, job(vec![step(1, 1_000)]), at(0));
     let first = starts(&pool.plan(at(10))).pop().expect("there is room");
-    pool.start_result(&first.vm, first.run, StartResult::Unclear, at(200));
+    pool.apply_start_result(&first.vm, first.run, StartResult::Unclear, at(200));
     let mut orders = pool.plan(at(210));
     // Two lists, both asked for after the outcome was known, and neither holds the run.
     for asked_at in [300, 800] {
-        pool.report(&first.vm, &report(asked_at, vec![], vec![]), at(asked_at + 10));
+        pool.apply_report(&first.vm, &report(asked_at, vec![], vec![]), at(asked_at + 10));
         orders.extend(pool.plan(at(asked_at + 20)));
     }
     expect_that!(starts(&orders).len(), eq(0), "the first copy may be under way");
     expect_that!(stops(&orders), contains(eq(&first.run)), "only a stop bars it");
     // Once it is barred, what the VM does not list will not come any more.
-    pool.stop_answered(&first.vm, first.run, at(900));
-    pool.report(&first.vm, &report(1_000, vec![], vec![]), at(1_010));
+    pool.record_stop_answer(&first.vm, first.run, at(900));
+    pool.apply_report(&first.vm, &report(1_000, vec![], vec![]), at(1_010));
     expect_that!(starts(&pool.plan(at(1_020))).len(), eq(1));
 }
--- a/crates/schedule/tests/workspaces.rs
+++ b/crates/schedule/tests/workspaces.rs
@@ -30,7 +30,7 @@
     let workspaces = Workspaces::new(configs, &secret);
     let built = began.elapsed();
     assert_eq!(workspaces.keys(), WORKSPACES * KEYS_EACH);
-    assert_eq!(workspaces.doubts(), [""; 0]);
+    assert_eq!(workspaces.warnings(), [""; 0]);
     let began = Instant::now();
     let mut found = 0;
     for i in 0..LOOK_UPS {
--- a/crates/schedule/tests/world/flights.rs
+++ b/crates/schedule/tests/world/flights.rs
@@ -18,8 +18,8 @@
     match order {
         Order::Start(start) => format!("start {} on {}", start.run, start.vm),
         Order::Stop { vm, run } => format!("stop {run} on {vm}"),
-        Order::Pace { vm, run, percent } => format!("pace {run} on {vm} to {percent}"),
-        Order::Ask(_) => "question".to_owned(),
+        Order::Throttle { vm, run, percent } => format!("pace {run} on {vm} to {percent}"),
+        Order::RequestAdvice(_) => "question".to_owned(),
     }
 }
 
@@ -58,8 +58,8 @@
         self.tell(|| format!("arrives {} of token {}", brief(&flight.order), flight.token));
         let target = match &flight.order {
             Order::Start(start) => start.vm.clone(),
-            Order::Stop { vm, .. } | Order::Pace { vm, .. } => vm.clone(),
-            Order::Ask(_) => return,
+            Order::Stop { vm, .. } | Order::Throttle { vm, .. } => vm.clone(),
+            Order::RequestAdvice(_) => return,
         };
         let now = self.now;
         let Some((name, sim)) =
@@ -75,7 +75,7 @@
         {
             // It is not sent again into an evacuated hall; a copy may be under way.
             if flight.token == self.token {
-                self.pool.start_result(&target, start.run, StartResult::Unclear, at(now));
+                self.pool.apply_start_result(&target, start.run, StartResult::Unclear, at(now));
             }
             return;
         }
@@ -104,10 +104,10 @@
                     self.runs.note_end(&target, stopped, EndKind::Stopped, sequence, now);
                 }
                 if flight.answered && flight.token == self.token {
-                    self.pool.stop_answered(&target, run, at(now));
+                    self.pool.record_stop_answer(&target, run, at(now));
                 }
             }
-            Order::Pace { .. } | Order::Ask(_) => (),
+            Order::Throttle { .. } | Order::RequestAdvice(_) => (),
         }
     }
 
@@ -138,12 +138,12 @@
             let sim = self.vms.get_mut(name).expect("it was found");
             sim.runs.insert(run.task, Run { attempt: run.attempt, ends_at, fails, demand });
             let used = sim.runs.values().fold(Room::default(), |sum, r| sum.plus(r.demand));
-            assert!(vm_facts(name, 1).room.holds(used), "over room on {name} at {now}: {used:?}");
+            assert!(vm_facts(name, 1).room.fits(used), "over room on {name} at {now}: {used:?}");
             StartResult::Started
         };
         self.tell(|| format!("start {run} on {name}: {result:?}, answered {}", flight.answered));
         if flight.answered && flight.token == self.token {
-            self.pool.start_result(&start.vm, run, result, at(now));
+            self.pool.apply_start_result(&start.vm, run, result, at(now));
         }
     }
 }
--- a/crates/schedule/tests/world/mod.rs
+++ b/crates/schedule/tests/world/mod.rs
@@ -16,7 +16,7 @@
 use thistle_schedule::pool::{Order, StartOrder, StartResult};
 use thistle_schedule::{
     EndKind, Evacuation, Halls, JobId, JobLog, Ms, Pool, Room, RunEnd, RunId, RunRow, Step, TaskId,
-    VmFacts, VmLife, VmLoss, VmReport,
+    VmFacts, VmIncarnation, VmLoss, VmReport,
 };
 
 use self::flights::Flight;
@@ -48,15 +48,15 @@
     runs: Runs,
     /// Tells all that happens.
     loud: bool,
-    last_answer: BTreeMap<VmLife, Ms>,
-    lost: BTreeSet<VmLife>,
+    last_answer: BTreeMap<VmIncarnation, Ms>,
+    lost: BTreeSet<VmIncarnation>,
     /// Evacuated halls, with since when.
     evacuated: BTreeMap<&'static str, Ms>,
 }
 
 fn facts_of(name: &str, sim: &SimVm) -> std::sync::Arc<VmFacts> {
     let facts = vm_facts(name, sim.id_number);
-    let id = VmLife::new(facts.id.id().clone(), Some(u64::from(sim.life)));
+    let id = VmIncarnation::new(facts.id.id().clone(), Some(u64::from(sim.life)));
     std::sync::Arc::new(VmFacts { id, hall: hall_of(name).into(), ..facts.as_ref().clone() })
 }
 
@@ -65,7 +65,7 @@
     if name < "c" { "hall-a" } else { "hall-b" }
 }
 
-fn life_of(name: &str, sim: &SimVm) -> VmLife {
+fn life_of(name: &str, sim: &SimVm) -> VmIncarnation {
     facts_of(name, sim).id.clone()
 }
 
@@ -265,17 +265,17 @@
                 run: RunId { task, attempt: r.attempt },
                 checkpoint: String::new(),
                 percent: 100,
-                figure: None,
+                metric: None,
             };
             let running = sim.runs.iter().map(row).collect();
-            let report = VmReport { asked_at: now, running, ended: sim.ended.clone() };
+            let report = VmReport { requested_at: now, running, ended: sim.ended.clone() };
             if self.loud {
                 let runs: Vec<String> = report.running.iter().map(|r| r.run.to_string()).collect();
                 let ends = report.ended.iter().map(|e| format!("{} {:?}", e.run, e.kind));
                 println!("{now} {id} lists {runs:?}, ended {:?}", ends.collect::<Vec<_>>());
             }
             self.pool.set_reachable(&id, true, at(now));
-            self.pool.report(&id, &report, at(now));
+            self.pool.apply_report(&id, &report, at(now));
             self.last_answer.insert(id.clone(), now);
             self.lost.remove(&id);
         }
@@ -283,7 +283,7 @@
 
     fn give_up_lost(&mut self) {
         let over = |heard: Ms| self.now >= heard + LEASE * 103 / 100 + 200;
-        let gone: Vec<VmLife> = self
+        let gone: Vec<VmIncarnation> = self
             .last_answer
             .iter()
             .filter(|(id, heard)| over(**heard) && !self.lost.contains(*id))
@@ -296,7 +296,7 @@
         }
     }
 
-    fn acknowledge(&mut self, id: &VmLife, sequence: u64) {
+    fn acknowledge(&mut self, id: &VmIncarnation, sequence: u64) {
         let Some((_, sim)) = self.vms.iter_mut().find(|(n, sim)| life_of(n, sim) == *id) else {
             return;
         };
--- a/crates/schedule/tests/world/twice.rs
+++ b/crates/schedule/tests/world/twice.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
 
-use thistle_schedule::{EndKind, Ms, RunId, TaskId, VmLife};
+use thistle_schedule::{EndKind, Ms, RunId, TaskId, VmIncarnation};
 
 /// How a run ended.
 #[derive(Clone, Debug)]
@@ -22,7 +22,7 @@
 /// A run that a VM began.
 #[derive(Clone, Debug)]
 struct Begun {
-    vm: VmLife,
+    vm: VmIncarnation,
     attempt: u32,
     token: u64,
     ordered: Ms,
@@ -53,7 +53,7 @@
         self.happened
     }
 
-    pub(super) fn note_start(&mut self, vm: &VmLife, run: RunId, given: Given, now: Ms) {
+    pub(super) fn note_start(&mut self, vm: &VmIncarnation, run: RunId, given: Given, now: Ms) {
         let order = self.count();
         let begun = Begun {
             vm: vm.clone(),
@@ -72,7 +72,7 @@
 
     pub(super) fn note_end(
         &mut self,
-        vm: &VmLife,
+        vm: &VmIncarnation,
         run: RunId,
         kind: EndKind,
         sequence: u64,
@@ -88,20 +88,20 @@
         }
     }
 
-    pub(super) fn note_lapse(&mut self, vm: &VmLife) {
+    pub(super) fn note_lapse(&mut self, vm: &VmIncarnation) {
         let runs = self.of_task.values_mut().flatten().filter(|r| r.vm == *vm);
         for over in runs.filter_map(|r| r.over.as_mut()).filter(|o| o.acknowledged.is_none()) {
             over.void = true;
         }
     }
 
-    pub(super) fn note_death(&mut self, vm: &VmLife) {
+    pub(super) fn note_death(&mut self, vm: &VmIncarnation) {
         for begun in self.of_task.values_mut().flatten().filter(|r| r.vm == *vm) {
             begun.dead = true;
         }
     }
 
-    pub(super) fn note_acknowledged(&mut self, vm: &VmLife, sequence: u64, now: Ms) {
+    pub(super) fn note_acknowledged(&mut self, vm: &VmIncarnation, sequence: u64, now: Ms) {
         let mut tasks = Vec::new();
         for (&task, runs) in &mut self.of_task {
             for begun in runs.iter_mut().filter(|r| r.vm == *vm && !r.dead) {
