--- a/crates/scheduler/src/append.rs
+++ b/crates/scheduler/src/append.rs
@@ -21,8 +21,8 @@
 
 use crate::clock::steady_ms;
 use crate::node::Node;
-use crate::pool_log::{PoolLog, SPARE, SUBMISSIONS};
-use crate::written::Written;
+use crate::pool_log::{FALLBACK_SUBMISSIONS, PoolLog, SUBMISSIONS};
+use crate::write_outcome::WriteOutcome;
 
 /// Pause between two attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The write outcome of the records.
-    Known(Written),
+    Known(WriteOutcome),
     /// The store is slow, and the records should be forwarded to the pool's owner.
     ForwardToOwner {
         /// Whether the records may already be written; writing them twice is harmless.
@@ -67,9 +67,9 @@
     /// No append was sent, because both partitions have left earlier appends unanswered.
     NotSent,
     /// The records are not known to be written, and the store is slow.
-    Slow(Written),
+    Slow(WriteOutcome),
     /// An append was sent, with this outcome.
-    Sent(Written),
+    Sent(WriteOutcome),
 }
 
 /// Appends to the first partition that accepts the records, retrying for a limited time after `since`.
@@ -87,27 +87,29 @@
             Attempt::NotSent if !may_be_written => {
                 // Records that were never sent are certainly not written, so the caller may safely retry.
                 log::info!("submit step=not-sent pool={} reason=no-partition-answers", log.pool);
-                return Outcome::Known(Written::NotKept);
+                return Outcome::Known(WriteOutcome::NotKept);
             }
             Attempt::Slow(outcome) => {
-                let may_be_written = may_be_written || outcome == Written::Unknown;
+                let may_be_written = may_be_written || outcome == WriteOutcome::Unknown;
                 return Outcome::ForwardToOwner { may_be_written };
             }
-            Attempt::NotSent | Attempt::Sent(Written::NotKept) => (),
-            Attempt::Sent(Written::Kept) => return Outcome::Known(Written::Kept),
-            Attempt::Sent(Written::Unknown) => may_be_written = true,
+            Attempt::NotSent | Attempt::Sent(WriteOutcome::NotKept) => (),
+            Attempt::Sent(WriteOutcome::Kept) => return Outcome::Known(WriteOutcome::Kept),
+            Attempt::Sent(WriteOutcome::Unknown) => may_be_written = true,
         }
         let waited = steady_ms().saturating_sub(since);
         match may_be_written {
             // The whole store, or this node's path to it, is unresponsive: the caller gets its reply 0.4 s sooner. Once calls
             // go through another node, the append is retried.
-            true if node.store.detour().is_none()
-                && !node.standing.view().has_answered_since(round_at) =>
+            true if node.store.forwarding_peer().is_none()
+                && !node.store_health.view().has_answered_since(round_at) =>
             {
-                return Outcome::Known(Written::Unknown);
+                return Outcome::Known(WriteOutcome::Unknown);
+            }
+            true if waited >= UNCERTAIN_RETRY_MS => return Outcome::Known(WriteOutcome::Unknown),
+            false if waited >= NOT_WRITTEN_RETRY_MS => {
+                return Outcome::Known(WriteOutcome::NotKept);
             }
-            true if waited >= UNCERTAIN_RETRY_MS => return Outcome::Known(Written::Unknown),
-            false if waited >= NOT_WRITTEN_RETRY_MS => return Outcome::Known(Written::NotKept),
             _ => tokio::time::sleep(RETRY_PAUSE).await,
         }
     }
@@ -123,10 +125,10 @@
     let to = |part| append_to(node, log, part, records, since);
     if !log.may_append(SUBMISSIONS).await {
         if by == AppendRole::Other && node.store.is_slow() {
-            return Attempt::Slow(Written::NotKept);
+            return Attempt::Slow(WriteOutcome::NotKept);
         }
-        return match log.may_append(SPARE).await {
-            true => Attempt::Sent(to(SPARE).await),
+        return match log.may_append(FALLBACK_SUBMISSIONS).await {
+            true => Attempt::Sent(to(FALLBACK_SUBMISSIONS).await),
             false => Attempt::NotSent,
         };
     }
@@ -139,30 +141,30 @@
     {
         let slow = by == AppendRole::Other && node.store.is_slow();
         let try_fallback = match outcome {
-            Written::Kept => false,
+            WriteOutcome::Kept => false,
             // The fallback partition's queue is left to the owner. If 32 nodes try it when their appends time out, its queue
             // stays full for two seconds, and only 29 of 250 jobs that arrive meanwhile are stored.
-            Written::NotKept | Written::Unknown if slow => return Attempt::Slow(outcome),
-            Written::NotKept => true,
-            Written::Unknown => node.standing.view().has_answered_since(sent_at),
+            WriteOutcome::NotKept | WriteOutcome::Unknown if slow => return Attempt::Slow(outcome),
+            WriteOutcome::NotKept => true,
+            WriteOutcome::Unknown => node.store_health.view().has_answered_since(sent_at),
         };
-        return match try_fallback && log.may_append(SPARE).await {
-            true => Attempt::Sent(combine_outcomes(outcome, to(SPARE).await)),
+        return match try_fallback && log.may_append(FALLBACK_SUBMISSIONS).await {
+            true => Attempt::Sent(combine_outcomes(outcome, to(FALLBACK_SUBMISSIONS).await)),
             false => Attempt::Sent(outcome),
         };
     }
-    if !log.may_append(SPARE).await {
+    if !log.may_append(FALLBACK_SUBMISSIONS).await {
         return Attempt::Sent(first.await);
     }
-    let fallback = pin!(to(SPARE));
+    let fallback = pin!(to(FALLBACK_SUBMISSIONS));
     let (outcome, other) = match select(first, fallback).await {
         Either::Left((outcome, other)) => (outcome, Either::Left(other)),
         Either::Right((outcome, other)) => (outcome, Either::Right(other)),
     };
-    if outcome == Written::Kept {
+    if outcome == WriteOutcome::Kept {
         if matches!(other, Either::Right(_)) && !node.store.is_slow() {
             // The first partition has not answered: it must answer a probe before it gets another submission.
-            log.suspect(node, SUBMISSIONS);
+            log.mark_unresponsive(node, SUBMISSIONS);
         }
         return Attempt::Sent(outcome);
     }
@@ -181,11 +183,11 @@
 }
 
 /// Combines the outcomes of appending the same records to two partitions.
-fn combine_outcomes(one: Written, other: Written) -> Written {
+fn combine_outcomes(one: WriteOutcome, other: WriteOutcome) -> WriteOutcome {
     match (one, other) {
-        (Written::Kept, _) | (_, Written::Kept) => Written::Kept,
-        (Written::NotKept, Written::NotKept) => Written::NotKept,
-        _ => Written::Unknown,
+        (WriteOutcome::Kept, _) | (_, WriteOutcome::Kept) => WriteOutcome::Kept,
+        (WriteOutcome::NotKept, WriteOutcome::NotKept) => WriteOutcome::NotKept,
+        _ => WriteOutcome::Unknown,
     }
 }
 
@@ -195,32 +197,32 @@
     part: u32,
     records: &[KeyedRecord],
     since: Ms,
-) -> Written {
+) -> WriteOutcome {
     match node.store.append(&log.topic, part, Guard::Always, records).await {
         Ok(Appended::Done { offset, end }) => {
-            node.standing.note(true);
-            if part == SPARE {
+            node.store_health.record_call(true);
+            if part == FALLBACK_SUBMISSIONS {
                 log::info!("submit step=spare pool={} count={}", log.pool, records.len());
                 counter!("thistle_spare_submissions").increment(1);
             }
             log.apply_own(node, part, records, offset, end).await;
-            Written::Kept
+            WriteOutcome::Kept
         }
         Ok(other) => {
             log::error!("submit step=refused pool={} part={part} answer={other:?}", log.pool);
-            Written::NotKept
+            WriteOutcome::NotKept
         }
         Err(e) => {
-            node.standing.note(false);
-            if !e.nothing_done() {
-                log.suspect(node, part);
+            node.store_health.record_call(false);
+            if !e.was_not_executed() {
+                log.mark_unresponsive(node, part);
             }
             let waited = steady_ms().saturating_sub(since);
             log::info!(
                 "submit step=failed pool={} part={part} waited_ms={waited} error=\"{e}\"",
                 log.pool,
             );
-            if e.nothing_done() { Written::NotKept } else { Written::Unknown }
+            if e.was_not_executed() { WriteOutcome::NotKept } else { WriteOutcome::Unknown }
         }
     }
 }
--- a/crates/scheduler/src/callers.rs
+++ b/crates/scheduler/src/callers.rs
@@ -27,7 +27,7 @@
 use crate::reply::{self, Reply};
 use crate::request_body::{self, BodyError};
 use crate::submit::Submission;
-use crate::written::Written;
+use crate::write_outcome::WriteOutcome;
 
 /// The largest size of request headers until a configuration is known, in bytes.
 const HEADER_BYTES: usize = 16 * 1024;
@@ -160,7 +160,7 @@
     let body = match request_body::read(req.into_body(), limit, within).await {
         Ok(body) => body,
         Err(BodyError::TooLarge) => return reply::too_large(limit),
-        Err(BodyError::Silent(within)) => {
+        Err(BodyError::Stalled(within)) => {
             let within_ms = within.as_millis();
             log::info!(
                 "accept id={id} queue={} step=body-stopped within_ms={within_ms}",
@@ -202,10 +202,10 @@
     }
     let started_at = steady_ms();
     let record = KeyedRecord::new(submit_key(id), encode_spec(&spec));
-    let written = if node.standing.view().takes_submissions(steady_ms()) {
+    let written = if node.store_health.view().accepts_submissions(steady_ms()) {
         write(&node.pool_log(&queue.pool), record).await
     } else {
-        Written::NotKept
+        WriteOutcome::NotKept
     };
     log::info!(
         "accept id={id} queue={} workspace={} pool={} version={} steps={} tasks={} lasting={} fills={} serving={} \
@@ -220,7 +220,7 @@
         spec.steps.iter().any(|s| s.fills),
         spec.steps.iter().any(|s| s.tail_target_ms > 0),
         spec.steps.iter().any(|s| s.gang),
-        spec.times(),
+        spec.repetitions(),
         steady_ms().saturating_sub(started_at),
     );
     let workspace = catalog.workspaces.metric_name(&spec.workspace).to_owned();
@@ -236,21 +236,21 @@
     spec.steps.iter().position(never_fits)
 }
 
-fn reply_to_outcome(written: Written) -> Reply {
+fn reply_to_outcome(written: WriteOutcome) -> Reply {
     match written {
-        Written::Kept => reply::accepted(),
-        Written::NotKept => reply::unavailable(
+        WriteOutcome::Kept => reply::accepted(),
+        WriteOutcome::NotKept => reply::unavailable(
             "the store cannot be reached from here; nothing was taken: come back",
         ),
-        Written::Unknown => reply::outcome_unknown(),
+        WriteOutcome::Unknown => reply::outcome_unknown(),
     }
 }
 
-async fn write(log: &PoolLog, record: KeyedRecord) -> Written {
+async fn write(log: &PoolLog, record: KeyedRecord) -> WriteOutcome {
     let (outcome_tx, outcome_rx) = oneshot::channel();
     log.submit(Submission { record, at: steady_ms(), forwarded: false, outcome_tx });
     // Without an outcome, the append may still be in progress.
-    outcome_rx.await.unwrap_or(Written::Unknown)
+    outcome_rx.await.unwrap_or(WriteOutcome::Unknown)
 }
 
 async fn cancel(node: &Arc<Node>, call: &Call<'_>, id: JobId) -> Reply {
@@ -266,7 +266,7 @@
         SearchResult::NotFound | SearchResult::NotRead => (&queue.pool, None),
     };
     let written = match state.is_some_and(JobState::is_final) {
-        true => Written::Kept,
+        true => WriteOutcome::Kept,
         false => {
             let record = KeyedRecord::new(cancel_key(id), encode_cancel(caller));
             write(&node.pool_log(pool), record).await
@@ -274,7 +274,7 @@
     };
     log::info!("cancel id={id} queue={} state={state:?} written={written:?}", queue.name);
     match (written, found) {
-        (Written::Kept, SearchResult::NotFound) => reply::no_such_job(),
+        (WriteOutcome::Kept, SearchResult::NotFound) => reply::no_such_job(),
         (written, _) => reply_to_outcome(written),
     }
 }
--- a/crates/scheduler/src/caps/lender.rs
+++ b/crates/scheduler/src/caps/lender.rs
@@ -10,7 +10,7 @@
 
 use super::{CAPS, LENT, USES, as_of_record, decode, has_caps, lent_record, read_lent};
 use crate::control::TOPIC;
-use crate::follow::{News, Pace, Tail, follow};
+use crate::follow::{ReadMode, Tail, Update, follow};
 use crate::journal::{Fenced, Journal};
 use crate::node::Node;
 
@@ -60,9 +60,9 @@
 }
 
 async fn follow_uses(node: &Node, tx: UnboundedSender<CapUse>) {
-    follow(node, Tail::new(TOPIC, USES), Pace::AtOnce, move |update, _| {
+    follow(node, Tail::new(TOPIC, USES), ReadMode::Immediate, move |update, _| {
         let records: Vec<Stored> = match update {
-            News::Reloaded(records) | News::Records(records) => records,
+            Update::Reloaded(records) | Update::Records(records) => records,
         };
         for cap_use in records.iter().filter_map(decode::<CapUse>) {
             // The receiver is dropped only when the task ends.
@@ -88,7 +88,7 @@
             cap_use.used,
             cap_use.wanted
         );
-        self.lender.take(cap_use);
+        self.lender.record_use(cap_use);
     }
 
     async fn step(&mut self) -> Result<(), Fenced> {
--- a/crates/scheduler/src/caps/mod.rs
+++ b/crates/scheduler/src/caps/mod.rs
@@ -11,7 +11,7 @@
 use thistle_schedule::quota::{CapUse, LentCap, limits};
 
 use crate::control::TOPIC;
-use crate::follow::{News, Pace, follow_while_owning};
+use crate::follow::{ReadMode, Update, follow_while_owning};
 use crate::node::Node;
 
 pub use lender::run;
@@ -118,10 +118,10 @@
     }
     let apply = |update| {
         let records = match update {
-            News::Reloaded(records) | News::Records(records) => records,
+            Update::Reloaded(records) | Update::Records(records) => records,
         };
         node.lent.send_if_modified(|table| merge_records(Arc::make_mut(table), &records));
     };
     // The table is kept afterwards: the next owner here reads newer records before it starts any task.
-    follow_while_owning(&node, (TOPIC, LENT), Pace::AtOnce, apply, || ()).await;
+    follow_while_owning(&node, (TOPIC, LENT), ReadMode::Immediate, apply, || ()).await;
 }
--- a/crates/scheduler/src/control/heartbeat.rs
+++ b/crates/scheduler/src/control/heartbeat.rs
@@ -9,7 +9,7 @@
 
 use super::{CLAIMS, TOPIC, to_json};
 use crate::clock::steady_ms;
-use crate::follow::{News, Tail};
+use crate::follow::{Tail, Update};
 use crate::locks::lock;
 use crate::node::Node;
 
@@ -42,7 +42,7 @@
     loop {
         if let Ok(update) = tail.read(&node.store, Duration::ZERO).await {
             // This is the most regular of all calls, so its lack of answers shows an unresponsive store.
-            node.standing.note(true);
+            node.store_health.record_call(true);
             apply_heartbeats(node, update);
         }
         tokio::time::sleep(HEARTBEAT_EVERY).await;
@@ -53,7 +53,7 @@
 async fn poll_fallback_partition(node: &Node) {
     let mut fallback = Tail::new(TOPIC, FALLBACK_HEARTBEATS);
     loop {
-        if lock(&node.ownership).has_quiet_owner(steady_ms()) {
+        if lock(&node.ownership).has_overdue_owner(steady_ms()) {
             read_fallback_partition(node, &mut fallback).await;
         }
         tokio::time::sleep(HEARTBEAT_EVERY).await;
@@ -65,11 +65,13 @@
         Ok(update) => {
             let now = steady_ms();
             let mut ownership = lock(&node.ownership);
-            apply_each(update, |name, heartbeat| ownership.heard_aside(name, heartbeat, now));
+            apply_each(update, |name, heartbeat| {
+                ownership.record_fallback_heartbeat(name, heartbeat, now);
+            });
         }
         Err(e) => {
             log::info!("heartbeat step=not-read part={FALLBACK_HEARTBEATS} error=\"{e}\"");
-            lock(&node.ownership).forgive_silence(steady_ms());
+            lock(&node.ownership).reset_timeouts(steady_ms());
         }
     }
 }
@@ -100,12 +102,12 @@
     let leaving = *node.stopping.borrow();
     let relay = node.settings.relay_listen;
     let speed = node.speed;
-    let heartbeat = Heartbeat { life: node.me.life, sequence, leaving, relay, speed };
+    let heartbeat = Heartbeat { incarnation: node.me.incarnation, sequence, leaving, relay, speed };
     let key = format!("{MEMBER_PREFIX}{}", node.me.name);
     let record = KeyedRecord::new(key, to_json(&heartbeat));
     match node.store.append(TOPIC, part, Guard::Always, &[record]).await {
         Ok(Appended::Done { .. }) => {
-            node.standing.note(true);
+            node.store_health.record_call(true);
             // A node that owns nothing, as far as it knows, may renew its lease without knowing all claims.
             let owns_nothing = !lock(&node.ownership).owns_any();
             if !leaving && (node.lease_valid() || owns_nothing || claims_are_known(node).await) {
@@ -115,7 +117,7 @@
         }
         Ok(other) => log::error!("heartbeat step=refused part={part} answer={other:?}"),
         Err(e) => {
-            node.standing.note(false);
+            node.store_health.record_call(false);
             log::info!("heartbeat step=failed part={part} error=\"{e}\"");
         }
     }
@@ -153,22 +155,22 @@
     }
 }
 
-fn apply_heartbeats(node: &Node, update: News) {
+fn apply_heartbeats(node: &Node, update: Update) {
     let now = steady_ms();
     let mut ownership = lock(&node.ownership);
-    if ownership.listen(now) {
+    if ownership.record_read(now) {
         log::info!("heartbeat step=listening-again");
     }
     let any = !update.is_empty();
-    apply_each(update, |name, heartbeat| ownership.heard(name, heartbeat, now));
+    apply_each(update, |name, heartbeat| ownership.record_heartbeat(name, heartbeat, now));
     if any {
         node.store.set_peers(ownership.relays(now));
     }
 }
 
-fn apply_each(update: News, mut apply: impl FnMut(&str, &Heartbeat)) {
+fn apply_each(update: Update, mut apply: impl FnMut(&str, &Heartbeat)) {
     let records = match update {
-        News::Reloaded(records) | News::Records(records) => records,
+        Update::Reloaded(records) | Update::Records(records) => records,
     };
     for Stored { record, offset } in records {
         let Some(name) = record.key.strip_prefix(MEMBER_PREFIX) else { continue };
--- a/crates/scheduler/src/control/mod.rs
+++ b/crates/scheduler/src/control/mod.rs
@@ -15,7 +15,7 @@
 use crate::caps::CAPS;
 use crate::clock::steady_ms;
 use crate::fleet_owner::FLEET;
-use crate::follow::{News, Pace, Tail, follow};
+use crate::follow::{ReadMode, Tail, Update, follow};
 use crate::locks::lock;
 use crate::node::Node;
 use crate::pool_log::PoolLog;
@@ -48,20 +48,20 @@
 
 async fn follow_claims(node: Arc<Node>) {
     let cx = node.clone();
-    follow(&node, Tail::new(TOPIC, CLAIMS), Pace::AtOnce, move |update, tail| {
+    follow(&node, Tail::new(TOPIC, CLAIMS), ReadMode::Immediate, move |update, tail| {
         let records = match update {
-            News::Reloaded(records) => {
+            Update::Reloaded(records) => {
                 // Replace all at once, so that a claim made in between misses no announcement.
-                lock(&cx.ownership).replace_further_lanes(pools_with_overflow(&records));
+                lock(&cx.ownership).replace_overflow_partitions(pools_with_overflow(&records));
                 records
             }
-            News::Records(records) => records,
+            Update::Records(records) => records,
         };
         for stored in records {
             match stored.record.key.strip_prefix(OVERFLOW_PREFIX) {
                 Some(pool) => {
                     let open = stored.record.value().is_some();
-                    lock(&cx.ownership).set_further_lanes(&pool.into(), open);
+                    lock(&cx.ownership).set_overflow_partitions(&pool.into(), open);
                 }
                 None => apply_claim(&cx, &stored),
             }
@@ -94,7 +94,7 @@
                 claim.owner.name,
                 stored.offset,
             );
-            lock(&node.ownership).claimed(&pool.into(), claim, stored.offset, steady_ms());
+            lock(&node.ownership).record_claim(&pool.into(), claim, stored.offset, steady_ms());
         }
         Err(e) => log::error!("owner step=unreadable offset={} error=\"{e}\"", stored.offset),
     }
@@ -127,7 +127,7 @@
 
 fn pools_to_claim(node: &Node) -> Vec<Arc<str>> {
     let logs = node.pool_logs();
-    if !node.standing.in_touch() {
+    if !node.store_health.is_reachable() {
         return Vec::new();
     }
     let fleet: Arc<str> = FLEET.into();
@@ -147,7 +147,7 @@
         Ok(Appended::Done { offset, end }) => {
             node.claims_end.advance_to(end);
             node.renew_lease(sent_at);
-            lock(&node.ownership).claimed(pool, claim, offset, steady_ms());
+            lock(&node.ownership).record_claim(pool, claim, offset, steady_ms());
         }
         // Another node claimed the pool first, or the claim will be read when the partition is followed.
         Ok(other) => log::debug!("owner pool={pool} step=not-claimed answer={other:?}"),
@@ -162,7 +162,7 @@
     reconcile_owner(node, running, &FLEET.into(), None);
     reconcile_owner(node, running, &CAPS.into(), None);
     let owning = !running.is_empty();
-    node.owning.set(owning);
+    node.is_owner.set(owning);
 }
 
 /// Starts or stops the owner of a pool, or of the fleet or the caps, which have no log.
@@ -175,7 +175,7 @@
     if let Some((token, _)) = running.get(shard).filter(|(_, task)| task.is_finished()) {
         // Restarted under the same token, the owner would number its records from the start again, and earlier orders
         // would not be fenced.
-        lock(&node.ownership).owner_ended(shard, *token, steady_ms());
+        lock(&node.ownership).record_owner_end(shard, *token, steady_ms());
     }
     let token = lock(&node.ownership).my_token(shard);
     if running.get(shard).is_some_and(|(t, _)| Some(*t) == token) {
--- a/crates/scheduler/src/control/overflow.rs
+++ b/crates/scheduler/src/control/overflow.rs
@@ -29,12 +29,12 @@
     let key = format!("{OVERFLOW_PREFIX}{pool}");
     let record = match open {
         true => KeyedRecord::new(key, b"open".to_vec()),
-        false => KeyedRecord::dropping(key),
+        false => KeyedRecord::deleting(key),
     };
     match node.store.append(TOPIC, CLAIMS, Guard::EndsAt(end), &[record]).await {
         Ok(Appended::Done { end, .. }) => {
             node.claims_end.advance_to(end);
-            lock(&node.ownership).set_further_lanes(pool, open);
+            lock(&node.ownership).set_overflow_partitions(pool, open);
             log::info!("progress step=overflow pool={pool} open={open} token={token}");
             true
         }
--- a/crates/scheduler/src/find_job.rs
+++ b/crates/scheduler/src/find_job.rs
@@ -8,7 +8,7 @@
 use crate::clock::steady_ms;
 use crate::locks::lock;
 use crate::node::Node;
-use crate::pool_log::{PROGRESS, PoolLog, SPARE, SPARE_AGE_MS, SUBMISSIONS};
+use crate::pool_log::{FALLBACK_MAX_AGE_MS, FALLBACK_SUBMISSIONS, PROGRESS, PoolLog, SUBMISSIONS};
 use crate::query::{Query, QueryReply};
 use crate::query_peers::query_peers;
 
@@ -113,7 +113,7 @@
     let since = steady_ms();
     let mut all_read = true;
     // The job may be in the first or the fallback partition of its pool.
-    for (part, age) in [(SUBMISSIONS, 0), (SPARE, SPARE_AGE_MS)] {
+    for (part, age) in [(SUBMISSIONS, 0), (FALLBACK_SUBMISSIONS, FALLBACK_MAX_AGE_MS)] {
         if known_reply(log, id, caller).is_some() {
             break;
         }
@@ -158,7 +158,7 @@
     let since = steady_ms().saturating_sub(MAX_PENDING_AGE_MS);
     // An owner whose lease has expired may not know the newest jobs.
     let current = log.is_owned() && node.lease_valid();
-    for part in [SUBMISSIONS, PROGRESS, SPARE] {
+    for part in [SUBMISSIONS, PROGRESS, FALLBACK_SUBMISSIONS] {
         if current {
             break;
         }
@@ -200,15 +200,15 @@
         let owned = ownership.my_token(&log.pool).is_some()
             || ownership.relay_of_owner(&log.pool).is_some();
         drop(ownership);
-        log.has_had_owner(owned || log.is_read_here())
+        log.has_had_owner(owned || log.is_followed())
     };
     node.pool_logs().iter().all(has_owner)
 }
 
 /// Returns whether this node follows a pool's records, after a short wait if the node has only just become the owner.
 async fn is_read_here(node: &Node, log: &PoolLog) -> bool {
-    if !log.is_read_here() && lock(&node.ownership).my_token(&log.pool).is_some() {
+    if !log.is_followed() && lock(&node.ownership).my_token(&log.pool).is_some() {
         log.wait_until_owned(TAKEOVER_TIMEOUT).await;
     }
-    log.is_read_here()
+    log.is_followed()
 }
--- a/crates/scheduler/src/fleet_owner/mod.rs
+++ b/crates/scheduler/src/fleet_owner/mod.rs
@@ -144,7 +144,7 @@
                     order.vm,
                     order.purpose,
                 );
-                self.fleet.order_result(&order.vm, outcome, now);
+                self.fleet.record_order_result(&order.vm, outcome, now);
                 // List the VMs again soon, as the list shows the result of the order.
                 self.listed_at = 0;
             }
@@ -183,7 +183,7 @@
         for wave in self.fleet.to_complete() {
             self.report_wave_state(wave, WaveState::Completed).await;
         }
-        if !self.fleet.record().is_same_work(&self.written) {
+        if !self.fleet.record().has_same_work(&self.written) {
             let mut written = self.fleet.record().clone();
             self.node.me.name.clone_into(&mut written.owner);
             self.write_changes(&written).await?;
@@ -233,7 +233,7 @@
             Ok(_) => {
                 log::info!("wave wave={wave} step=reported state={state:?}");
                 if state == WaveState::Completed {
-                    self.fleet.completed(wave);
+                    self.fleet.record_completed(wave);
                 }
             }
             Err(e) => log::warn!("wave wave={wave} step=unreported state={state:?} error=\"{e}\""),
@@ -268,7 +268,7 @@
         tokio::spawn(async move {
             let holder = Holder { name: &node.me.name, token };
             let result = if !node.may_act(FLEET, token) {
-                Err(MachineError::NotNow("this node may not act as owner now".to_owned()))
+                Err(MachineError::Unavailable("this node may not act as owner now".to_owned()))
             } else {
                 match &order.purpose {
                     Purpose::Move { to } => client.move_to(holder, &order.vm, to).await,
@@ -293,7 +293,7 @@
 fn outcome(result: &Result<(), MachineError>) -> OrderOutcome {
     match result {
         Ok(()) => OrderOutcome::Done,
-        Err(MachineError::NotNow(_) | MachineError::Busy | MachineError::Fenced) => {
+        Err(MachineError::Unavailable(_) | MachineError::Busy | MachineError::Fenced) => {
             OrderOutcome::NotDone
         }
         Err(MachineError::Unanswered(_) | MachineError::Malformed(_)) => OrderOutcome::Unknown,
--- a/crates/scheduler/src/fleet_owner/records.rs
+++ b/crates/scheduler/src/fleet_owner/records.rs
@@ -10,7 +10,7 @@
 use super::{Event, FLEET, POOL_PREFIX, RECORD, REPORTS, TICK, rows};
 use crate::clock::steady_ms;
 use crate::control::TOPIC;
-use crate::follow::{News, Pace, Tail, follow, follow_while_owning};
+use crate::follow::{ReadMode, Tail, Update, follow, follow_while_owning};
 use crate::locks::lock;
 use crate::node::Node;
 
@@ -24,9 +24,9 @@
 pub async fn follow_record(node: Arc<Node>) {
     let apply = |update| {
         let (mut fleet, records) = match update {
-            News::Reloaded(records) => (FleetRecord::default(), records),
-            News::Records(records) if records.is_empty() => return,
-            News::Records(records) => (FleetRecord::clone(&node.fleet.borrow()), records),
+            Update::Reloaded(records) => (FleetRecord::default(), records),
+            Update::Records(records) if records.is_empty() => return,
+            Update::Records(records) => (FleetRecord::clone(&node.fleet.borrow()), records),
         };
         // Unreadable rows are logged, and the others apply.
         let _ = apply_all(&mut fleet, &records);
@@ -35,7 +35,7 @@
     let clear = || {
         node.fleet.send_replace(Arc::default());
     };
-    follow_while_owning(&node, (TOPIC, RECORD), Pace::AtOnce, apply, clear).await;
+    follow_while_owning(&node, (TOPIC, RECORD), ReadMode::Immediate, apply, clear).await;
 }
 
 /// Returns until when this node has to wait because orders of its predecessor may be in flight.
@@ -47,7 +47,7 @@
     // before.
     let ended = lock(&node.ownership).has_ended(FLEET);
     let other_writer = record.is_some_and(|record| record.owner != node.me.name || ended);
-    if !other_writer || lock(&node.ownership).was_given_up(FLEET) {
+    if !other_writer || lock(&node.ownership).was_released(FLEET) {
         return HoldOff { until: 0, gap };
     }
     HoldOff { until: steady_ms() + gap.saturating_sub(NO_ORDERS_MS), gap }
@@ -88,7 +88,7 @@
                 return apply_all(&mut found.record, &newest.records).then_some(Some(found));
             }
             Err(e) => {
-                node.standing.note(false);
+                node.store_health.record_call(false);
                 log::debug!("fleet step=read-failed error=\"{e}\"");
                 tokio::time::sleep(TICK).await;
             }
@@ -97,9 +97,9 @@
 }
 
 pub(super) async fn follow_reports(node: Arc<Node>, tx: UnboundedSender<Event>) {
-    follow(&node, Tail::new(TOPIC, REPORTS), Pace::AtOnce, move |update, _| {
+    follow(&node, Tail::new(TOPIC, REPORTS), ReadMode::Immediate, move |update, _| {
         let records = match update {
-            News::Reloaded(records) | News::Records(records) => records,
+            Update::Reloaded(records) | Update::Records(records) => records,
         };
         for Stored { record, offset } in records {
             let Some(pool) = record.key.strip_prefix(POOL_PREFIX) else { continue };
--- a/crates/scheduler/src/fleet_owner/rows.rs
+++ b/crates/scheduler/src/fleet_owner/rows.rs
@@ -93,11 +93,11 @@
             let key = format!("{WAVE_PREFIX}{wave}/{vm}");
             match done {
                 Some(done) => KeyedRecord::new(key, to_json(&WaveVmBody { done: *done })),
-                None => KeyedRecord::dropping(key),
+                None => KeyedRecord::deleting(key),
             }
         }
         FleetRow::Vm { vm, work: None, ordered_lately: false } => {
-            KeyedRecord::dropping(format!("{VM_PREFIX}{vm}"))
+            KeyedRecord::deleting(format!("{VM_PREFIX}{vm}"))
         }
         FleetRow::Vm { vm, work, ordered_lately } => {
             let work = work.as_ref().map(|work| (work.purpose.clone(), work.stage.clone()));
@@ -109,7 +109,7 @@
 
 /// Returns the record that drops the single record of older versions.
 pub fn drop_legacy_record() -> KeyedRecord {
-    KeyedRecord::dropping(LEGACY_KEY)
+    KeyedRecord::deleting(LEGACY_KEY)
 }
 
 /// Returns whether a record is the single record of older versions.
--- a/crates/scheduler/src/follow.rs
+++ b/crates/scheduler/src/follow.rs
@@ -19,14 +19,14 @@
 const FAILURE_PAUSE: Duration = Duration::from_millis(100);
 
 /// The records that a read returned.
-pub enum News {
+pub enum Update {
     /// The newest record of each key; keys that are absent no longer exist.
     Reloaded(Vec<Stored>),
     /// The records after the previous read.
     Records(Vec<Stored>),
 }
 
-impl News {
+impl Update {
     /// Returns whether the read returned no records.
     pub fn is_empty(&self) -> bool {
         match self {
@@ -61,11 +61,11 @@
     }
 
     /// Reads the new records, waiting for them for up to `wait`.
-    pub async fn read(&mut self, store: &Store, wait: Duration) -> Result<News, StoreError> {
+    pub async fn read(&mut self, store: &Store, wait: Duration) -> Result<Update, StoreError> {
         let Some(from) = self.next else {
             let newest = store.newest(&self.topic, self.part).await?;
             self.next = Some(newest.end);
-            return Ok(News::Reloaded(newest.records));
+            return Ok(Update::Reloaded(newest.records));
         };
         let sent_at = steady_ms();
         match store.read(&self.topic, self.part, from, wait).await {
@@ -75,12 +75,12 @@
                 if next >= batch.end {
                     self.read_at = Some(sent_at);
                 }
-                Ok(News::Records(batch.records))
+                Ok(Update::Records(batch.records))
             }
             Err(ReadError::Dropped) => {
                 log::info!("tail topic={} part={} step=dropped from={from}", self.topic, self.part);
                 self.next = None;
-                Ok(News::Records(Vec::new()))
+                Ok(Update::Records(Vec::new()))
             }
             Err(ReadError::Store(e)) => Err(e),
         }
@@ -89,9 +89,9 @@
 
 /// How soon the next read of a partition follows after a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pace {
+pub enum ReadMode {
     /// Immediately.
-    AtOnce,
+    Immediate,
     /// After a pause, so that records are read in batches.
     Batched,
 }
@@ -102,10 +102,10 @@
 /// The same pause while no VM is moving to another pool or in maintenance, so that no VM's heartbeat is awaited.
 const QUIET_OWNER_PAUSE: Duration = Duration::from_millis(400);
 
-async fn pause_before_next_read(node: &Node, pace: Pace) {
+async fn pause_before_next_read(node: &Node, pace: ReadMode) {
     match pace {
-        Pace::AtOnce => (),
-        Pace::Batched => {
+        ReadMode::Immediate => (),
+        ReadMode::Batched => {
             let quiet = node.fleet.borrow().work.is_empty();
             tokio::time::sleep(if quiet { QUIET_OWNER_PAUSE } else { OWNER_PAUSE }).await;
         }
@@ -114,21 +114,26 @@
 
 /// Follows a partition until the future is dropped, and calls `apply` with the records of each read and the reader.
 /// `pace` sets the pause between two reads.
-pub async fn follow(node: &Node, mut tail: Tail, pace: Pace, mut apply: impl FnMut(News, &Tail)) {
+pub async fn follow(
+    node: &Node,
+    mut tail: Tail,
+    pace: ReadMode,
+    mut apply: impl FnMut(Update, &Tail),
+) {
     let mut wait = Duration::ZERO;
     let mut failures = ReadFailures::default();
     loop {
         match tail.read(&node.store, wait).await {
             Ok(update) => {
-                node.standing.note(true);
-                failures.end(&tail.topic, tail.part);
+                node.store_health.record_call(true);
+                failures.record_success(&tail.topic, tail.part);
                 wait = if update.is_empty() { WAIT } else { WAIT_AFTER_RECORDS };
                 apply(update, &tail);
                 pause_before_next_read(node, pace).await;
             }
             Err(e) => {
-                node.standing.note(false);
-                failures.add(&tail.topic, tail.part, tail.next, &e);
+                node.store_health.record_call(false);
+                failures.record_failure(&tail.topic, tail.part, tail.next, &e);
                 tokio::time::sleep(FAILURE_PAUSE).await;
                 wait = Duration::ZERO;
             }
@@ -142,16 +147,16 @@
 pub async fn follow_while_owning(
     node: &Node,
     (topic, part): (&str, u32),
-    pace: Pace,
-    mut apply: impl FnMut(News),
+    pace: ReadMode,
+    mut apply: impl FnMut(Update),
     mut clear: impl FnMut(),
 ) {
     loop {
-        node.owning.wait_for(true).await;
+        node.is_owner.wait_for(true).await;
         let tail = Tail::new(topic, part);
         tokio::select! {
             () = follow(node, tail, pace, |update, _| apply(update)) => (),
-            () = node.owning.wait_for(false) => (),
+            () = node.is_owner.wait_for(false) => (),
         }
         clear();
     }
--- a/crates/scheduler/src/forward.rs
+++ b/crates/scheduler/src/forward.rs
@@ -19,7 +19,7 @@
 use crate::node::Node;
 use crate::pool_log::PoolLog;
 use crate::submit::Submission;
-use crate::written::{Written, encode_outcomes, read_outcomes};
+use crate::write_outcome::{WriteOutcome, decode_outcomes, encode_outcomes};
 
 /// The prefix of the path for forwarded submissions; the pool's name follows.
 pub const PATH: &str = "/submissions/";
@@ -29,7 +29,11 @@
 
 /// Forwards records to the pool's owner and returns the write outcome of each record, or `None` if the owner did not
 /// accept them.
-pub async fn to_owner(node: &Node, log: &PoolLog, records: &[KeyedRecord]) -> Option<Vec<Written>> {
+pub async fn to_owner(
+    node: &Node,
+    log: &PoolLog,
+    records: &[KeyedRecord],
+) -> Option<Vec<WriteOutcome>> {
     let addr = lock(&node.ownership).relay_of_owner(&log.pool)?;
     let sent: Vec<(&str, &[u8])> = records.iter().map(|r| (&*r.key, &*r.value)).collect();
     let body = match postcard::to_stdvec(&sent) {
@@ -49,7 +53,7 @@
         Ok(answer) => {
             counter!("thistle_handed_over").increment(count as u64);
             log::info!("submit step=handed-over pool={} count={count} to={addr}", log.pool);
-            Some(read_outcomes(&answer.body, count))
+            Some(decode_outcomes(&answer.body, count))
         }
         Err(CallError::NotSent(..)) => None,
         Err(e @ CallError::Unanswered(..)) => {
@@ -57,7 +61,7 @@
                 "submit step=hand-over-unanswered pool={} count={count} error=\"{e}\"",
                 log.pool
             );
-            Some(vec![Written::Unknown; count])
+            Some(vec![WriteOutcome::Unknown; count])
         }
     }
 }
@@ -81,7 +85,7 @@
     }
     let mut outcomes = Vec::with_capacity(waiting.len());
     for outcome_rx in waiting {
-        outcomes.push(outcome_rx.await.unwrap_or(Written::Unknown));
+        outcomes.push(outcome_rx.await.unwrap_or(WriteOutcome::Unknown));
     }
     Some(encode_outcomes(&outcomes))
 }
--- a/crates/scheduler/src/journal.rs
+++ b/crates/scheduler/src/journal.rs
@@ -10,7 +10,7 @@
 use crate::node::Node;
 
 /// Pause before an append is retried.
-pub const PAUSE: Duration = Duration::from_millis(30);
+pub const RETRY_PAUSE: Duration = Duration::from_millis(30);
 /// The first backoff of a partition that did not accept an append while another partition accepts appends, in milliseconds.
 const PARTITION_BACKOFF_MS: Ms = 400;
 
@@ -24,7 +24,7 @@
 
 /// Where records were appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct AppendPosition {
     /// The partition.
     pub part: u32,
     /// The offset of the first record.
@@ -74,7 +74,7 @@
 
 /// The result of one attempt to append.
 enum Attempt {
-    Done(Place),
+    Done(AppendPosition),
     Failed,
 }
 
@@ -93,7 +93,11 @@
     ///
     /// An unanswered append may be written twice, in two partitions, or be written late. The records themselves must
     /// therefore show which of them is newer.
-    pub async fn append(&mut self, node: &Node, records: &[KeyedRecord]) -> Result<Place, Fenced> {
+    pub async fn append(
+        &mut self,
+        node: &Node,
+        records: &[KeyedRecord],
+    ) -> Result<AppendPosition, Fenced> {
         if self.partitions.len() == 1 {
             return self.append_to(node, 0, records).await;
         }
@@ -101,7 +105,7 @@
             if let Some(place) = self.try_append(node, records).await? {
                 return Ok(place);
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
@@ -110,7 +114,7 @@
         &mut self,
         node: &Node,
         records: &[KeyedRecord],
-    ) -> Result<Option<Place>, Fenced> {
+    ) -> Result<Option<AppendPosition>, Fenced> {
         let now = steady_ms();
         let all_in_backoff =
             self.partitions.iter().all(|partition| !partition.open || partition.retry_at > now);
@@ -132,7 +136,7 @@
     }
 
     /// Adds partitions to write to. Each is written to only after writers with lower epochs are fenced off from it.
-    pub fn add_lanes(&mut self, parts: &[u32]) {
+    pub fn add_partitions(&mut self, parts: &[u32]) {
         for &part in parts {
             match self.partitions.iter_mut().find(|partition| partition.part == part) {
                 Some(partition) => partition.open = true,
@@ -142,7 +146,7 @@
     }
 
     /// Stops writing to some partitions. Their unanswered records are also written to another partition.
-    pub fn close_lanes(&mut self, parts: &[u32]) {
+    pub fn close_partitions(&mut self, parts: &[u32]) {
         for partition in
             self.partitions.iter_mut().filter(|partition| parts.contains(&partition.part))
         {
@@ -166,7 +170,7 @@
     }
 
     /// Returns whether the first partition is not in backoff.
-    pub fn first_takes_records(&self) -> bool {
+    pub fn first_partition_is_due(&self) -> bool {
         self.partitions.first().is_some_and(|partition| partition.retry_at <= steady_ms())
     }
 
@@ -177,12 +181,12 @@
         node: &Node,
         index: usize,
         records: &[KeyedRecord],
-    ) -> Result<Place, Fenced> {
+    ) -> Result<AppendPosition, Fenced> {
         loop {
             if let Attempt::Done(place) = self.try_once(node, index, records).await? {
                 return Ok(place);
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
@@ -225,7 +229,7 @@
     partition: &mut PartitionState,
 ) -> Result<(), Fenced> {
     while let Attempt::Failed = send(node, topic, epoch, partition, &[]).await? {
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
     Ok(())
 }
@@ -240,11 +244,11 @@
     let guard = Guard::Writer { epoch, sequence: partition.sequence };
     match node.store.append(topic, partition.part, guard, records).await {
         Ok(Appended::Done { offset, end }) => {
-            node.standing.note(true);
+            node.store_health.record_call(true);
             (partition.unanswered, partition.retry_at, partition.failures) = (None, 0, 0);
             partition.fenced = true;
             partition.sequence += 1;
-            return Ok(Attempt::Done(Place { part: partition.part, offset, end }));
+            return Ok(Attempt::Done(AppendPosition { part: partition.part, offset, end }));
         }
         Ok(Appended::Fenced) => return Err(Fenced),
         Ok(Appended::Sequence(Some(wanted))) => {
@@ -257,8 +261,8 @@
         }
         Ok(other) => log::error!("journal topic={topic} answer={other:?}"),
         Err(e) => {
-            node.standing.note(false);
-            if !e.nothing_done() {
+            node.store_health.record_call(false);
+            if !e.was_not_executed() {
                 partition.unanswered = Some(records.to_vec());
             }
             partition.retry_at = steady_ms()
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -9,19 +9,19 @@
 use thistle_schedule::{Evacuation, Halls, Ms, VmFacts};
 
 use crate::clock::steady_ms;
-use crate::follow::{News, Pace, Tail, follow, follow_while_owning};
+use crate::follow::{ReadMode, Tail, Update, follow, follow_while_owning};
 use crate::node::{Node, VmTable};
 
 /// Follows the operator's configuration, maintenance waves and hall evacuations.
 pub async fn follow_config(node: Arc<Node>) {
     let cx = node.clone();
-    follow(&node, Tail::new(config::TOPIC, 0), Pace::AtOnce, move |update, tail| {
+    follow(&node, Tail::new(config::TOPIC, 0), ReadMode::Immediate, move |update, tail| {
         let (records, asked_at) = match update {
-            News::Reloaded(records) => {
+            Update::Reloaded(records) => {
                 end_withdrawn_evacuations(&cx, &records);
                 (records, None)
             }
-            News::Records(records) => (records, Some(steady_ms())),
+            Update::Records(records) => (records, Some(steady_ms())),
         };
         for stored in records {
             if stored.record.key == config::CATALOG_KEY {
@@ -62,10 +62,10 @@
         catalog.workspaces.all().len(),
         catalog.workspaces.keys(),
     );
-    for problem in catalog.workspaces.doubts() {
+    for problem in catalog.workspaces.warnings() {
         log::error!("config step=doubtful version={} reason=\"{problem}\"", catalog.version);
     }
-    catalog.workspaces.follow(before.as_ref().map(|b| &b.workspaces), catalog.version);
+    catalog.workspaces.inherit_limits(before.as_ref().map(|b| &b.workspaces), catalog.version);
     let catalog = Arc::new(catalog);
     for pool in catalog.working_pools() {
         node.pool_log(pool);
@@ -79,7 +79,7 @@
 fn apply_wave(node: &Node, wave: u64, stored: &Stored, asked_at: Option<Ms>) {
     let Some(value) = stored.record.value() else { return };
     let request = match config::decode_wave(value) {
-        Ok(request) => WaveRequest { asked_at, ..request },
+        Ok(request) => WaveRequest { requested_at: asked_at, ..request },
         Err(e) => {
             log::error!("wave wave={wave} step=unreadable error=\"{}\"", e.0);
             return;
@@ -111,7 +111,7 @@
         let withdrawn: Vec<_> = halls.evacuated().filter(|e| !is_requested(&e.hall)).collect();
         for Evacuation { hall, since } in &withdrawn {
             log::info!("hall hall={hall} step=taken-back since={since} reason=not-listed");
-            Arc::make_mut(halls).take_back(hall);
+            Arc::make_mut(halls).withdraw(hall);
         }
         !withdrawn.is_empty()
     });
@@ -129,7 +129,7 @@
     }
     let requested = stored.record.value().is_some();
     node.halls.send_if_modified(|halls| {
-        if requested != halls.takes_work(hall) {
+        if requested != halls.accepts_work(hall) {
             return false;
         }
         let step = if requested { "evacuated" } else { "taken-back" };
@@ -137,7 +137,7 @@
         let halls: &mut Halls = Arc::make_mut(halls);
         match requested {
             true => halls.evacuate(Evacuation { hall: hall.into(), since: stored.offset }),
-            false => _ = halls.take_back(hall),
+            false => _ = halls.withdraw(hall),
         }
         true
     });
@@ -148,9 +148,9 @@
     let mut unreadable = UnreadableEntries::default();
     let apply = |update| {
         let (mut table, records) = match update {
-            News::Reloaded(records) => (VmTable::new(), records),
-            News::Records(records) if records.is_empty() => return,
-            News::Records(records) => (VmTable::clone(&node.vms.borrow()), records),
+            Update::Reloaded(records) => (VmTable::new(), records),
+            Update::Records(records) if records.is_empty() => return,
+            Update::Records(records) => (VmTable::clone(&node.vms.borrow()), records),
         };
         for stored in records {
             apply_vm(&mut table, &mut unreadable, &stored);
@@ -169,7 +169,7 @@
         node.vms_listed.send_replace(false);
         node.vms.send_replace(Arc::default());
     };
-    follow_while_owning(&node, (listing::TOPIC, 0), Pace::Batched, apply, clear).await;
+    follow_while_owning(&node, (listing::TOPIC, 0), ReadMode::Batched, apply, clear).await;
 }
 
 /// How many IDs of unreadable entries are remembered. Further unreadable entries are counted but not logged.
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -6,7 +6,7 @@
 
 use thistle_platform::Store;
 use thistle_schedule::fleet::{FleetRecord, WaveRequest};
-use thistle_schedule::ownership::{NodeLife, OWNER_LEASE_MS, Ownership};
+use thistle_schedule::ownership::{NodeIncarnation, OWNER_LEASE_MS, Ownership};
 use thistle_schedule::{Catalog, Halls, KeySecret, Ms, VmFacts, halls};
 use thistle_settings::SchedulerSettings;
 use tokio::sync::watch;
@@ -15,7 +15,7 @@
 use crate::clock::steady_ms;
 use crate::control::ClaimsEnd;
 use crate::locks::lock;
-use crate::owned::Owned;
+use crate::ownership_flag::OwnershipFlag;
 use crate::peers::Peers;
 use crate::pool_log::PoolLog;
 use crate::store_health::StoreHealth;
@@ -32,7 +32,7 @@
     /// The node's settings.
     pub settings: SchedulerSettings,
     /// The node's name and current incarnation.
-    pub me: NodeLife,
+    pub me: NodeIncarnation,
     /// The node's computing speed; see [`crate::speed`].
     pub speed: u32,
     /// The platform's store.
@@ -40,7 +40,7 @@
     /// The secret with which API keys of workspaces are hashed.
     pub secret: KeySecret,
     /// The health of the store as seen by this node.
-    pub standing: StoreHealth,
+    pub store_health: StoreHealth,
     /// The HTTP clients of other nodes.
     pub peers: Peers,
     /// The configuration in force.
@@ -69,7 +69,7 @@
     /// The time until which this node may act as owner, by the steady clock in milliseconds.
     lease_until: AtomicU64,
     /// Whether this node owns a pool or the fleet.
-    pub owning: Owned,
+    pub is_owner: OwnershipFlag,
     /// Whether this node is stopping: it gives up what it owns and reports that it is not ready for new connections.
     pub stopping: watch::Sender<bool>,
     /// Whether open connections are closed once the request in progress on each is answered.
@@ -79,12 +79,12 @@
 impl Node {
     /// Creates a node that has not read anything yet.
     pub fn new(settings: SchedulerSettings) -> Self {
-        let me = NodeLife { name: settings.name.clone(), life: rand::random() };
+        let me = NodeIncarnation { name: settings.name.clone(), incarnation: rand::random() };
         Self {
             speed: crate::speed::measure(),
             store: Store::new(settings.store),
             secret: KeySecret::new(rand::random()),
-            standing: StoreHealth::default(),
+            store_health: StoreHealth::default(),
             peers: Peers::default(),
             ownership: Mutex::new(Ownership::new(me.clone(), steady_ms())),
             settings,
@@ -101,7 +101,7 @@
             ownership_changed: tokio::sync::Notify::new(),
             pools: Mutex::default(),
             lease_until: AtomicU64::new(0),
-            owning: Owned::default(),
+            is_owner: OwnershipFlag::default(),
             stopping: watch::Sender::new(false),
             closing: watch::Sender::new(false),
         }
@@ -125,12 +125,12 @@
 
     /// Returns whether this node should follow a pool's records although it does not own the pool, or `None` while it
     /// receives nothing from the other nodes.
-    pub fn reads(&self, pool: &str) -> Option<bool> {
+    pub fn should_follow(&self, pool: &str) -> Option<bool> {
         if self.settings.relay_listen.is_none() {
             // Without a relay, nodes cannot query each other, so each node follows all pools.
             return Some(true);
         }
-        lock(&self.ownership).reads(pool, steady_ms())
+        lock(&self.ownership).is_reader(pool, steady_ms())
     }
 
     /// Returns the logs of all pools.
@@ -149,7 +149,7 @@
         let read_at = self.operator_read_at.load(Ordering::Relaxed);
         let within = self.settings.evacuate_within.map(|span| span.0.as_millis());
         let within = within.map(|ms| Ms::try_from(ms).unwrap_or(Ms::MAX));
-        halls::is_known((read_at > 0).then_some(read_at), within, steady_ms())
+        halls::is_current((read_at > 0).then_some(read_at), within, steady_ms())
     }
 
     /// Returns whether this node may currently act as owner.
--- a/crates/scheduler/src/overview.rs
+++ b/crates/scheduler/src/overview.rs
@@ -8,14 +8,14 @@
 use thistle_platform::{Store, StoreError, config, listing};
 use thistle_schedule::fleet::{FleetRecord, PoolReport};
 use thistle_schedule::ownership::{Claim, token_of};
-use thistle_schedule::progress::Place;
+use thistle_schedule::progress::TaskPlacement;
 use thistle_schedule::quota::{CapUse, LentCap};
 use thistle_schedule::{JobId, JobLog, KeySecret, VmFacts};
 
 use crate::caps::{CAPS, LENT, LENT_PREFIX, USE_PREFIX, USES};
 use crate::control::{CLAIMS, OWNER_PREFIX, TOPIC};
 use crate::fleet_owner::{FLEET, POOL_PREFIX, RECORD, REPORTS, apply_row};
-use crate::pool_log::{PROGRESS, SPARE, SPARE_PROGRESS, SUBMISSIONS, topic_of};
+use crate::pool_log::{FALLBACK_PROGRESS, FALLBACK_SUBMISSIONS, PROGRESS, SUBMISSIONS, topic_of};
 
 /// The state of the system in the store.
 #[derive(Debug, Serialize)]
@@ -180,7 +180,7 @@
     async fn read_job(&mut self, store: &Store, id: JobId) -> Result<(), StoreError> {
         for pool in self.pools.keys().cloned().collect::<Vec<_>>() {
             let mut log = JobLog::default();
-            for part in [SUBMISSIONS, SPARE, PROGRESS, SPARE_PROGRESS] {
+            for part in [SUBMISSIONS, FALLBACK_SUBMISSIONS, PROGRESS, FALLBACK_PROGRESS] {
                 for stored in store.newest(&topic_of(&pool), part).await?.records {
                     log.apply(&stored.record.key, stored.record.value())
                         .map_err(|e| StoreError::Malformed(e.0))?;
@@ -188,22 +188,23 @@
             }
             let Some(entry) = log.get(id) else { continue };
             let Some((spec, state)) = entry.spec.as_ref().zip(entry.state()) else { continue };
-            let harm = |h: &thistle_schedule::harm::HarmRecord| {
+            let harm = |h: &thistle_schedule::crash_history::CrashHistoryRecord| {
                 let name = format!("{id}.{}.{}.{}", h.time, h.step, h.index);
-                let (crashes, at_start, alone) = (h.harm.crashes, h.harm.at_start, h.harm.alone);
+                let (crashes, at_start, alone) =
+                    (h.crash_history.crashes, h.crash_history.at_start, h.crash_history.alone);
                 let unclear: Vec<&str> =
-                    h.harm.unclear.iter().map(|loss| loss.vm.as_str()).collect();
+                    h.crash_history.unclear.iter().map(|loss| loss.vm.as_str()).collect();
                 format!(
                     "{name} VMs that crashed under it: {crashes}, soon after its start: {at_start}, of these with no other job's \
                      task: {alone}, unclear losses: {unclear:?}, verdict {:?}",
-                    h.harm.verdict()
+                    h.crash_history.verdict()
                 )
             };
             let task = |t: &thistle_schedule::progress::TaskRecord| {
-                let place = match &t.place {
-                    Place::Waiting => "waits".to_owned(),
-                    Place::Done => "done".to_owned(),
-                    Place::On(vm) => format!("on {vm}"),
+                let place = match &t.placement {
+                    TaskPlacement::Waiting => "waits".to_owned(),
+                    TaskPlacement::Done => "done".to_owned(),
+                    TaskPlacement::On(vm) => format!("on {vm}"),
                 };
                 let name = format!("{id}.{}.{}.{}", t.time, t.step, t.index);
                 format!("{name} attempt {} failures {} {place}", t.attempt, t.failures)
@@ -215,7 +216,7 @@
                 workspace: spec.workspace.clone(),
                 state: format!("{state:?}").to_lowercase(),
                 tasks: entry.progress.tasks.iter().map(task).collect(),
-                harms: entry.progress.harms.iter().map(harm).collect(),
+                harms: entry.progress.crash_histories.iter().map(harm).collect(),
             });
             return Ok(());
         }
--- a/crates/scheduler/src/owner/advisor.rs
+++ b/crates/scheduler/src/owner/advisor.rs
@@ -5,7 +5,7 @@
 
 use metrics::counter;
 use thistle_platform::AdviceClient;
-use thistle_schedule::pool::Question;
+use thistle_schedule::pool::AdviceRequest;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
 use super::{Event, Tickets};
@@ -13,7 +13,7 @@
 
 /// Sends advice requests one at a time, as the service handles only one request of a node at a time.
 pub(super) struct Advisor {
-    tx: Option<UnboundedSender<Question>>,
+    tx: Option<UnboundedSender<AdviceRequest>>,
 }
 
 impl Advisor {
@@ -27,7 +27,7 @@
     }
 
     /// Queues a request; its answer arrives as an event.
-    pub fn send(&self, request: Question) {
+    pub fn send(&self, request: AdviceRequest) {
         match &self.tx {
             Some(tx) => {
                 // The task runs for as long as the sender exists.
@@ -43,7 +43,7 @@
 
 async fn send_requests(
     client: AdviceClient,
-    mut rx: UnboundedReceiver<Question>,
+    mut rx: UnboundedReceiver<AdviceRequest>,
     events: UnboundedSender<Event>,
 ) {
     while let Some(request) = rx.recv().await {
@@ -55,11 +55,11 @@
     }
 }
 
-async fn request_advice(client: &AdviceClient, request: &Question) -> Option<Tickets> {
+async fn request_advice(client: &AdviceClient, request: &AdviceRequest) -> Option<Tickets> {
     counter!("thistle_advice_calls").increment(1);
     let decides_in = request.policy.decides_in_ms(request.vms.len());
     let step = (request.step.job, request.step.time, request.step.step);
-    match client.ask(step, &request.vms, Duration::from_millis(decides_in)).await {
+    match client.request(step, &request.vms, Duration::from_millis(decides_in)).await {
         Ok(advice) => {
             let tickets = advice.tickets.into_iter().map(|t| (t.vm, t.text)).collect();
             Some((tickets, u64::try_from(advice.valid.as_millis()).unwrap_or(0)))
--- a/crates/scheduler/src/owner/incarnation_times.rs
+++ b/crates/scheduler/src/owner/incarnation_times.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use thistle_schedule::VmLife;
+use thistle_schedule::VmIncarnation;
 
 use crate::node::VmTable;
 
@@ -10,14 +10,14 @@
 #[derive(Debug, Default)]
 pub struct IncarnationTimes {
     listings: u64,
-    first_listed: HashMap<VmLife, u64>,
+    first_listed: HashMap<VmIncarnation, u64>,
 }
 
 impl IncarnationTimes {
     /// Records a VM list. Incarnations missing from it are removed unless they are `known`, as those may be listed again.
-    pub fn record_list(&mut self, table: &VmTable, known: impl Fn(&VmLife) -> bool) {
+    pub fn record_list(&mut self, table: &VmTable, known: impl Fn(&VmIncarnation) -> bool) {
         self.listings += 1;
-        let listed = |vm: &VmLife| table.get(vm.id()).is_some_and(|facts| facts.id == *vm);
+        let listed = |vm: &VmIncarnation| table.get(vm.id()).is_some_and(|facts| facts.id == *vm);
         for facts in table.values() {
             self.first_listed.entry(facts.id.clone()).or_insert(self.listings);
         }
@@ -26,8 +26,8 @@
 
     /// Returns whether one incarnation is known to have started after another. The order is unknown if a start time
     /// is missing and both were first listed together.
-    pub fn is_later(&self, id: &VmLife, than: &VmLife) -> bool {
-        if let (Some(later), Some(earlier)) = (id.born(), than.born()) {
+    pub fn is_later(&self, id: &VmIncarnation, than: &VmIncarnation) -> bool {
+        if let (Some(later), Some(earlier)) = (id.started_at(), than.started_at()) {
             return later > earlier;
         }
         match (self.first_listed.get(id), self.first_listed.get(than)) {
--- a/crates/scheduler/src/owner/link/hold.rs
+++ b/crates/scheduler/src/owner/link/hold.rs
@@ -35,7 +35,7 @@
             continue;
         }
         let sent_at = steady_ms();
-        let deadline_ms = lock(&link.lease).give(sent_at);
+        let deadline_ms = lock(&link.lease).grant(sent_at);
         let acknowledged = *acked.borrow_and_update();
         // A VM without a recent answer may have restarted, and its next incarnation numbers ends from 1 and must not
         // drop any of them. This call therefore acknowledges nothing; the next one, sent right after the answer,
@@ -56,8 +56,8 @@
         // Calls are made one after the other, so a clock that went back shows another incarnation, also of a VM that
         // does not report its start time.
         let result = match result {
-            Ok(held) if lock(&link.lease).has_begun_anew(held.clock_ms) => {
-                Err(OrderError::StartedAgain(link.vm.clone()))
+            Ok(held) if lock(&link.lease).was_clock_reset(held.clock_ms) => {
+                Err(OrderError::Restarted(link.vm.clone()))
             }
             result => result,
         };
@@ -65,7 +65,7 @@
         counter!("thistle_vm_calls").increment(1);
         match result {
             Ok(held) => {
-                lock(&link.lease).read_clock(held.clock_ms, steady_ms());
+                lock(&link.lease).record_clock(held.clock_ms, steady_ms());
                 if !reachable {
                     link.send_event(Event::Reachable(link.vm.clone(), true));
                 }
@@ -97,7 +97,7 @@
             Err(e) if reachable && !wait.is_zero() => {
                 // One answer may have been lost: ask again without waiting to find out whether the VM still answers.
                 log::info!("vm step=asked-again vm={} error=\"{e}\"", link.vm);
-                lock(&link.lease).set_silent();
+                lock(&link.lease).set_unresponsive();
                 wait = Duration::ZERO;
             }
             Err(e) => {
@@ -106,9 +106,9 @@
                     link.send_event(Event::Reachable(link.vm.clone(), false));
                 }
                 reachable = false;
-                lock(&link.lease).set_silent();
+                lock(&link.lease).set_unresponsive();
                 wait = Duration::ZERO;
-                let over = lock(&link.lease).is_over(steady_ms());
+                let over = lock(&link.lease).is_expired(steady_ms());
                 if over && !loss_reported {
                     loss_reported = true;
                     link.send_loss(VmLoss::LeaseOver);
--- a/crates/scheduler/src/owner/link/mod.rs
+++ b/crates/scheduler/src/owner/link/mod.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use thistle_platform::{OrderError, WorkerClient};
-use thistle_schedule::pool::{StartOrder, Watch};
-use thistle_schedule::{RunId, TaskLease, VmFacts, VmLife, VmLoss};
+use thistle_schedule::pool::{PollReason, StartOrder};
+use thistle_schedule::{RunId, TaskLease, VmFacts, VmIncarnation, VmLoss};
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::{Notify, Semaphore, watch};
 use tokio::task::AbortHandle;
@@ -40,7 +40,7 @@
 
 struct Shared {
     node: Arc<Node>,
-    vm: VmLife,
+    vm: VmIncarnation,
     pool: Arc<str>,
     hall: Arc<str>,
     token: LinkToken,
@@ -112,7 +112,7 @@
     }
 
     /// Returns the incarnation of the VM.
-    pub fn vm(&self) -> &VmLife {
+    pub fn vm(&self) -> &VmIncarnation {
         &self.shared.vm
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// Reports to the owner that the VM has restarted as another incarnation, as its entry shows.
-    pub fn report_restart(&self, next: &VmLife) {
+    pub fn report_restart(&self, next: &VmIncarnation) {
         self.shared.send_restart(next);
     }
 
@@ -156,11 +156,11 @@
     }
 
     /// Sets how often the VM is polled while no run ends.
-    pub fn set_watch(&self, watch: Watch) {
+    pub fn set_watch(&self, watch: PollReason) {
         let wait = match watch {
-            Watch::Figures => FIGURES_WAIT,
-            Watch::Ends => ENDS_WAIT,
-            Watch::Lease => LEASE_WAIT,
+            PollReason::Figures => FIGURES_WAIT,
+            PollReason::Ends => ENDS_WAIT,
+            PollReason::Lease => LEASE_WAIT,
         };
         self.shared.wait_ms.store(millis(wait), Ordering::Relaxed);
     }
@@ -222,7 +222,7 @@
 
     /// Returns whether the VM's hall accepts no new work.
     fn is_evacuated(&self) -> bool {
-        !self.node.halls.borrow().takes_work(&self.hall)
+        !self.node.halls.borrow().accepts_work(&self.hall)
     }
 
     /// Waits until orders may be sent; returns false once the link is closed.
@@ -242,7 +242,7 @@
             // An error on a closed link proves nothing: a later link to the same VM has a higher token.
             _ if self.is_closed() => return true,
             OrderError::Gone => self.send_loss(VmLoss::Replaced),
-            OrderError::StartedAgain(next) => self.send_restart(next),
+            OrderError::Restarted(next) => self.send_restart(next),
             OrderError::Fenced => self.send_event(Event::Fenced(self.vm.clone())),
             OrderError::NotSent(_)
             | OrderError::Unanswered(_)
@@ -252,7 +252,7 @@
         true
     }
 
-    fn send_restart(&self, next: &VmLife) {
+    fn send_restart(&self, next: &VmIncarnation) {
         let number = self.losses.next();
         self.newest_loss.record(number);
         self.send_event(Event::Restarted(self.vm.clone(), next.clone(), number));
--- a/crates/scheduler/src/owner/link/orders.rs
+++ b/crates/scheduler/src/owner/link/orders.rs
@@ -102,7 +102,7 @@
         }
         // A copy carries the deadline of the first send and does not extend the lease. If the VM is unresponsive at
         // the first send, it gets no lease and the order is not sent.
-        let Some(until) = deadline_ms.or_else(|| lock(&link.lease).give(steady_ms())) else {
+        let Some(until) = deadline_ms.or_else(|| lock(&link.lease).grant(steady_ms())) else {
             return Some(StartResult::NotTaken);
         };
         deadline_ms = Some(until);
@@ -122,7 +122,7 @@
             // Another copy could start a finished task again in the VM's next incarnation.
             StartState::Listed => return Some(StartResult::StartedWithCopies),
         }
-        if maybe_arrived && lock(&link.lease).is_silent() {
+        if maybe_arrived && lock(&link.lease).is_unresponsive() {
             // The next incarnation could accept a copy, whose lease would start then and end later than the owner expects.
             tokio::time::sleep(RETRY_PAUSE).await;
             continue;
@@ -168,7 +168,7 @@
                 log::info!("start step=no-answer run={} vm={} error=\"{e}\"", order.run, link.vm);
                 if matches!(e, OrderError::Unanswered(_) | OrderError::Malformed(_)) {
                     maybe_arrived = true;
-                    lock(&link.lease).note_unanswered_start(steady_ms());
+                    lock(&link.lease).record_unanswered_start(steady_ms());
                 }
             }
         }
--- a/crates/scheduler/src/owner/mod.rs
+++ b/crates/scheduler/src/owner/mod.rs
@@ -19,7 +19,7 @@
 
 use metrics::counter;
 use thistle_schedule::pool::{Order, StartResult, StepId};
-use thistle_schedule::{LogChange, Ms, Pool, RunId, VmLife, VmLoss, VmReport};
+use thistle_schedule::{LogChange, Ms, Pool, RunId, VmIncarnation, VmLoss, VmReport};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 
 use crate::clock::{now, steady_ms};
@@ -49,19 +49,19 @@
     /// A submission or a cancellation was read.
     Log(LogChange),
     /// A VM reported its running and ended tasks.
-    Report(VmLife, VmReport),
+    Report(VmIncarnation, VmReport),
     /// The result of a start order is known.
-    Started(VmLife, RunId, StartResult),
+    Started(VmIncarnation, RunId, StartResult),
     /// A VM acknowledged a stop order.
-    Stopped(VmLife, RunId),
+    Stopped(VmIncarnation, RunId),
     /// A VM became reachable or unreachable.
-    Reachable(VmLife, bool),
+    Reachable(VmIncarnation, bool),
     /// A VM was lost and none of its runs continues; the last field numbers this loss.
-    Lost(VmLife, VmLoss, LossNumber),
+    Lost(VmIncarnation, VmLoss, LossNumber),
     /// A VM restarted under its ID: its previous incarnation, its next incarnation and the number of this loss.
-    Restarted(VmLife, VmLife, LossNumber),
+    Restarted(VmIncarnation, VmIncarnation, LossNumber),
     /// A VM rejected a call because it has seen a higher token.
-    Fenced(VmLife),
+    Fenced(VmIncarnation),
     /// An advice request for a step was answered, or failed.
     Advised(StepId, Option<Tickets>),
     /// The newest records of the cap shares lent to pools were read.
@@ -71,7 +71,7 @@
 }
 
 /// The VMs that may run a step with their tickets, and how long the tickets are valid, in milliseconds.
-pub type Tickets = (Vec<(VmLife, String)>, Ms);
+pub type Tickets = (Vec<(VmIncarnation, String)>, Ms);
 
 /// The owner of a pool.
 struct Owner {
@@ -87,7 +87,7 @@
     losses: Arc<LossCounter>,
     incarnation_times: IncarnationTimes,
     /// The times by which the leases of VMs without a link have ended.
-    orphans: HashMap<VmLife, Ms>,
+    orphans: HashMap<VmIncarnation, Ms>,
     tx: UnboundedSender<Event>,
     purged_at: Ms,
     reporter: Reporter,
@@ -119,8 +119,8 @@
                     let record = fleet.borrow_and_update().clone();
                     let cordoned = record.cordoned_in(&self.log.pool);
                     self.pool.set_cordoned(cordoned.map(Arc::from).collect());
-                    self.pool.set_hurried(record.moving().map(Arc::from).collect());
-                    self.pool.set_due(record.due().map(Arc::from).collect());
+                    self.pool.set_urgent(record.moving().map(Arc::from).collect());
+                    self.pool.set_due_for_maintenance(record.due_in_waves().map(Arc::from).collect());
                 }
                 Ok(()) = catalog.changed() => {
                     catalog.mark_unchanged();
@@ -167,16 +167,16 @@
             }
             Event::Report(vm, report) => {
                 log_ends(&vm, &report);
-                let changes = self.pool.report(&vm, &report, now);
+                let changes = self.pool.apply_report(&vm, &report, now);
                 log_report_changes(&vm, &changes);
             }
             Event::Started(vm, run, result) => {
                 if result != StartResult::Started {
                     log::info!("start step={result:?} run={run} vm={vm}");
                 }
-                self.pool.start_result(&vm, run, result, now);
+                self.pool.apply_start_result(&vm, run, result, now);
             }
-            Event::Stopped(vm, run) => self.pool.stop_answered(&vm, run, now),
+            Event::Stopped(vm, run) => self.pool.record_stop_answer(&vm, run, now),
             Event::Reachable(vm, reachable) => {
                 log::info!("vm step=reachable vm={vm} reachable={reachable}");
                 self.pool.set_reachable(&vm, reachable, now);
@@ -204,10 +204,10 @@
                     step.time,
                     step.step
                 );
-                self.pool.advised(step, answer, now);
+                self.pool.apply_advice(step, answer, now);
             }
             Event::LentRead => self.handle_lent_read(),
-            Event::CapUseNotWritten => self.pool.cap_use_not_said(),
+            Event::CapUseNotWritten => self.pool.cap_use_report_lost(),
             Event::Fenced(vm) => {
                 log::warn!("vm step=fenced vm={vm} token={}", self.token);
                 return Err(Fenced);
@@ -218,7 +218,7 @@
 
     /// Plans, writes the plan's records to the store, and only then sends orders and acknowledgements.
     async fn step(&mut self) -> Result<(), Fenced> {
-        self.pool.set_listing_is_sound(self.node.standing.listing_is_sound());
+        self.pool.set_listing_is_complete(self.node.store_health.listing_is_complete());
         self.pool.set_halls(self.node.halls.borrow().clone(), self.node.halls_known());
         let orders = self.pool.plan(now());
         let records = self.pool.take_records();
@@ -256,7 +256,7 @@
         self.vms_checked_at = now;
         self.close_unused_links();
         for link in self.links.values() {
-            link.set_watch(self.pool.watch(link.vm()));
+            link.set_watch(self.pool.poll_reason(link.vm()));
         }
         self.update_load_metrics();
     }
@@ -264,8 +264,8 @@
     fn dispatch(&mut self, order: Order) {
         let vm = match &order {
             Order::Start(start) => &start.vm,
-            Order::Stop { vm, .. } | Order::Pace { vm, .. } => vm,
-            Order::Ask(request) => {
+            Order::Stop { vm, .. } | Order::Throttle { vm, .. } => vm,
+            Order::RequestAdvice(request) => {
                 self.advisor.send(request.clone());
                 return;
             }
@@ -275,7 +275,7 @@
             if let Order::Start(start) = &order {
                 // The order was never sent.
                 let (vm, run) = (start.vm.clone(), start.run);
-                self.pool.start_result(&vm, run, StartResult::NotTaken, now());
+                self.pool.apply_start_result(&vm, run, StartResult::NotTaken, now());
             }
             return;
         };
@@ -297,11 +297,11 @@
                 counter!("thistle_stops").increment(1);
                 link.stop(run);
             }
-            Order::Pace { vm, run, percent } => {
+            Order::Throttle { vm, run, percent } => {
                 log::info!("pace step=ordered run={run} vm={vm} percent={percent}");
                 link.pace(run, percent);
             }
-            Order::Ask(_) => (),
+            Order::RequestAdvice(_) => (),
         }
     }
 }
--- a/crates/scheduler/src/owner/progress.rs
+++ b/crates/scheduler/src/owner/progress.rs
@@ -10,7 +10,7 @@
 use super::Owner;
 use crate::clock::steady_ms;
 use crate::control::announce_overflow;
-use crate::journal::{Fenced, PAUSE};
+use crate::journal::{Fenced, RETRY_PAUSE};
 use crate::pool_log::{OVERFLOW_PROGRESS, PROGRESS};
 
 /// The most jobs whose progress is copied back to the first partition in one step.
@@ -132,7 +132,7 @@
                 break place;
             }
             self.open_overflow_partitions().await;
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         };
         self.writer.record_written(batch.iter().map(|(id, ..)| *id), place.part);
         if place.part != PROGRESS {
@@ -155,18 +155,18 @@
         if announce_overflow(&self.node, &self.log.pool, self.token, true).await {
             self.writer.overflow_announced = true;
             self.writer.overflow_used_at = steady_ms();
-            self.journal.add_lanes(&OVERFLOW_PROGRESS);
+            self.journal.add_partitions(&OVERFLOW_PROGRESS);
         }
     }
 
     /// Closes the overflow partitions once they hold no progress.
     async fn close_overflow_partitions(&mut self) {
         let done = self.writer.overflow_announced && self.writer.overflow_is_empty();
-        if !done || !self.journal.first_takes_records() || !self.writer.may_try_overflow() {
+        if !done || !self.journal.first_partition_is_due() || !self.writer.may_try_overflow() {
             return;
         }
         // Stop writing to them before announcing that they are empty.
-        self.journal.close_lanes(&OVERFLOW_PROGRESS);
+        self.journal.close_partitions(&OVERFLOW_PROGRESS);
         self.writer.overflow_announced =
             !announce_overflow(&self.node, &self.log.pool, self.token, false).await;
     }
@@ -175,7 +175,7 @@
     /// drops the originals: other nodes read only the first partition.
     pub(super) async fn repair_progress(&mut self) -> Result<(), Fenced> {
         self.close_overflow_partitions().await;
-        if !self.writer.overflowed.is_empty() && self.journal.first_takes_records() {
+        if !self.writer.overflowed.is_empty() && self.journal.first_partition_is_due() {
             let mut ids: Vec<JobId> = self.writer.overflowed.iter().map(|&(id, _)| id).collect();
             ids.dedup();
             ids.truncate(REPAIR_BATCH);
@@ -197,7 +197,7 @@
         for part in parts {
             let entries = self.writer.outdated.iter().filter(|(_, p)| *p == part);
             let drops: Vec<KeyedRecord> =
-                entries.map(|&(id, _)| KeyedRecord::dropping(progress_key(id))).collect();
+                entries.map(|&(id, _)| KeyedRecord::deleting(progress_key(id))).collect();
             if self.journal.append_to_part(&self.node, part, &drops).await? {
                 self.writer.outdated.retain(|(_, p)| *p != part);
             }
--- a/crates/scheduler/src/owner/purge.rs
+++ b/crates/scheduler/src/owner/purge.rs
@@ -7,7 +7,7 @@
 use super::Owner;
 use crate::clock::{now, steady_ms};
 use crate::journal::Fenced;
-use crate::pool_log::{SPARE, SUBMISSION_PARTITIONS};
+use crate::pool_log::{FALLBACK_SUBMISSIONS, SUBMISSION_PARTITIONS};
 
 /// How often settled jobs are checked for expired ones, in milliseconds.
 const PURGE_EVERY_MS: Ms = 5_000;
@@ -42,7 +42,7 @@
             return Ok(());
         }
         let progress: Vec<KeyedRecord> =
-            old.iter().map(|&id| KeyedRecord::dropping(progress_key(id))).collect();
+            old.iter().map(|&id| KeyedRecord::deleting(progress_key(id))).collect();
         self.journal.append(&self.node, &progress).await?;
         Ok(())
     }
@@ -50,13 +50,13 @@
     /// Drops submissions and cancellations from all partitions that may hold them; returns whether all were dropped.
     async fn drop_submissions(&self, old: &[JobId]) -> bool {
         let drop_both = |&id: &JobId| {
-            [KeyedRecord::dropping(cancel_key(id)), KeyedRecord::dropping(submit_key(id))]
+            [KeyedRecord::deleting(cancel_key(id)), KeyedRecord::deleting(submit_key(id))]
         };
         let records: Vec<KeyedRecord> = old.iter().flat_map(drop_both).collect();
         // The first partition goes last: a node that reads the drop there may read the fallback partition later, and
         // must not find the job in it.
         for part in SUBMISSION_PARTITIONS.into_iter().rev() {
-            if part == SPARE && !self.log.fallback_was_used().await {
+            if part == FALLBACK_SUBMISSIONS && !self.log.fallback_was_used().await {
                 continue;
             }
             let guard = Guard::Always;
--- a/crates/scheduler/src/owner/quota.rs
+++ b/crates/scheduler/src/owner/quota.rs
@@ -70,7 +70,7 @@
     pub(super) fn apply_lent_shares(&mut self) {
         if self.quota.read {
             let table = self.node.lent.borrow().clone();
-            self.pool.set_lent(table.as_of, table.lent.values());
+            self.pool.set_lent_caps(table.as_of, table.lent.values());
         }
     }
 
@@ -83,7 +83,7 @@
         }
         self.quota.reported_at = now;
         self.log_held_workspaces(now);
-        let reports = self.pool.say_cap_use(self.token, &mut self.quota.report_count);
+        let reports = self.pool.report_cap_use(self.token, &mut self.quota.report_count);
         if reports.is_empty() {
             return;
         }
@@ -93,7 +93,7 @@
             (self.node.clone(), self.tx.clone(), self.quota.in_flight.clone());
         tokio::spawn(async move {
             let result = node.store.append(TOPIC, USES, Guard::Always, &records).await;
-            node.standing.note(result.is_ok());
+            node.store_health.record_call(result.is_ok());
             if let Err(e) = result {
                 log::info!("caps step=use-not-written count={} error=\"{e}\"", records.len());
                 let _ = tx.send(Event::CapUseNotWritten);
--- a/crates/scheduler/src/owner/report.rs
+++ b/crates/scheduler/src/owner/report.rs
@@ -64,7 +64,7 @@
         tokio::spawn(async move {
             let record = KeyedRecord::new(pool_key(&pool), to_json(&report));
             let result = node.store.append(TOPIC, REPORTS, Guard::Always, &[record]).await;
-            node.standing.note(result.is_ok());
+            node.store_health.record_call(result.is_ok());
             if let Err(e) = result {
                 // The next report replaces this one.
                 log::debug!("report step=failed pool={pool} error=\"{e}\"");
@@ -95,7 +95,7 @@
             spread: load.spread,
             emptied: emptied.into_iter().map(|(name, id)| (text(name), id.to_string())).collect(),
             idle: self.pool.idle().into_iter().map(text).collect(),
-            light: self.pool.light(now()).into_iter().map(text).collect(),
+            light: self.pool.without_lasting_tasks(now()).into_iter().map(text).collect(),
         }
     }
 }
--- a/crates/scheduler/src/owner/start.rs
+++ b/crates/scheduler/src/owner/start.rs
@@ -18,7 +18,7 @@
 use crate::journal::{Fenced, Journal};
 use crate::locks::lock;
 use crate::node::Node;
-use crate::pool_log::{OVERFLOW_PROGRESS, PROGRESS, PoolLog, SPARE_PROGRESS};
+use crate::pool_log::{FALLBACK_PROGRESS, OVERFLOW_PROGRESS, PROGRESS, PoolLog};
 
 /// How long a new owner waits for the list of VMs: a page of 540 VMs takes 0.1 s over 20 Mbit/s.
 const VM_LIST_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -37,7 +37,7 @@
         return;
     };
     let overflowed = log.overflowed_progress();
-    let overflow_announced = lock(&node.ownership).has_further_lanes(&log.pool);
+    let overflow_announced = lock(&node.ownership).has_overflow_partitions(&log.pool);
     let policy = node.settings.policy;
     let advisor = Advisor::start(&node, tx.clone());
     let mut owner = Owner {
@@ -89,8 +89,8 @@
 /// Fences the previous owner from the pool's progress and reads all records of the pool.
 async fn fence_and_read(node: &Node, log: &PoolLog, token: u64) -> Result<Journal, Fenced> {
     // This node read all announcements of the previous owner before it could claim the pool.
-    let overflow = lock(&node.ownership).has_further_lanes(&log.pool);
-    let mut parts = vec![PROGRESS, SPARE_PROGRESS];
+    let overflow = lock(&node.ownership).has_overflow_partitions(&log.pool);
+    let mut parts = vec![PROGRESS, FALLBACK_PROGRESS];
     if overflow {
         parts.extend(OVERFLOW_PROGRESS);
     }
@@ -108,7 +108,7 @@
     /// Adopts all jobs and subscribes to changes.
     fn adopt_jobs(&mut self) {
         let log = self.log.clone();
-        self.pool.taken_over(now());
+        self.pool.record_takeover(now());
         let jobs = log.connect_owner(Some(self.tx.clone()));
         for (id, entry) in jobs.iter() {
             self.pool.adopt(id, entry, now());
--- a/crates/scheduler/src/owner/telemetry.rs
+++ b/crates/scheduler/src/owner/telemetry.rs
@@ -1,8 +1,8 @@
 //! Metrics and log lines of an owner: its load, abandoned tasks and ends of runs.
 
 use metrics::{counter, gauge};
-use thistle_schedule::pool::{GivenUp, Load, ReportNews};
-use thistle_schedule::{EndKind, Harm, VmLife, VmReport};
+use thistle_schedule::pool::{AbandonedTask, Load, ReportChanges};
+use thistle_schedule::{CrashHistory, EndKind, VmIncarnation, VmReport};
 
 use super::Owner;
 use crate::clock::now;
@@ -10,8 +10,8 @@
 impl Owner {
     /// Logs the tasks that were abandoned because VMs crashed under them.
     pub(super) fn log_abandoned_tasks(&mut self) {
-        for GivenUp { task, harm } in self.pool.take_given_up() {
-            let Harm { crashes, at_start, alone, .. } = harm;
+        for AbandonedTask { task, crash_history: harm } in self.pool.take_abandoned() {
+            let CrashHistory { crashes, at_start, alone, .. } = harm;
             log::warn!(
                 "job step=given-up task={task} crashes={crashes} at_start={at_start} alone={alone}"
             );
@@ -32,7 +32,7 @@
 }
 
 /// Logs the ends of runs that a VM reports.
-pub(super) fn log_ends(vm: &VmLife, report: &VmReport) {
+pub(super) fn log_ends(vm: &VmIncarnation, report: &VmReport) {
     for end in &report.ended {
         log::info!("end run={} vm={vm} how={:?} number={}", end.run, end.kind, end.sequence);
         counter!("thistle_ends", "how" => format!("{:?}", end.kind)).increment(1);
@@ -40,11 +40,11 @@
 }
 
 /// Logs runs that a VM turns out not to have, and ends of runs that were abandoned before, whose work may be done twice.
-pub(super) fn log_report_changes(vm: &VmLife, changes: &ReportNews) {
+pub(super) fn log_report_changes(vm: &VmIncarnation, changes: &ReportChanges) {
     for run in &changes.not_listed {
         log::info!("run step=not-listed run={run} vm={vm}");
     }
-    for end in &changes.of_given_up {
+    for end in &changes.of_abandoned {
         let (run, how, number) = (end.run, end.kind, end.sequence);
         if how == EndKind::Done {
             log::warn!("run step=done-after-given-up run={run} vm={vm} number={number}");
--- a/crates/scheduler/src/owner/vms.rs
+++ b/crates/scheduler/src/owner/vms.rs
@@ -6,7 +6,7 @@
 
 use metrics::counter;
 use thistle_schedule::pool::{LostRun, VmSummary};
-use thistle_schedule::{Ms, TaskLease, VmFacts, VmLife, VmLoss};
+use thistle_schedule::{Ms, TaskLease, VmFacts, VmIncarnation, VmLoss};
 
 use super::link::Link;
 use super::{Event, Owner};
@@ -42,7 +42,7 @@
             self.report_if_superseded(&vm, table);
         }
         // A VM that became unresponsive while it ran a task may be listed again in another pool.
-        for (vm, name) in self.pool.silent_losses() {
+        for (vm, name) in self.pool.unclear_losses() {
             // The leftover entry of an earlier incarnation is no evidence.
             let successor = |f: &VmFacts| {
                 *f.name == *name && f.id != vm && !self.incarnation_times.is_later(&vm, &f.id)
@@ -58,7 +58,9 @@
     fn name_incarnations<'a>(&self, table: &'a VmTable) -> Cow<'a, VmTable> {
         let answered = |facts: &VmFacts| {
             let current = self.links.get(facts.id.id()).map(Link::vm);
-            current.filter(|current| facts.id.born().is_none() && current.born().is_some()).cloned()
+            current
+                .filter(|current| facts.id.started_at().is_none() && current.started_at().is_some())
+                .cloned()
         };
         if !table.values().any(|facts| answered(facts).is_some()) {
             return Cow::Borrowed(table);
@@ -80,16 +82,16 @@
     }
 
     /// Returns the link to an incarnation of a VM.
-    pub(super) fn link(&self, vm: &VmLife) -> Option<&Link> {
+    pub(super) fn link(&self, vm: &VmIncarnation) -> Option<&Link> {
         self.links.get(vm.id()).filter(|link| link.vm() == vm)
     }
 
-    pub(super) fn link_mut(&mut self, vm: &VmLife) -> Option<&mut Link> {
+    pub(super) fn link_mut(&mut self, vm: &VmIncarnation) -> Option<&mut Link> {
         self.links.get_mut(vm.id()).filter(|link| link.vm() == vm)
     }
 
     /// Checks whether a later incarnation of a VM that has stopped answering is listed already.
-    pub(super) fn check_for_successor(&self, id: &VmLife) {
+    pub(super) fn check_for_successor(&self, id: &VmIncarnation) {
         let listed = self.node.vms.borrow().clone();
         let table = self.name_incarnations(&listed);
         if let Some(vm) = self.pool.vm_summaries().into_iter().find(|vm| vm.id == *id)
@@ -110,7 +112,7 @@
             is_successor(facts, vm) && self.incarnation_times.is_later(&facts.id, &vm.id)
         };
         match table.values().find(is_later_successor) {
-            Some(facts) if facts.id.is_other_life_of(&vm.id) => {
+            Some(facts) if facts.id.is_other_incarnation_of(&vm.id) => {
                 self.report_restarted(&vm.id, &facts.id);
             }
             Some(_) => self.report_replaced(&vm.id),
@@ -119,7 +121,7 @@
     }
 
     /// Queues an event that a VM has restarted under its ID.
-    fn report_restarted(&self, vm: &VmLife, next: &VmLife) {
+    fn report_restarted(&self, vm: &VmIncarnation, next: &VmIncarnation) {
         if let Some(link) = self.link(vm) {
             link.report_restart(next);
             return;
@@ -130,7 +132,7 @@
     }
 
     /// Handles the restart of a VM under its ID and opens a link to the next incarnation.
-    pub(super) fn handle_restart(&mut self, previous: &VmLife, next: &VmLife) {
+    pub(super) fn handle_restart(&mut self, previous: &VmIncarnation, next: &VmIncarnation) {
         let lost = self.pool.vm_restarted(previous, next, now());
         log::info!("vm step=restarted vm={previous} life={next} runs={}", lost.len());
         self.log_lost(previous, VmLoss::Replaced, lost);
@@ -140,7 +142,7 @@
         self.open_link(&facts);
         self.orphans.remove(next);
         let table = self.node.vms.borrow().clone();
-        if table.get(next.id()).is_some_and(|listed| listed.id.born().is_none()) {
+        if table.get(next.id()).is_some_and(|listed| listed.id.started_at().is_none()) {
             // The VM's entries have no start time, so none will name this incarnation.
             self.pool.unlist_vm(previous);
             self.apply_vm_list(&table);
@@ -148,7 +150,7 @@
     }
 
     /// Queues an event that another incarnation has replaced a VM.
-    fn report_replaced(&self, vm: &VmLife) {
+    fn report_replaced(&self, vm: &VmIncarnation) {
         if let Some(link) = self.link(vm) {
             link.report_loss(VmLoss::Replaced);
             return;
@@ -170,7 +172,7 @@
     /// Handles VMs without a link as lost once their lease has ended.
     pub(super) fn expire_orphans(&mut self) {
         let now = now();
-        let over: Vec<VmLife> = self
+        let over: Vec<VmIncarnation> = self
             .orphans
             .iter()
             .filter(|(_, at)| now.steady >= **at)
@@ -183,7 +185,7 @@
     }
 
     /// Abandons the runs on a VM incarnation that is lost.
-    pub(super) fn lose_vm(&mut self, vm: &VmLife, loss: VmLoss) {
+    pub(super) fn lose_vm(&mut self, vm: &VmIncarnation, loss: VmLoss) {
         let lost = self.pool.vm_lost(vm, loss, now());
         if lost.is_empty() {
             // A loss may be reported more than once while the link is open.
@@ -195,14 +197,14 @@
     }
 
     /// Counts the loss of a VM that had runs, and logs the lost runs.
-    fn log_lost(&self, vm: &VmLife, loss: VmLoss, lost: Vec<LostRun>) {
+    fn log_lost(&self, vm: &VmIncarnation, loss: VmLoss, lost: Vec<LostRun>) {
         if lost.is_empty() {
             return;
         }
         let pool = self.log.pool.to_string();
         counter!("thistle_vms_lost", "pool" => pool, "reason" => format!("{loss:?}")).increment(1);
-        for LostRun { run, age, may_be_there } in lost {
-            let harm = self.pool.harm_of(run.task).cloned().unwrap_or_default();
+        for LostRun { run, age, may_exist: may_be_there } in lost {
+            let harm = self.pool.crash_history_of(run.task).cloned().unwrap_or_default();
             log::info!(
                 "run step=lost run={run} vm={vm} reason={loss:?} age_ms={age} may_be_there={may_be_there} crashes={} at_start={} unclear={} verdict={:?}",
                 harm.crashes,
@@ -215,7 +217,8 @@
 
     /// Closes the links to VMs that are not listed and have no runs.
     pub(super) fn close_unused_links(&mut self) {
-        let known: HashSet<VmLife> = self.pool.vm_summaries().into_iter().map(|vm| vm.id).collect();
+        let known: HashSet<VmIncarnation> =
+            self.pool.vm_summaries().into_iter().map(|vm| vm.id).collect();
         self.links.retain(|_, link| known.contains(link.vm()));
     }
 }
@@ -235,7 +238,7 @@
 }
 
 /// Returns the entry of a VM's ID if it names this incarnation.
-fn listed_entry<'a>(table: &'a VmTable, vm: &VmLife) -> Option<&'a Arc<VmFacts>> {
+fn listed_entry<'a>(table: &'a VmTable, vm: &VmIncarnation) -> Option<&'a Arc<VmFacts>> {
     table.get(vm.id()).filter(|facts| facts.id == *vm)
 }
 
@@ -247,5 +250,5 @@
 /// Returns after how long a lease that was given no later than now has certainly ended.
 fn max_lease_duration(length: Ms) -> Ms {
     let lease = TaskLease::new(length, 0);
-    (length..).find(|&at| lease.is_over(at)).unwrap_or(length)
+    (length..).find(|&at| lease.is_expired(at)).unwrap_or(length)
 }
--- a/crates/scheduler/src/owned.rs
+++ b/crates/scheduler/src/ownership_flag.rs
@@ -6,15 +6,15 @@
 
 /// A flag that tells whether this node owns something.
 #[derive(Debug)]
-pub struct Owned(watch::Sender<bool>);
+pub struct OwnershipFlag(watch::Sender<bool>);
 
-impl Default for Owned {
+impl Default for OwnershipFlag {
     fn default() -> Self {
         Self(watch::Sender::new(false))
     }
 }
 
-impl Owned {
+impl OwnershipFlag {
     /// Returns whether this node is the owner.
     pub fn get(&self) -> bool {
         *self.0.borrow()
@@ -33,7 +33,7 @@
 
     /// Waits for `pause` or until this node is the owner. An owner that waited for the whole pause would receive cancels and
     /// new jobs late by up to that pause.
-    pub async fn wait_unless_owned(&self, pause: Duration) {
+    pub async fn wait_until_owned_or(&self, pause: Duration) {
         let mut owned = self.0.subscribe();
         // Both results end the pause.
         let _ = tokio::time::timeout(pause, owned.wait_for(|&owned| owned)).await;
--- a/crates/scheduler/src/pool_log/mod.rs
+++ b/crates/scheduler/src/pool_log/mod.rs
@@ -14,13 +14,13 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 use crate::clock::steady_ms;
-use crate::journal::Place;
+use crate::journal::AppendPosition;
 use crate::locks::lock;
 use crate::node::Node;
-use crate::owned::Owned;
 use crate::owner::Event;
+use crate::ownership_flag::OwnershipFlag;
 use crate::read_failures::ReadFailures;
-use crate::submit::{Submission, start_submitter};
+use crate::submit::{Submission, run_submitter};
 use submission_partitions::PartitionState;
 
 /// The partition to which any node appends submissions and cancellations.
@@ -29,17 +29,17 @@
 pub const PROGRESS: u32 = 1;
 /// The fallback partition, to which any node appends submissions and cancellations that the first one does not
 /// accept: an outage of the store may affect only some partitions.
-pub const SPARE: u32 = 2;
+pub const FALLBACK_SUBMISSIONS: u32 = 2;
 /// The fallback partition of progress, to which the owner appends while the first one does not accept records.
-pub const SPARE_PROGRESS: u32 = 3;
+pub const FALLBACK_PROGRESS: u32 = 3;
 /// The overflow partitions, to which progress is appended while neither of the two accepts it. The owner announces
 /// their use first.
 pub const OVERFLOW_PROGRESS: [u32; 2] = [5, 7];
 /// The partitions of submissions, in the order in which they are tried.
-pub const SUBMISSION_PARTITIONS: [u32; 2] = [SUBMISSIONS, SPARE];
+pub const SUBMISSION_PARTITIONS: [u32; 2] = [SUBMISSIONS, FALLBACK_SUBMISSIONS];
 /// How old the last read of the fallback partition may be when a caller's request is answered, in milliseconds: half
 /// of the time within which each node has to show a job.
-pub const SPARE_AGE_MS: Ms = 1_500;
+pub const FALLBACK_MAX_AGE_MS: Ms = 1_500;
 
 /// Returns the topic of a pool's partitions.
 pub fn topic_of(pool: &str) -> String {
@@ -69,7 +69,7 @@
     overflowed: Mutex<BTreeSet<(JobId, u32)>>,
     /// The channel that sends changes to the owner on this node.
     owner: Mutex<Option<UnboundedSender<Event>>>,
-    owned: Owned,
+    owned: OwnershipFlag,
     /// Whether this node follows the pool's records without owning it, and has caught up once.
     is_following: AtomicBool,
     /// Whether the pool is known to have had an owner.
@@ -93,7 +93,7 @@
             cursors: Default::default(),
             overflowed: Mutex::default(),
             owner: Mutex::default(),
-            owned: Owned::default(),
+            owned: OwnershipFlag::default(),
             is_following: AtomicBool::new(false),
             had_owner: AtomicBool::new(false),
             partition_states: Default::default(),
@@ -101,7 +101,7 @@
             submitter,
             submitted: AtomicU64::new(0),
         });
-        tokio::spawn(start_submitter(node.clone(), log.clone(), rx));
+        tokio::spawn(run_submitter(node.clone(), log.clone(), rx));
         tokio::spawn(read::follow_records(node.clone(), log.clone()));
         tokio::spawn(read::follow_fallback(node.clone(), log.clone()));
         log
@@ -113,7 +113,7 @@
     }
 
     /// Returns whether this node follows the pool's records, as its owner or as a standby.
-    pub fn is_read_here(&self) -> bool {
+    pub fn is_followed(&self) -> bool {
         self.is_owned() || self.is_following.load(Ordering::Relaxed)
     }
 
@@ -129,7 +129,7 @@
 
     /// Waits until the owner runs on this node, for at most `timeout`.
     pub async fn wait_until_owned(&self, timeout: Duration) {
-        self.owned.wait_unless_owned(timeout).await;
+        self.owned.wait_until_owned_or(timeout).await;
     }
 
     /// Passes a submission or a cancellation to the task that appends.
@@ -141,9 +141,9 @@
     fn cursor(&self, part: u32) -> &tokio::sync::Mutex<Cursor> {
         match part {
             SUBMISSIONS => &self.cursors[0],
-            SPARE => &self.cursors[1],
+            FALLBACK_SUBMISSIONS => &self.cursors[1],
             PROGRESS => &self.cursors[2],
-            SPARE_PROGRESS => &self.cursors[3],
+            FALLBACK_PROGRESS => &self.cursors[3],
             part if part == OVERFLOW_PROGRESS[0] => &self.cursors[4],
             _ => &self.cursors[5],
         }
@@ -151,12 +151,12 @@
 
     /// Returns whether the fallback partition holds or has held any record, or was not read yet.
     pub async fn fallback_was_used(&self) -> bool {
-        self.cursor(SPARE).lock().await.next.is_none_or(|next| next > 0)
+        self.cursor(FALLBACK_SUBMISSIONS).lock().await.next.is_none_or(|next| next > 0)
     }
 
     /// Records which jobs have progress in a fallback or overflow partition.
     fn record_overflowed(&self, part: u32, records: &[Stored]) {
-        if part != SPARE_PROGRESS && !OVERFLOW_PROGRESS.contains(&part) {
+        if part != FALLBACK_PROGRESS && !OVERFLOW_PROGRESS.contains(&part) {
             return;
         }
         let mut overflowed = lock(&self.overflowed);
@@ -187,7 +187,7 @@
         if SUBMISSION_PARTITIONS.contains(&part) {
             let newest = records.iter().filter(|stored| stored.record.value().is_some());
             let kept = newest.filter_map(|stored| job_of_submit_key(&stored.record.key)).collect();
-            self.jobs().reloaded(part, &kept);
+            self.jobs().record_reload(part, &kept);
         }
         self.apply(part, records);
     }
@@ -241,7 +241,11 @@
     }
 
     /// Applies progress that this node has just appended as owner.
-    pub async fn apply_progress(&self, records: Vec<(JobId, Version, Progress)>, place: Place) {
+    pub async fn apply_progress(
+        &self,
+        records: Vec<(JobId, Version, Progress)>,
+        place: AppendPosition,
+    ) {
         let mut cursor = self.cursor(place.part).lock().await;
         if cursor.next == Some(place.offset) {
             (cursor.next, cursor.read_at) = (Some(place.end), steady_ms());
--- a/crates/scheduler/src/pool_log/read.rs
+++ b/crates/scheduler/src/pool_log/read.rs
@@ -7,7 +7,10 @@
 use thistle_platform::{ReadError, StoreError};
 use thistle_schedule::Ms;
 
-use super::{Cursor, OVERFLOW_PROGRESS, PROGRESS, PoolLog, SPARE, SPARE_PROGRESS, SUBMISSIONS};
+use super::{
+    Cursor, FALLBACK_PROGRESS, FALLBACK_SUBMISSIONS, OVERFLOW_PROGRESS, PROGRESS, PoolLog,
+    SUBMISSIONS,
+};
 use crate::clock::steady_ms;
 use crate::node::Node;
 
@@ -33,11 +36,11 @@
         while cursor.read_at < since {
             let began = steady_ms();
             let result = self.read_once(node, part, &mut cursor, began).await;
-            node.standing.note(result.is_ok());
+            node.store_health.record_call(result.is_ok());
             let from = cursor.next;
             match &result {
-                Ok(()) => cursor.failures.end(&self.topic, part),
-                Err(e) => cursor.failures.add(&self.topic, part, from, e),
+                Ok(()) => cursor.failures.record_success(&self.topic, part),
+                Err(e) => cursor.failures.record_failure(&self.topic, part, from, e),
             }
             result?;
         }
@@ -102,12 +105,12 @@
             }
             Err(ReadError::Store(e)) => {
                 let mut cursor = self.cursor(SUBMISSIONS).lock().await;
-                cursor.failures.add(&self.topic, SUBMISSIONS, Some(from), &e);
+                cursor.failures.record_failure(&self.topic, SUBMISSIONS, Some(from), &e);
                 return Err(e);
             }
         };
         let mut cursor = self.cursor(SUBMISSIONS).lock().await;
-        cursor.failures.end(&self.topic, SUBMISSIONS);
+        cursor.failures.record_success(&self.topic, SUBMISSIONS);
         let next = from + batch.records.len() as u64;
         if cursor.next.is_some_and(|known| known < next) {
             self.apply(SUBMISSIONS, &batch.records);
@@ -130,12 +133,12 @@
         let (submissions, progress, fallback_progress, fallback) = tokio::join!(
             self.catch_up(node, SUBMISSIONS, since),
             self.catch_up(node, PROGRESS, since),
-            self.catch_up(node, SPARE_PROGRESS, since),
-            self.catch_up(node, SPARE, since),
+            self.catch_up(node, FALLBACK_PROGRESS, since),
+            self.catch_up(node, FALLBACK_SUBMISSIONS, since),
         );
         submissions.and(progress).and(fallback_progress)?;
         match fallback {
-            Err(e) if self.jobs().has_begun_unseen() => Err(e),
+            Err(e) if self.jobs().has_started_without_submission() => Err(e),
             Err(e) => {
                 log::info!("jobs step=spare-not-read pool={} error=\"{e}\"", self.pool);
                 Ok(())
@@ -149,10 +152,10 @@
 pub(super) async fn follow_records(node: Arc<Node>, log: Arc<PoolLog>) {
     loop {
         // A node that cannot receive heartbeats keeps its current role.
-        let reads = node.reads(&log.pool).unwrap_or_else(|| log.is_read_here());
+        let reads = node.should_follow(&log.pool).unwrap_or_else(|| log.is_followed());
         if !log.is_owned() && !reads {
             log.is_following.store(false, Ordering::Relaxed);
-            log.owned.wait_unless_owned(jittered(STANDBY_READ_EVERY)).await;
+            log.owned.wait_until_owned_or(jittered(STANDBY_READ_EVERY)).await;
             continue;
         }
         let owned = log.is_owned();
@@ -162,13 +165,13 @@
         };
         log.last_read_failed.store(result.is_err(), Ordering::Relaxed);
         match result {
-            Ok(()) if owned => node.standing.note(true),
+            Ok(()) if owned => node.store_health.record_call(true),
             Ok(()) => {
                 log.is_following.store(true, Ordering::Relaxed);
-                log.owned.wait_unless_owned(jittered(STANDBY_READ_EVERY)).await;
+                log.owned.wait_until_owned_or(jittered(STANDBY_READ_EVERY)).await;
             }
             Err(e) => {
-                node.standing.note(false);
+                node.store_health.record_call(false);
                 log::debug!("jobs step=read-failed pool={} error=\"{e}\"", log.pool);
                 tokio::time::sleep(RETRY_PAUSE).await;
             }
@@ -192,7 +195,7 @@
         if !log.is_owned() {
             continue;
         }
-        if let Err(e) = log.catch_up(&node, SPARE, steady_ms()).await {
+        if let Err(e) = log.catch_up(&node, FALLBACK_SUBMISSIONS, steady_ms()).await {
             log::debug!("jobs step=spare-not-read pool={} error=\"{e}\"", log.pool);
         }
     }
--- a/crates/scheduler/src/pool_log/submission_partitions.rs
+++ b/crates/scheduler/src/pool_log/submission_partitions.rs
@@ -5,7 +5,7 @@
 
 use tokio::sync::watch;
 
-use super::{PoolLog, SPARE};
+use super::{FALLBACK_SUBMISSIONS, PoolLog};
 use crate::node::Node;
 
 /// Pause before an unresponsive partition is probed again: a probe is one small read.
@@ -25,7 +25,7 @@
 impl PoolLog {
     /// Records that a partition did not answer an append of submissions, and probes it until it answers. The probes
     /// run in a task of their own: made by callers, they held up one caller in each half second for 0.8 s.
-    pub fn suspect(self: &Arc<Self>, node: &Arc<Node>, part: u32) {
+    pub fn mark_unresponsive(self: &Arc<Self>, node: &Arc<Node>, part: u32) {
         if self.partition_state(part).unresponsive.send_replace(true) {
             return;
         }
@@ -47,6 +47,6 @@
     }
 
     fn partition_state(&self, part: u32) -> &PartitionState {
-        &self.partition_states[usize::from(part == SPARE)]
+        &self.partition_states[usize::from(part == FALLBACK_SUBMISSIONS)]
     }
 }
--- a/crates/scheduler/src/query_peers.rs
+++ b/crates/scheduler/src/query_peers.rs
@@ -26,7 +26,7 @@
     if let Some(reply) = query_all(node, query, owner.into_iter().collect()).await {
         return reply;
     }
-    let readers = lock(&node.ownership).readers_to_ask(pool, steady_ms());
+    let readers = lock(&node.ownership).readers_to_query(pool, steady_ms());
     query_all(node, query, readers).await.unwrap_or(QueryReply::NotRead)
 }
 
--- a/crates/scheduler/src/read_failures.rs
+++ b/crates/scheduler/src/read_failures.rs
@@ -16,7 +16,7 @@
 
 impl ReadFailures {
     /// Records a failed read that started at an offset.
-    pub fn add(&mut self, topic: &str, part: u32, from: Option<u64>, e: &StoreError) {
+    pub fn record_failure(&mut self, topic: &str, part: u32, from: Option<u64>, e: &StoreError) {
         counter!("thistle_failed_reads", "topic" => topic.to_owned()).increment(1);
         if self.count == 0 {
             self.since = steady_ms();
@@ -26,7 +26,7 @@
     }
 
     /// Records a successful read.
-    pub fn end(&mut self, topic: &str, part: u32) {
+    pub fn record_success(&mut self, topic: &str, part: u32) {
         if self.count == 0 {
             return;
         }
--- a/crates/scheduler/src/readiness.rs
+++ b/crates/scheduler/src/readiness.rs
@@ -45,7 +45,7 @@
 fn is_ready(node: &Node) -> bool {
     let known = node.catalog.borrow().is_some();
     known
-        && node.standing.in_touch()
+        && node.store_health.is_reachable()
         && !*node.stopping.borrow()
         && find_job::has_known_all_owners(node)
 }
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -12,7 +12,7 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use metrics::counter;
-use thistle_platform::{CallError, NOT_ANSWERED, NOT_PASSED_ON, PassedOn};
+use thistle_platform::{CallError, ForwardedCall, NOT_ANSWERED, NOT_FORWARDED};
 use thistle_wire::serve::HEADER_TIMEOUT;
 use tokio::net::TcpListener;
 
@@ -68,11 +68,11 @@
             None => not_forwarded(),
         },
         Ok(body) => {
-            let call = PassedOn { method, path: path.clone(), body };
-            match node.store.pass_on(call).await {
+            let call = ForwardedCall { method, path: path.clone(), body };
+            match node.store.forward(call).await {
                 // A reply with this status from the store itself does not show whether the call was executed.
-                Ok(Some(answer)) if answer.status == NOT_PASSED_ON => {
-                    log::info!("relay step=not-answered path={path} status={NOT_PASSED_ON}");
+                Ok(Some(answer)) if answer.status == NOT_FORWARDED => {
+                    log::info!("relay step=not-answered path={path} status={NOT_FORWARDED}");
                     reply(NOT_ANSWERED, Either::Left(Full::default()))
                 }
                 Ok(Some(answer)) => reply(answer.status, Either::Right(answer.into_body())),
@@ -89,7 +89,7 @@
 }
 
 fn not_forwarded() -> RelayReply {
-    reply(NOT_PASSED_ON, Either::Left(Full::default()))
+    reply(NOT_FORWARDED, Either::Left(Full::default()))
 }
 
 fn reply(status: u16, body: Either<Full<Bytes>, Incoming>) -> RelayReply {
@@ -104,7 +104,7 @@
     let mut previous = None;
     loop {
         tokio::time::sleep(PROBE_INTERVAL).await;
-        let detour = node.store.detour();
+        let detour = node.store.forwarding_peer();
         if detour != previous {
             match detour {
                 Some(peer) => log::warn!("store step=turned-away through={peer}"),
@@ -113,7 +113,7 @@
             previous = detour;
         }
         if detour.is_some() {
-            node.store.ask_directly().await;
+            node.store.probe_directly().await;
         }
     }
 }
--- a/crates/scheduler/src/request_body.rs
+++ b/crates/scheduler/src/request_body.rs
@@ -12,7 +12,7 @@
     /// The body exceeds the size limit.
     TooLarge,
     /// The body stalled: no part of it arrived within this time.
-    Silent(Duration),
+    Stalled(Duration),
     /// The connection failed.
     Broken(String),
 }
@@ -26,7 +26,7 @@
         let frame = match tokio::time::timeout(within, incoming.frame()).await {
             Ok(Some(frame)) => frame,
             Ok(None) => return Ok(body.into()),
-            Err(_) => return Err(BodyError::Silent(within)),
+            Err(_) => return Err(BodyError::Stalled(within)),
         };
         match frame {
             // Trailers are ignored.
--- a/crates/scheduler/src/run.rs
+++ b/crates/scheduler/src/run.rs
@@ -40,7 +40,7 @@
     log::info!(
         "node name={} life={:016x} hall={} step=start speed={} version={}",
         node.me.name,
-        node.me.life,
+        node.me.incarnation,
         node.settings.hall,
         node.speed,
         env!("CARGO_PKG_VERSION"),
--- a/crates/scheduler/src/stats.rs
+++ b/crates/scheduler/src/stats.rs
@@ -12,7 +12,7 @@
 pub fn render(node: &Arc<Node>, handle: &PrometheusHandle) -> String {
     let version = node.catalog.borrow().as_ref().map_or(0, |c| c.version);
     gauge!("thistle_config_version").set(version as f64);
-    gauge!("thistle_store_in_touch").set(f64::from(u8::from(node.standing.in_touch())));
+    gauge!("thistle_store_in_touch").set(f64::from(u8::from(node.store_health.is_reachable())));
     gauge!("thistle_lease_valid").set(f64::from(u8::from(node.lease_valid())));
     gauge!("thistle_vms_listed").set(node.vms.borrow().len() as f64);
     for log in node.pool_logs() {
--- a/crates/scheduler/src/store_health.rs
+++ b/crates/scheduler/src/store_health.rs
@@ -21,7 +21,7 @@
 
 impl StoreHealth {
     /// Records whether the store answered a call.
-    pub fn note(&self, answered: bool) {
+    pub fn record_call(&self, answered: bool) {
         if answered {
             self.answered_at.store(steady_ms(), Ordering::Relaxed);
             if self.lost.swap(false, Ordering::Relaxed) {
@@ -30,7 +30,7 @@
             return;
         }
         self.failed_at.store(steady_ms(), Ordering::Relaxed);
-        if !self.in_touch() && !self.lost.swap(true, Ordering::Relaxed) {
+        if !self.is_reachable() && !self.lost.swap(true, Ordering::Relaxed) {
             let silent_ms = steady_ms().saturating_sub(self.view().answered_at);
             log::warn!("store step=lost silent_ms={silent_ms}");
         }
@@ -45,13 +45,13 @@
     }
 
     /// Returns whether the store has answered recently.
-    pub fn in_touch(&self) -> bool {
-        self.view().in_touch(steady_ms())
+    pub fn is_reachable(&self) -> bool {
+        self.view().is_reachable(steady_ms())
     }
 
     /// Returns whether the list of VMs is complete: the store has answered all calls for at least the time in which VMs are
     /// listed again after an outage.
-    pub fn listing_is_sound(&self) -> bool {
-        self.view().sound_for(RELISTING_MS, steady_ms())
+    pub fn listing_is_complete(&self) -> bool {
+        self.view().is_healthy_for(RELISTING_MS, steady_ms())
     }
 }
--- a/crates/scheduler/src/submit.rs
+++ b/crates/scheduler/src/submit.rs
@@ -10,12 +10,12 @@
 
 use crate::append::{AppendRole, Outcome, append};
 use crate::clock::steady_ms;
+use crate::concurrency_limit::ConcurrencyLimit;
 use crate::forward;
 use crate::locks::lock;
 use crate::node::Node;
 use crate::pool_log::PoolLog;
-use crate::turns::Turns;
-use crate::written::Written;
+use crate::write_outcome::WriteOutcome;
 
 /// How long a submission waits in the queue at most, in milliseconds: while the store is unresponsive, each earlier append
 /// takes a second, and a caller that gets an early reply can still retry.
@@ -36,17 +36,17 @@
     /// Whether another node has forwarded the record; this node then appends it and does not forward it again.
     pub forwarded: bool,
     /// Receives the write outcome.
-    pub outcome_tx: oneshot::Sender<Written>,
+    pub outcome_tx: oneshot::Sender<WriteOutcome>,
 }
 
 /// Appends submissions in batches until the pool's log is dropped.
-pub async fn start_submitter(
+pub async fn run_submitter(
     node: Arc<Node>,
     log: Arc<PoolLog>,
     mut rx: UnboundedReceiver<Submission>,
 ) {
     let mut carried_over: Option<Submission> = None;
-    let limit = Turns::new(MAX_APPENDS, MAX_APPENDS_WHILE_SLOW);
+    let limit = ConcurrencyLimit::new(MAX_APPENDS, MAX_APPENDS_WHILE_SLOW);
     loop {
         let first = match carried_over.take() {
             Some(submission) => submission,
@@ -61,10 +61,10 @@
             node.store.is_slow() && lock(&node.ownership).relay_of_owner(&log.pool).is_none();
         let waited = steady_ms().saturating_sub(first.at);
         let max_wait = Duration::from_millis(MAX_QUEUE_WAIT_MS.saturating_sub(waited));
-        let Some(permit) = limit.take(slow, max_wait).await else {
+        let Some(permit) = limit.acquire(slow, max_wait).await else {
             log::info!("submit step=no-turn pool={} waited_ms={MAX_QUEUE_WAIT_MS}", log.pool);
             // The record was never sent. The receiver is gone if the caller has disconnected.
-            let _ = first.outcome_tx.send(Written::NotKept);
+            let _ = first.outcome_tx.send(WriteOutcome::NotKept);
             continue;
         };
         let mut size = first.record.framed_len();
@@ -106,7 +106,7 @@
     log: &Arc<PoolLog>,
     records: &[KeyedRecord],
     oldest: Ms,
-) -> Vec<Written> {
+) -> Vec<WriteOutcome> {
     if lock(&node.ownership).relay_of_owner(&log.pool).is_none() {
         return append_all(node, log, records, oldest).await;
     }
@@ -124,7 +124,7 @@
     if !may_be_written {
         return outcomes;
     }
-    outcomes.into_iter().map(Written::after_uncertain_append).collect()
+    outcomes.into_iter().map(WriteOutcome::after_uncertain_append).collect()
 }
 
 async fn append_all(
@@ -132,12 +132,12 @@
     log: &Arc<PoolLog>,
     records: &[KeyedRecord],
     oldest: Ms,
-) -> Vec<Written> {
+) -> Vec<WriteOutcome> {
     let outcome = match append(node, log, records, oldest, AppendRole::Owner).await {
         Outcome::Known(outcome) => outcome,
         // Unreachable for an owner, which never forwards to another node.
-        Outcome::ForwardToOwner { may_be_written: true } => Written::Unknown,
-        Outcome::ForwardToOwner { may_be_written: false } => Written::NotKept,
+        Outcome::ForwardToOwner { may_be_written: true } => WriteOutcome::Unknown,
+        Outcome::ForwardToOwner { may_be_written: false } => WriteOutcome::NotKept,
     };
     vec![outcome; records.len()]
 }
--- a/crates/scheduler/src/written.rs
+++ b/crates/scheduler/src/write_outcome.rs
@@ -4,7 +4,7 @@
 
 /// The write outcome of a submission or a cancel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Written {
+pub enum WriteOutcome {
     /// The store has written the record.
     Kept,
     /// The store has not written the record and will not write it later.
@@ -13,7 +13,7 @@
     Unknown,
 }
 
-impl Written {
+impl WriteOutcome {
     /// Returns the outcome of records that an earlier append may already have written.
     #[must_use]
     pub const fn after_uncertain_append(self) -> Self {
@@ -25,19 +25,19 @@
 }
 
 /// Decodes the outcomes of `count` records. If outcomes are missing or cannot be decoded, all records count as `Unknown`.
-pub fn read_outcomes(body: &[u8], count: usize) -> Vec<Written> {
-    match postcard::from_bytes::<Vec<Written>>(body) {
+pub fn decode_outcomes(body: &[u8], count: usize) -> Vec<WriteOutcome> {
+    match postcard::from_bytes::<Vec<WriteOutcome>>(body) {
         Ok(outcomes) if outcomes.len() == count => return outcomes,
         Ok(outcomes) => {
             log::error!("submit step=outcomes-missing count={count} told={}", outcomes.len());
         }
         Err(e) => log::error!("submit step=outcomes-unreadable count={count} error=\"{e}\""),
     }
-    vec![Written::Unknown; count]
+    vec![WriteOutcome::Unknown; count]
 }
 
 /// Encodes the outcomes of forwarded records.
-pub fn encode_outcomes(outcomes: &[Written]) -> Vec<u8> {
+pub fn encode_outcomes(outcomes: &[WriteOutcome]) -> Vec<u8> {
     postcard::to_stdvec(outcomes).unwrap_or_else(|e| {
         // The other node treats an empty body as unknown outcomes. `NotKept` would be wrong, because the records may
         // have been written.
--- a/crates/scheduler/tests/begun_again.rs
+++ b/crates/scheduler/tests/begun_again.rs
@@ -30,7 +30,7 @@
 
 use googletest::prelude::*;
 use system::{System, job, submit, until, until_state};
-use thistle_platform::standin::{Step, VmFake};
+use thistle_platform::standin::{RunEventKind, VmFake};
 
 const ID: &str = "5c0e7a21d94b36f8";
 /// So many jobs that their records are numbered beyond those of a later one.
@@ -45,13 +45,14 @@
 /// Has a VM say by mistake that it has seen a higher token, and waits until the owner was begun again.
 async fn begin_again(system: &System, vm: &VmFake) {
     let before = took_over(system);
-    vm.say_fenced_once();
+    vm.report_fenced_once();
     until("the owner was begun again", async || took_over(system) > before).await;
 }
 
 fn is_noted_as_done(system: &System) -> bool {
     let mut all = system.platform.machines.histories().into_iter().flatten();
-    let done = |step: &Step| matches!(step, Step::Noted(how) if how == "done");
+    let done =
+        |step: &RunEventKind| matches!(step, RunEventKind::Acknowledged(how) if how == "done");
     all.any(|h| h.task.starts_with(ID) && done(&h.step))
 }
 
@@ -106,7 +107,7 @@
     let system = System::start(94, 3, 1).await;
     let (node, vms) = (&system.nodes[0], system.platform.machines.vms());
     for vm in &vms {
-        vm.carry_out_late(true);
+        vm.execute_late(true);
     }
     expect_that!(submit(node, ID, &job(1, 4_000)).await.status, eq(200));
     let unanswered = format!("start step=no-answer run={ID}");
@@ -118,13 +119,13 @@
     }
     let ordered = vms.iter().position(|vm| vm.orders() > 0).expect("one was ordered to start it");
     for vm in &vms {
-        vm.carry_out_late(false);
+        vm.execute_late(false);
     }
     // It answers after the others, so that its task is started elsewhere.
-    vms[ordered].set_silent(true);
+    vms[ordered].set_unresponsive(true);
     begin_again(&system, &vms[(ordered + 1) % vms.len()]).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    vms[ordered].set_silent(false);
+    vms[ordered].set_unresponsive(false);
     until_state(node, ID, "completed").await;
     tokio::time::sleep(SETTLED).await;
     expect_that!(system.starts_of(ID).values().sum::<usize>(), eq(1));
--- a/crates/scheduler/tests/cancels.rs
+++ b/crates/scheduler/tests/cancels.rs
@@ -23,13 +23,13 @@
 
 fn set_all_silent(system: &System, silent: bool) {
     for vm in system.platform.machines.vms() {
-        vm.set_silent(silent);
+        vm.set_unresponsive(silent);
     }
 }
 
 fn carry_out_late(system: &System) {
     for vm in system.platform.machines.vms() {
-        vm.carry_out_late(true);
+        vm.execute_late(true);
     }
 }
 
--- a/crates/scheduler/tests/crashing.rs
+++ b/crates/scheduler/tests/crashing.rs
@@ -37,7 +37,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_task_is_given_up_if_the_vms_that_it_crashes_keep_their_ids() {
     let system = System::start(62, 3, 2).await;
-    system.platform.machines.keep_ids();
+    system.platform.machines.restart_with_same_ids();
     expect_given_up(&system).await;
 }
 
--- a/crates/scheduler/tests/evacuation.rs
+++ b/crates/scheduler/tests/evacuation.rs
@@ -69,13 +69,13 @@
     expect_that!(started_since(&system, "hall-a", evacuated), eq(0));
     expect_that!(started_since(&system, "hall-b", evacuated), ge(96));
     // Withdrawn, and asked again within a moment: the newest word counts.
-    system.platform.take_back("hall-a");
+    system.platform.return_to_service("hall-a");
     system.platform.evacuate("hall-a");
     tokio::time::sleep(WITHIN).await;
     run_job(&system, 4).await;
     expect_that!(started_since(&system, "hall-a", evacuated), eq(0));
     system.platform.evacuate("hall-b");
-    system.platform.take_back("hall-a");
+    system.platform.return_to_service("hall-a");
     tokio::time::sleep(WITHIN).await;
     let taken_back = Instant::now();
     run_job(&system, 5).await;
@@ -93,7 +93,7 @@
     expect_that!(submit(&system.nodes[0], &id(1), &job(4, 50)).await.status, eq(200));
     tokio::time::sleep(Duration::from_secs(1)).await;
     expect_that!(system.platform.machines.started(), is_empty());
-    system.platform.take_back("hall-b");
+    system.platform.return_to_service("hall-b");
     until_state(&system.nodes[0], &id(1), "completed").await;
     expect_that!(system.starts_in("hall-a"), is_empty());
 }
@@ -107,14 +107,14 @@
     until_in_force(&system, "evacuated", 1).await;
     let set_silent = |silent| {
         for vm in system.platform.machines.vms().iter().filter(|vm| vm.place.hall == "hall-a") {
-            vm.set_silent(silent);
+            vm.set_unresponsive(silent);
         }
     };
     set_silent(true);
     submit(&system.nodes[0], &id(1), &job(4, 50)).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     system.platform.evacuate("hall-a");
-    system.platform.take_back("hall-b");
+    system.platform.return_to_service("hall-b");
     until_in_force(&system, "taken-back", 1).await;
     set_silent(false);
     until_state(&system.nodes[0], &id(1), "completed").await;
--- a/crates/scheduler/tests/faults.rs
+++ b/crates/scheduler/tests/faults.rs
@@ -99,7 +99,7 @@
     until_owned(&system).await;
     submit(&system.nodes[0], ID, &job(2, 6_000)).await;
     until("both tasks were started", async || system.starts_of(ID).len() == 2).await;
-    system.platform.store.set_fault(Fault::Silent);
+    system.platform.store.set_fault(Fault::Unresponsive);
     tokio::time::sleep(std::time::Duration::from_secs(4)).await;
     system.platform.store.set_fault(Fault::None);
     until_state(&system.nodes[0], ID, "completed").await;
@@ -133,7 +133,7 @@
     submit(&system.nodes[0], ID, &job(4, 1_500)).await;
     until("all tasks were started", async || system.starts_of(ID).len() == 4).await;
     let busy = system.platform.machines.vms().into_iter().find(|vm| !vm.running().is_empty());
-    busy.expect("one runs them").set_silent(true);
+    busy.expect("one runs them").set_unresponsive(true);
     until_state(&system.nodes[0], ID, "completed").await;
 }
 
@@ -268,7 +268,7 @@
     let system = System::start(22, 2, 1).await;
     until_owned(&system).await;
     for vm in system.platform.machines.vms() {
-        vm.carry_out_late(true);
+        vm.execute_late(true);
     }
     let ids: Vec<String> = (0..4).map(|i| format!("{i:016x}")).collect();
     for id in &ids {
@@ -307,7 +307,7 @@
     until("the pool has an owner", async || system.owner().is_some()).await;
     // One partition loses answers, and the other one says nothing.
     system.platform.store.set_part_fault("control", 1, Fault::LosesAnswers);
-    system.platform.store.set_part_fault("control", 4, Fault::Silent);
+    system.platform.store.set_part_fault("control", 4, Fault::Unresponsive);
     let failed =
         async || system.nodes.iter().all(|node| node.log().contains("heartbeat step=failed"));
     until("each node has sent one that was not answered", failed).await;
--- a/crates/scheduler/tests/fleet_orders.rs
+++ b/crates/scheduler/tests/fleet_orders.rs
@@ -47,7 +47,7 @@
     let name = &system.nodes[1 - first].name;
     let next_has_ordered = async || machines.orders().iter().any(|o| o.holder == *name);
     until("the next owner has given the order", next_has_ordered).await;
-    system.platform.store.set_part_fault("control", 0, Fault::Silent);
+    system.platform.store.set_part_fault("control", 0, Fault::Unresponsive);
     system.nodes[first].signal("CONT");
     tokio::time::sleep(WATCHED).await;
     machines.orders().iter().map(|order| order.token).collect()
--- a/crates/scheduler/tests/late_starts.rs
+++ b/crates/scheduler/tests/late_starts.rs
@@ -52,7 +52,7 @@
         assert!(began.elapsed() < system::PATIENCE, "{lost}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    vm.set_silent(false);
+    vm.set_unresponsive(false);
 }
 
 /// Returns a system whose owner has VMs at hand.
@@ -81,7 +81,7 @@
     let node = &system.nodes[0];
     let vms = system.platform.machines.vms();
     for vm in &vms {
-        vm.set_silent(true);
+        vm.set_unresponsive(true);
         tokio::time::sleep(Duration::from_millis(70)).await;
     }
     let filling = job_that_fills(u32::from(SILENT));
@@ -110,17 +110,17 @@
 async fn an_order_that_was_decided_before_its_vm_was_lost_is_not_sent_after_it() {
     let system = start(91, 1).await;
     let vm = system.platform.machines.vms().remove(0);
-    vm.set_silent(true);
+    vm.set_unresponsive(true);
     let progress_fails = |fault| {
         for part in PROGRESS {
             system.platform.store.set_part_fault("jobs.desk", part, fault);
         }
     };
-    progress_fails(Fault::Silent);
+    progress_fails(Fault::Unresponsive);
     let filling = job_that_fills(1);
     expect_that!(submit(&system.nodes[0], ID, &filling).await.status, eq(200));
     tokio::time::sleep(LOST_WITHIN).await;
-    vm.set_silent(false);
+    vm.set_unresponsive(false);
     tokio::time::sleep(ASKED_WITHIN).await;
     progress_fails(Fault::None);
     expect_each_started_once(&system, TASKS_A_VM as usize).await;
--- a/crates/scheduler/tests/lives.rs
+++ b/crates/scheduler/tests/lives.rs
@@ -20,7 +20,7 @@
 
 use googletest::prelude::*;
 use system::{System, job, submit, until, until_state};
-use thistle_platform::standin::{Reach, bodies};
+use thistle_platform::standin::{Connectivity, bodies};
 
 /// Ends that the VM has listed before it starts again: more than it lists afterwards.
 const ENDS_BEFORE: u32 = 16;
@@ -43,7 +43,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn ends_of_the_next_life_of_a_vm_that_hides_its_start_are_heard_too() {
     let system = System::start(114, 0, 1).await;
-    system.platform.machines.hide_starts(true, true);
+    system.platform.machines.omit_start_times(true, true);
     let ip = system::ip(114, 100);
     system.platform.machines.add("m-0", system::POOL, ip).await.expect("the VM starts");
     expect_each_end_heard(&system).await;
@@ -53,7 +53,7 @@
 /// was listed never answered. An entry that tells no start is taken for that of the life that answers.
 async fn expect_work_and_maintenance(net: u8, in_entries: bool, in_lists: bool) {
     let system = System::start(net, 0, 1).await;
-    system.platform.machines.hide_starts(in_entries, in_lists);
+    system.platform.machines.omit_start_times(in_entries, in_lists);
     let ip = system::ip(net, 100);
     system.platform.machines.add("m-0", system::POOL, ip).await.expect("the VM starts");
     let (node, machines) = (&system.nodes[0], &system.platform.machines);
@@ -65,7 +65,7 @@
     until("its next life is up", async || !machines.vms().is_empty()).await;
     expect_that!(submit(node, second, &job(4, 20)).await.status, eq(200));
     until_state(node, second, "completed").await;
-    machines.keep_ids();
+    machines.restart_with_same_ids();
     machines.restart(&machines.vms().remove(0), AWAY).await;
     let third = "00000000000000b3";
     expect_that!(submit(node, third, &job(4, 20)).await.status, eq(200));
@@ -108,14 +108,14 @@
     expect_that!(submit(node, first, &job(1, 10)).await.status, eq(200));
     until_state(node, first, "completed").await;
     let vm = system.platform.machines.vms().remove(0);
-    vm.set_reach(Reach::LateOrders);
+    vm.set_connectivity(Connectivity::LateOrders);
     expect_that!(submit(node, ID, &job(1, 100)).await.status, eq(200));
     until("it is ordered", async || node.log().contains(&format!("no-answer run={ID}"))).await;
     let ip = system::ip(113, 120);
     system.platform.machines.add("m-late", system::POOL, ip).await.expect("the VM starts");
     // Its entry is still that of the life before, so that the task goes to the other VM.
-    vm.start_again();
-    vm.set_reach(Reach::All);
+    vm.restart_with_same_id();
+    vm.set_connectivity(Connectivity::All);
     until_state(node, ID, "completed").await;
     tokio::time::sleep(LATE_ORDERS_WITHIN).await;
     assert_eq!(system.starts_of(ID).into_values().collect::<Vec<_>>(), [1]);
--- a/crates/scheduler/tests/middle/mod.rs
+++ b/crates/scheduler/tests/middle/mod.rs
@@ -10,7 +10,7 @@
 use thistle_platform::http::{Call, HttpClient};
 use thistle_platform::listing;
 use thistle_platform::standin::paths::INCARNATION;
-use thistle_platform::standin::{Standin, VmFake};
+use thistle_platform::standin::{FakePlatform, VmFake};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -88,7 +88,7 @@
 }
 
 /// Stands between nodes that start from now on and a VM.
-pub async fn stand_for_vm<F, R>(platform: &Standin, vm: &VmFake, rule: F)
+pub async fn stand_for_vm<F, R>(platform: &FakePlatform, vm: &VmFake, rule: F)
 where
     F: Fn(Asked) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = Option<String>> + Send + 'static,
--- a/crates/scheduler/tests/partitions.rs
+++ b/crates/scheduler/tests/partitions.rs
@@ -28,7 +28,7 @@
 async fn jobs_are_taken_and_run_while_their_first_partition_is_down() {
     let system = System::start(30, 2, 2).await;
     until_served(&system).await;
-    for (i, fault) in [Fault::Busy, Fault::Silent].into_iter().enumerate() {
+    for (i, fault) in [Fault::Busy, Fault::Unresponsive].into_iter().enumerate() {
         system.platform.store.set_part_fault(TOPIC, SUBMISSIONS, fault);
         for (n, node) in system.nodes.iter().enumerate() {
             let id = format!("{:016x}", 10 * (i + 1) + n);
@@ -49,7 +49,7 @@
 async fn the_spare_partition_is_asked_beside_a_silent_first_one() {
     let system = System::start(38, 2, 2).await;
     until_served(&system).await;
-    system.platform.store.set_part_fault(TOPIC, SUBMISSIONS, Fault::Silent);
+    system.platform.store.set_part_fault(TOPIC, SUBMISSIONS, Fault::Unresponsive);
     let node = &system.nodes[0];
     expect_that!(submit(node, ID, &job(2, 100)).await.status, eq(200));
     let log = node.log();
@@ -122,7 +122,7 @@
 async fn an_owner_goes_on_while_its_first_partition_is_down() {
     let system = System::start(34, 2, 2).await;
     until_served(&system).await;
-    for (i, fault) in [Fault::Busy, Fault::Silent, Fault::Late].into_iter().enumerate() {
+    for (i, fault) in [Fault::Busy, Fault::Unresponsive, Fault::Late].into_iter().enumerate() {
         system.platform.store.set_part_fault(TOPIC, PROGRESS, fault);
         let id = format!("{:016x}", i + 1);
         expect_that!(submit(&system.nodes[0], &id, &job(3, 200)).await.status, eq(200));
@@ -169,7 +169,7 @@
     let system = System::start(36, 2, 2).await;
     until_served(&system).await;
     let owner = system.owner();
-    for (i, fault) in [Fault::Busy, Fault::Silent].into_iter().enumerate() {
+    for (i, fault) in [Fault::Busy, Fault::Unresponsive].into_iter().enumerate() {
         system.platform.store.set_part_fault("control", 1, fault);
         tokio::time::sleep(std::time::Duration::from_secs(4)).await;
         let id = format!("{:016x}", i + 1);
@@ -190,7 +190,7 @@
 async fn work_goes_on_while_both_partitions_of_progress_are_down() {
     let system = System::start(101, 2, 2).await;
     until_served(&system).await;
-    for (i, fault) in [Fault::Busy, Fault::Silent].into_iter().enumerate() {
+    for (i, fault) in [Fault::Busy, Fault::Unresponsive].into_iter().enumerate() {
         for part in [PROGRESS, SPARE_PROGRESS] {
             system.platform.store.set_part_fault(TOPIC, part, fault);
         }
--- a/crates/scheduler/tests/paused_owners.rs
+++ b/crates/scheduler/tests/paused_owners.rs
@@ -58,7 +58,7 @@
             system.platform.store.set_part_fault("jobs.desk", part, fault);
         }
     };
-    progress_fails(Fault::Silent);
+    progress_fails(Fault::Unresponsive);
     let end = format!("end run={ending}");
     until("it has heard the end", async || node.log().contains(&end)).await;
     tokio::time::sleep(HELD_UP_BEFORE).await;
@@ -66,12 +66,12 @@
     progress_fails(Fault::None);
     let claim = system.platform.store.offset_of("control", 0, "owner/desk").expect("a claim");
     // Tokens follow the offsets of claims.
-    vm.lose_calls_from(claim + 2);
+    vm.lose_tokens_from(claim + 2);
     let late = system::ip(114, 120);
     system.platform.machines.add("m-late", system::POOL, late).await.expect("the VM starts");
     until_state(next, ID, "completed").await;
     vm.lose_starts(false);
-    progress_fails(Fault::Silent);
+    progress_fails(Fault::Unresponsive);
     vm.delay_starts(START_TAKES);
     node.signal("CONT");
     tokio::time::sleep(SETTLED).await;
--- a/crates/scheduler/tests/refused_copies.rs
+++ b/crates/scheduler/tests/refused_copies.rs
@@ -30,15 +30,15 @@
     until_state(node, first, "completed").await;
     let vms = system.platform.machines.vms();
     for vm in &vms {
-        vm.carry_out_late(true);
-        vm.turn_starts_away(true);
+        vm.execute_late(true);
+        vm.reject_starts(true);
     }
     expect_that!(submit(node, ID, &job(1, 6_000)).await.status, eq(200));
     let refused = format!("start step=refused run={ID}");
     until("a copy was refused", async || node.log().contains(&refused)).await;
     for vm in &vms {
-        vm.turn_starts_away(false);
-        vm.carry_out_late(false);
+        vm.reject_starts(false);
+        vm.execute_late(false);
     }
     // The first copy is carried out within this time.
     tokio::time::sleep(Duration::from_secs(4)).await;
--- a/crates/scheduler/tests/relay.rs
+++ b/crates/scheduler/tests/relay.rs
@@ -6,15 +6,15 @@
 
 use googletest::prelude::*;
 use system::{System, job, submit, until, until_state};
-use thistle_platform::standin::{Door, Fault};
+use thistle_platform::standin::{Fault, StoreEndpoint};
 
 const ID: &str = "5c0e7a21d94b36f8";
 
 /// Starts a system of two nodes, of which the first owns the pool and comes to the store by a door of
 /// its own.
-async fn owner_behind_a_door(net: u8) -> (System, Door) {
+async fn owner_behind_a_door(net: u8) -> (System, StoreEndpoint) {
     let mut system = System::start(net, 2, 0).await;
-    let door = system.platform.open_door(system::ip(net, 2)).await;
+    let door = system.platform.open_endpoint(system::ip(net, 2)).await;
     let door = door.expect("the door opens");
     system.add_node_at(system::ip(net, 10), door.addr);
     until("the first node owns the pool", async || system.owner() == Some(0)).await;
@@ -60,7 +60,7 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_owner_that_the_store_is_silent_to_goes_on_through_another_node() {
-    goes_on_through_the_other_node(41, Fault::Silent).await;
+    goes_on_through_the_other_node(41, Fault::Unresponsive).await;
 }
 
 /// Shifted scale-2, 1 s: 13 of 38 nodes were cut from the store as a pool's turn began. Each waited for 0.6 s for an answer
@@ -69,7 +69,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_job_that_is_sent_as_the_store_falls_silent_to_its_node_is_kept_through_another() {
     let (system, door) = owner_behind_a_door(42).await;
-    door.set_fault(Fault::Silent);
+    door.set_fault(Fault::Unresponsive);
     for i in 0..4 {
         let answer = submit(&system.nodes[0], &format!("{i:016x}"), &job(1, 10)).await;
         // One that nobody knows of is not waited for.
--- a/crates/scheduler/tests/silence.rs
+++ b/crates/scheduler/tests/silence.rs
@@ -8,7 +8,7 @@
 use googletest::prelude::*;
 use hyper::Method;
 use system::{System, job, send, submit, until, until_state};
-use thistle_platform::standin::{Path, Silence};
+use thistle_platform::standin::{Stall, TcpProxy};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
@@ -17,10 +17,10 @@
 
 /// Starts a system of two nodes, of which the first owns the pool and comes to the store by a way of its own, over
 /// which it has many connections open.
-async fn owner_on_a_way(net: u8) -> (System, Path) {
+async fn owner_on_a_way(net: u8) -> (System, TcpProxy) {
     let mut system = System::start(net, 2, 0).await;
     let from = (system::ip(net, 2), PORT).into();
-    let path = Path::open(from, system.platform.store_addr()).await.expect("it opens");
+    let path = TcpProxy::open(from, system.platform.store_addr()).await.expect("it opens");
     system.add_node_at(system::ip(net, 10), path.addr);
     until("the first node owns the pool", async || system.owner() == Some(0)).await;
     system.add_node(system::ip(net, 11));
@@ -46,10 +46,10 @@
 
 /// Symptom: an owner loses its pool, and callers are told 504, while the store works. Sequence and cause: see the
 /// platform's crate (`silence.rs`): its heartbeats wait on one silent connection after the other until its lease is over.
-async fn owner_goes_on(net: u8, silence: Silence) {
+async fn owner_goes_on(net: u8, silence: Stall) {
     let (system, path) = owner_on_a_way(net).await;
     for round in 1..=2_u64 {
-        path.silence(silence);
+        path.stall(silence);
         // What was under way as the silence began may be told as unknown.
         for status in submit_all(&system, round * 100, 10).await {
             expect_that!(status, any![eq(200), eq(504)]);
@@ -73,25 +73,25 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_owner_keeps_its_pool_when_its_connections_to_the_store_go_silent() {
-    owner_goes_on(60, Silence::BothWays).await;
+    owner_goes_on(60, Stall::BothWays).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_owner_keeps_its_pool_when_no_answers_of_the_store_arrive() {
-    owner_goes_on(61, Silence::Answers).await;
+    owner_goes_on(61, Stall::Answers).await;
 }
 
 /// Orders to VMs and what they tell of ends, while connections to them go silent again and again: nothing is lost and
 /// nothing is done twice.
-async fn orders_go_on(net: u8, silence: Silence) {
+async fn orders_go_on(net: u8, silence: Stall) {
     let system = System::start(net, 3, 1).await;
     let node = &system.nodes[0];
     for round in 0..6 {
         submit(node, &id(round), &job(6, 700)).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         for vm in system.platform.machines.vms() {
-            vm.silence_connections(silence);
+            vm.stall_connections(silence);
         }
     }
     for round in 0..6 {
@@ -105,13 +105,13 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn orders_to_vms_are_neither_lost_nor_done_twice_when_connections_go_silent() {
-    orders_go_on(66, Silence::BothWays).await;
+    orders_go_on(66, Stall::BothWays).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn orders_to_vms_are_neither_lost_nor_done_twice_when_answers_stop() {
-    orders_go_on(67, Silence::Answers).await;
+    orders_go_on(67, Stall::Answers).await;
 }
 
 /// A configuration that is written right as the connections go silent is in force all the same.
@@ -119,7 +119,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_configuration_arrives_over_new_connections() {
     let (system, path) = owner_on_a_way(62).await;
-    path.silence(Silence::BothWays);
+    path.stall(Stall::BothWays);
     system.put_config(2, &["/quotes/", "/plans/"]);
     let status = async || send(&system.nodes[0], Method::GET, "/plans/").await.status;
     until("the new queue is there", async || status().await == 200).await;
--- a/crates/scheduler/tests/slow_links.rs
+++ b/crates/scheduler/tests/slow_links.rs
@@ -45,7 +45,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_large_configuration_comes_into_force_through_another_node() {
     let mut system = System::start(51, 1, 1).await;
-    let door = system.platform.open_door(system::ip(51, 2)).await;
+    let door = system.platform.open_endpoint(system::ip(51, 2)).await;
     let door = door.expect("the door opens");
     system.add_node_at(system::ip(51, 11), door.addr);
     until("the second node is ready", || system.nodes[1].is_ready()).await;
--- a/crates/scheduler/tests/soak.rs
+++ b/crates/scheduler/tests/soak.rs
@@ -242,7 +242,7 @@
         soak.add_second_hall(net).await;
     }
     if kind == Kind::Restarts {
-        soak.system.platform.machines.keep_ids();
+        soak.system.platform.machines.restart_with_same_ids();
     }
     if kind == Kind::Cap {
         soak.put_first_cap().await;
--- a/crates/scheduler/tests/soak/bursts.rs
+++ b/crates/scheduler/tests/soak/bursts.rs
@@ -10,7 +10,7 @@
 
 use rand::Rng;
 use rand::seq::SliceRandom;
-use thistle_platform::standin::{Reach, Silence, VmFake};
+use thistle_platform::standin::{Connectivity, Stall, VmFake};
 
 use super::faults::Soak;
 use super::rhythm::Rhythm;
@@ -101,9 +101,9 @@
     fn mend(&mut self, later: Later) {
         let machines = &self.system.platform.machines;
         match later {
-            Later::InReach(vms) => vms.iter().for_each(|vm| vm.set_reach(Reach::All)),
-            Later::Listed(id) => machines.list_again(&id),
-            Later::Forgotten(id) => machines.forget(&id),
+            Later::InReach(vms) => vms.iter().for_each(|vm| vm.set_connectivity(Connectivity::All)),
+            Later::Listed(id) => machines.rewrite_entry(&id),
+            Later::Forgotten(id) => machines.remove_entry(&id),
             Later::GoesOn(node) => self.go_on(node),
         }
     }
@@ -128,23 +128,28 @@
         let mut vms = self.vms_to_cut();
         vms.truncate(self.rng.random_range(2..=4));
         let held_up = self.rng.random_bool(0.4);
-        let reach = if held_up { Reach::HeldUp } else { Reach::Nothing };
+        let reach = if held_up { Connectivity::Delayed } else { Connectivity::Nothing };
         self.cut(vms, reach, ms)
     }
 
     fn cut_a_part(&mut self) -> String {
         let mut vms = self.vms_to_cut();
         vms.truncate(self.rng.random_range(1..=2));
-        let parts = [Reach::Lists, Reach::LateOrders, Reach::Calls];
+        let parts = [Connectivity::HoldsOnly, Connectivity::LateOrders, Connectivity::Calls];
         let reach = parts[self.rng.random_range(0..parts.len())];
         self.cut(vms, reach, PART_MS)
     }
 
-    fn cut(&mut self, vms: Vec<Arc<VmFake>>, reach: Reach, ms: std::ops::Range<u64>) -> String {
+    fn cut(
+        &mut self,
+        vms: Vec<Arc<VmFake>>,
+        reach: Connectivity,
+        ms: std::ops::Range<u64>,
+    ) -> String {
         for vm in &vms {
-            vm.set_reach(reach);
-            if reach == Reach::Nothing {
-                vm.silence_connections(Silence::BothWays);
+            vm.set_connectivity(reach);
+            if reach == Connectivity::Nothing {
+                vm.stall_connections(Stall::BothWays);
             }
         }
         let ids: Vec<String> = vms.iter().map(|vm| vm.id.to_string()).collect();
@@ -162,7 +167,7 @@
         vms.truncate(self.rng.random_range(1..=2));
         let mut gone = Vec::new();
         for vm in vms {
-            self.system.platform.machines.forget(&vm.id);
+            self.system.platform.machines.remove_entry(&vm.id);
             let after = self.later(ENTRY_MS, Later::Listed(vm.id.clone()));
             gone.push(format!("{} for {after:?}", vm.id));
         }
@@ -176,7 +181,7 @@
             return "no VM is up".to_owned();
         };
         let (name, id) = (vm.place.name.clone(), vm.id.clone());
-        let crashed = self.system.platform.machines.crash_unsaid(&name).await;
+        let crashed = self.system.platform.machines.crash_keeping_entry(&name).await;
         crashed.expect("it comes up again");
         let after = self.later(ENTRY_MS, Later::Forgotten(id.clone()));
         format!("crash of {id}, whose entry stands for {after:?}")
--- a/crates/scheduler/tests/soak/caps.rs
+++ b/crates/scheduler/tests/soak/caps.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use rand::Rng;
-use thistle_platform::standin::Step;
+use thistle_platform::standin::RunEventKind;
 
 use super::checks::Broken;
 use super::faults::Soak;
@@ -58,9 +58,9 @@
             for happening in history {
                 let run = format!("{}#{}", happening.task, happening.attempt);
                 match happening.step {
-                    Step::Started => steps.push((happening.at, run, 1)),
-                    Step::Ended(_) => steps.push((happening.at, run, -1)),
-                    Step::Noted(_) | Step::LeaseOver => (),
+                    RunEventKind::Started => steps.push((happening.at, run, 1)),
+                    RunEventKind::Ended(_) => steps.push((happening.at, run, -1)),
+                    RunEventKind::Acknowledged(_) | RunEventKind::LeaseExpired => (),
                 }
             }
         }
--- a/crates/scheduler/tests/soak/checks.rs
+++ b/crates/scheduler/tests/soak/checks.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use thistle_platform::standin::{Happening, Step};
+use thistle_platform::standin::{RunEvent, RunEventKind};
 
 use super::callers::{Job, Told};
 use super::system::System;
@@ -120,14 +120,14 @@
 }
 
 /// Returns the runs of each task over all VMs, by what happened on each, in the order of their starts.
-fn runs_by_task(histories: Vec<Vec<Happening>>) -> BTreeMap<String, Vec<Run>> {
+fn runs_by_task(histories: Vec<Vec<RunEvent>>) -> BTreeMap<String, Vec<Run>> {
     let mut runs: BTreeMap<String, Vec<Run>> = BTreeMap::new();
     for history in histories {
         let mut here: BTreeMap<(String, u32), Run> = BTreeMap::new();
         for happening in history {
             let key = (happening.task, happening.attempt);
             match happening.step {
-                Step::Started => {
+                RunEventKind::Started => {
                     let run = Run {
                         from: happening.at,
                         to: None,
@@ -136,18 +136,18 @@
                     };
                     here.insert(key, run);
                 }
-                Step::Ended(_) => {
+                RunEventKind::Ended(_) => {
                     if let Some(run) = here.get_mut(&key) {
                         run.to = Some(happening.at);
                     }
                 }
-                Step::Noted(how) => {
+                RunEventKind::Acknowledged(how) => {
                     let counts = |run: &&mut Run| how == "done" && !run.unnoted_in_time;
                     if let Some(run) = here.get_mut(&key).filter(counts) {
                         run.noted_done = Some(happening.at);
                     }
                 }
-                Step::LeaseOver => {
+                RunEventKind::LeaseExpired => {
                     let ended = here.values_mut().filter(|run| run.to.is_some());
                     for run in ended.filter(|run| run.noted_done.is_none()) {
                         run.unnoted_in_time = true;
@@ -174,27 +174,27 @@
     const TASK: &str = "00000001.0.0.0";
 
     /// Returns what happened on two VMs: on the first a run ends done, on the second the task is started 30 ms after the beginning.
-    fn broken_after(first: &[(u64, Step)]) -> Vec<Broken> {
+    fn broken_after(first: &[(u64, RunEventKind)]) -> Vec<Broken> {
         let began = Instant::now();
-        let at = |&(ms, ref step): &(u64, Step), attempt| Happening {
+        let at = |&(ms, ref step): &(u64, RunEventKind), attempt| RunEvent {
             at: began + Duration::from_millis(ms),
             // The end of a lease stands for no run.
-            task: if *step == Step::LeaseOver { String::new() } else { TASK.to_owned() },
-            attempt: if *step == Step::LeaseOver { 0 } else { attempt },
+            task: if *step == RunEventKind::LeaseExpired { String::new() } else { TASK.to_owned() },
+            attempt: if *step == RunEventKind::LeaseExpired { 0 } else { attempt },
             step: step.clone(),
         };
         let first = first.iter().map(|step| at(step, 1)).collect();
-        let second = vec![at(&(30, Step::Started), 2)];
+        let second = vec![at(&(30, RunEventKind::Started), 2)];
         let runs = runs_by_task(vec![first, second]);
         runs.iter().flat_map(|(task, runs)| broken_by_runs(task, runs)).collect()
     }
 
-    fn done() -> Step {
-        Step::Ended("done".to_owned())
+    fn done() -> RunEventKind {
+        RunEventKind::Ended("done".to_owned())
     }
 
-    fn noted() -> Step {
-        Step::Noted("done".to_owned())
+    fn noted() -> RunEventKind {
+        RunEventKind::Acknowledged("done".to_owned())
     }
 
     fn again(noted: Noted) -> Broken {
@@ -203,38 +203,48 @@
 
     #[googletest::test]
     fn an_end_that_was_noted_before_the_start_counts() {
-        let broken = broken_after(&[(0, Step::Started), (10, done()), (20, noted())]);
+        let broken = broken_after(&[(0, RunEventKind::Started), (10, done()), (20, noted())]);
         expect_that!(broken, elements_are![eq(&again(Noted::BeforeTheStart))]);
     }
 
     #[googletest::test]
     fn an_end_that_is_noted_after_the_start_counts() {
-        let broken = broken_after(&[(0, Step::Started), (10, done()), (900, noted())]);
+        let broken = broken_after(&[(0, RunEventKind::Started), (10, done()), (900, noted())]);
         expect_that!(broken, elements_are![eq(&again(Noted::AfterTheStart))]);
     }
 
     #[googletest::test]
     fn an_end_that_is_never_noted_does_not_count() {
-        let broken = broken_after(&[(0, Step::Started), (10, done())]);
+        let broken = broken_after(&[(0, RunEventKind::Started), (10, done())]);
         expect_that!(broken, is_empty());
     }
 
     #[googletest::test]
     fn an_end_that_is_noted_after_its_lease_ran_out_does_not_count() {
-        let steps = [(0, Step::Started), (10, done()), (20, Step::LeaseOver), (900, noted())];
+        let steps = [
+            (0, RunEventKind::Started),
+            (10, done()),
+            (20, RunEventKind::LeaseExpired),
+            (900, noted()),
+        ];
         expect_that!(broken_after(&steps), is_empty());
     }
 
     #[googletest::test]
     fn a_lease_that_runs_out_after_the_note_changes_nothing() {
-        let steps = [(0, Step::Started), (10, done()), (15, noted()), (20, Step::LeaseOver)];
+        let steps = [
+            (0, RunEventKind::Started),
+            (10, done()),
+            (15, noted()),
+            (20, RunEventKind::LeaseExpired),
+        ];
         let broken = broken_after(&steps);
         expect_that!(broken, elements_are![eq(&again(Noted::BeforeTheStart))]);
     }
 
     #[googletest::test]
     fn a_run_that_began_before_the_end_is_one_at_once() {
-        let broken = broken_after(&[(0, Step::Started), (40, done()), (900, noted())]);
+        let broken = broken_after(&[(0, RunEventKind::Started), (40, done()), (900, noted())]);
         let at_once = Broken::TwoAtOnce { task: TASK.to_owned() };
         expect_that!(broken, elements_are![eq(&at_once)]);
     }
--- a/crates/scheduler/tests/soak/evacuations.rs
+++ b/crates/scheduler/tests/soak/evacuations.rs
@@ -63,7 +63,7 @@
         let open = |e: &&mut Evacuated| e.hall == hall && e.to.is_none();
         if let Some(evacuated) = self.evacuations.iter_mut().find(open) {
             evacuated.to = Some(Instant::now());
-            self.system.platform.take_back(hall);
+            self.system.platform.return_to_service(hall);
             self.faults.push(format!("take back {hall}"));
             return;
         }
--- a/crates/scheduler/tests/soak/faults.rs
+++ b/crates/scheduler/tests/soak/faults.rs
@@ -6,7 +6,7 @@
 use hyper::Method;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use thistle_platform::standin::{Fault, Path, Silence};
+use thistle_platform::standin::{Fault, Stall, TcpProxy};
 
 use super::bursts::Later;
 use super::evacuations::Evacuated;
@@ -36,7 +36,7 @@
     pub was_burst: bool,
     /// What is mended at its time.
     pub later: Vec<(Instant, Later)>,
-    pub ways: Vec<Path>,
+    pub ways: Vec<TcpProxy>,
     /// Nodes that are paused by a signal.
     pub paused: Vec<usize>,
     /// Nodes that are down, to be started again.
@@ -53,7 +53,7 @@
         let mut ways = Vec::new();
         for i in 0..nodes {
             let from = (ip(net, 50 + i), WAY_PORT).into();
-            let way = Path::open(from, system.platform.store_addr()).await.expect("it opens");
+            let way = TcpProxy::open(from, system.platform.store_addr()).await.expect("it opens");
             system.add_node_at(ip(net, 10 + i), way.addr);
             ways.push(way);
         }
@@ -170,10 +170,10 @@
     fn way(&mut self, node: usize) -> String {
         let way = &self.ways[node];
         match self.rng.random_range(0..4) {
-            0 => way.silence(Silence::BothWays),
-            1 => way.silence(Silence::Answers),
-            2 => way.silence(Silence::Closed),
-            _ => way.cut(true),
+            0 => way.stall(Stall::BothWays),
+            1 => way.stall(Stall::Answers),
+            2 => way.stall(Stall::Closed),
+            _ => way.set_cut_off(true),
         }
         format!("way of {node}")
     }
@@ -181,7 +181,7 @@
     fn store(&mut self) -> String {
         let faults = [
             Fault::Busy,
-            Fault::Silent,
+            Fault::Unresponsive,
             Fault::Slow,
             Fault::LosesAnswers,
             Fault::Late,
@@ -205,10 +205,10 @@
             return "no VM is up".to_owned();
         };
         match self.rng.random_range(0..5) {
-            0 => vm.set_silent(true),
-            1 => vm.carry_out_late(true),
-            2 => vm.silence_connections(Silence::BothWays),
-            3 => vm.silence_connections(Silence::Answers),
+            0 => vm.set_unresponsive(true),
+            1 => vm.execute_late(true),
+            2 => vm.stall_connections(Stall::BothWays),
+            3 => vm.stall_connections(Stall::Answers),
             _ => {
                 let name = vm.place.name.clone();
                 self.system.platform.machines.crash(&name).await.expect("it comes up again");
--- a/crates/scheduler/tests/soak/mend.rs
+++ b/crates/scheduler/tests/soak/mend.rs
@@ -16,7 +16,7 @@
                 "store mended".to_owned()
             }
             1 => {
-                self.ways.iter().for_each(|way| way.cut(false));
+                self.ways.iter().for_each(|way| way.set_cut_off(false));
                 "ways mended".to_owned()
             }
             2 => {
@@ -33,8 +33,8 @@
     fn mend_vms(&self) {
         let vms = self.system.platform.machines.vms();
         for vm in vms.iter().filter(|vm| !self.is_cut_off(vm)) {
-            vm.set_silent(false);
-            vm.carry_out_late(false);
+            vm.set_unresponsive(false);
+            vm.execute_late(false);
         }
     }
 
@@ -93,7 +93,7 @@
             until("it has ended", || std::future::ready(node.has_ended())).await;
         }
         self.system.platform.store.set_fault(Fault::None);
-        self.ways.iter().for_each(|way| way.cut(false));
+        self.ways.iter().for_each(|way| way.set_cut_off(false));
         self.mend_vms();
         self.bring_up().await;
         for node in &self.system.nodes {
--- a/crates/scheduler/tests/system/mod.rs
+++ b/crates/scheduler/tests/system/mod.rs
@@ -11,7 +11,7 @@
 use hyper::Method;
 use thistle_platform::KEY_HEADER;
 use thistle_platform::http::{Answer, Call, HttpClient};
-use thistle_platform::standin::{Standin, Step, bodies};
+use thistle_platform::standin::{FakePlatform, RunEventKind, bodies};
 
 pub use thistle_platform::standin::bodies::job;
 
@@ -146,7 +146,7 @@
 
 /// A platform with VMs, and nodes.
 pub struct System {
-    pub platform: Standin,
+    pub platform: FakePlatform,
     pub nodes: Vec<Node>,
     /// What the one workspace of further configurations may run, in thousandths of a core; without it there is no workspace.
     pub cap: Option<u32>,
@@ -172,7 +172,7 @@
     /// Starts a platform with VMs and nodes; `net` is the test's own part of the loopback net.
     pub async fn start(net: u8, vms: u8, nodes: u8) -> Self {
         let ip = |host: u8| ip(net, host);
-        let platform = Standin::start(ip(1)).await.expect("the fake starts");
+        let platform = FakePlatform::start(ip(1)).await.expect("the fake starts");
         for i in 0..vms {
             let added = platform.machines.add(&format!("m-{i}"), POOL, ip(100 + i)).await;
             added.expect("the VM starts");
@@ -203,7 +203,7 @@
     /// Returns the runs that were started in a data hall, with when.
     pub fn starts_in(&self, hall: &str) -> Vec<(Instant, String)> {
         let happenings = self.platform.machines.histories_in(hall).into_iter().flatten();
-        let started = happenings.filter(|happening| happening.step == Step::Started);
+        let started = happenings.filter(|happening| happening.step == RunEventKind::Started);
         started.map(|h| (h.at, format!("{}#{}", h.task, h.attempt))).collect()
     }
 
--- a/crates/scheduler/tests/told_not_done.rs
+++ b/crates/scheduler/tests/told_not_done.rs
@@ -14,7 +14,7 @@
 use system::{System, job, submit, until, until_state};
 use thistle_platform::http::{Call, HttpClient};
 use thistle_platform::standin::paths::{APPEND, HOLD};
-use thistle_platform::{NOT_ANSWERED, NOT_PASSED_ON};
+use thistle_platform::{NOT_ANSWERED, NOT_FORWARDED};
 
 /// What the log says when the owner of the pool begins.
 const TOOK_OVER: &str = "owner pool=desk step=took-over";
@@ -38,7 +38,7 @@
     let rule = |asked: Asked| async move {
         let is_ours = asked.path.starts_with(APPEND) && asked.path.contains("keyed.passed");
         let told = asked.forward().await;
-        if is_ours { Some(answer(NOT_PASSED_ON, "")) } else { told }
+        if is_ours { Some(answer(NOT_FORWARDED, "")) } else { told }
     };
     let store = system.platform.store_addr();
     let door = middle::stand_for(store, system::ip(102, 2), rule).await;
--- a/crates/scheduler/tests/turns.rs
+++ b/crates/scheduler/tests/turns.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use thistle_scheduler::turns::Turns;
+use thistle_scheduler::concurrency_limit::ConcurrencyLimit;
 use tokio::time::Instant;
 
 const MOST: Duration = Duration::from_millis(1_000);
@@ -13,25 +13,25 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn one_that_gets_no_turn_in_time_is_told_so() {
-    let turns = Turns::new(1, 1);
-    let first = turns.take(false, MOST).await;
+    let turns = ConcurrencyLimit::new(1, 1);
+    let first = turns.acquire(false, MOST).await;
     expect_that!(first.is_some(), eq(true));
     let began = Instant::now();
-    expect_that!(turns.take(false, MOST).await.is_none(), eq(true));
+    expect_that!(turns.acquire(false, MOST).await.is_none(), eq(true));
     expect_that!(began.elapsed(), lt(2 * MOST));
     drop(first);
-    expect_that!(turns.take(false, MOST).await.is_some(), eq(true));
+    expect_that!(turns.acquire(false, MOST).await.is_some(), eq(true));
 }
 
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn one_beside_a_slow_store_does_not_wait_for_those_of_before_and_few_go_at_once() {
-    let turns = Turns::new(1, 2);
-    let _before = turns.take(false, MOST).await;
-    let first = turns.take(true, MOST).await;
-    let second = turns.take(true, MOST).await;
+    let turns = ConcurrencyLimit::new(1, 2);
+    let _before = turns.acquire(false, MOST).await;
+    let first = turns.acquire(true, MOST).await;
+    let second = turns.acquire(true, MOST).await;
     expect_that!(first.is_some() && second.is_some(), eq(true));
-    expect_that!(turns.take(true, MOST).await.is_none(), eq(true));
+    expect_that!(turns.acquire(true, MOST).await.is_none(), eq(true));
     drop(first);
-    expect_that!(turns.take(true, MOST).await.is_some(), eq(true));
+    expect_that!(turns.acquire(true, MOST).await.is_some(), eq(true));
 }
--- a/crates/scheduler/tests/works_on.rs
+++ b/crates/scheduler/tests/works_on.rs
@@ -20,7 +20,7 @@
 use googletest::prelude::*;
 use system::{System, job, submit, until, until_state};
 use thistle_platform::listing;
-use thistle_platform::standin::Silence;
+use thistle_platform::standin::Stall;
 
 const ID: &str = "5c0e7a21d94b36f8";
 /// Tasks that fill the VMs.
@@ -37,7 +37,7 @@
         platform.machines.vms().iter().find(|vm| vm.place.name == "m-0").map(|vm| vm.incarnation())
     };
     let older = life().expect("it is up");
-    platform.machines.crash_unsaid("m-0").await.expect("the next one starts");
+    platform.machines.crash_keeping_entry("m-0").await.expect("the next one starts");
     let newer = life().expect("it is up");
     let both = [
         format!("step=listed vm={newer} "),
@@ -50,10 +50,10 @@
     let vms = platform.machines.vms();
     let vm = vms.iter().find(|vm| &*vm.id == "i-m-0-2").expect("it is up");
     platform.store.put(listing::TOPIC, &vm.id, "");
-    vm.set_silent(true);
-    vm.silence_connections(Silence::Answers);
+    vm.set_unresponsive(true);
+    vm.stall_connections(Stall::Answers);
     tokio::time::sleep(AWAY).await;
-    vm.set_silent(false);
+    vm.set_unresponsive(false);
     platform.store.put(listing::TOPIC, &vm.id, vm.entry());
     until_state(node, ID, "completed").await;
     tokio::time::sleep(AWAY).await;
