--- a/crates/schedule/src/fleet/mod.rs
+++ b/crates/schedule/src/fleet/mod.rs
@@ -132,15 +132,15 @@
         &self.record
     }
 
-    /// Sets the list of VMs, which was requested at `asked_at`.
-    pub fn set_vms(&mut self, vms: Vec<FleetVm>, asked_at: Ms) {
+    /// Sets the list of VMs, which was requested at `requested_at`.
+    pub fn set_vms(&mut self, vms: Vec<FleetVm>, requested_at: Ms) {
         self.vms = vms.into_iter().map(|vm| (vm.name.clone(), vm)).collect();
         for (name, order) in self.order_states.iter_mut().filter(|(_, o)| o.done_at.is_some()) {
             let vm = self.vms.get(name.as_str());
             order.seen_away |= vm.is_some_and(|vm| vm.state == VmState::Away);
         }
-        self.listed_at = Some(asked_at);
-        self.record_missing(asked_at);
+        self.listed_at = Some(requested_at);
+        self.record_missing(requested_at);
     }
 
     /// Sets the pools that run jobs, and the one whose VMs are switched off.
--- a/crates/schedule/src/fleet/wave.rs
+++ b/crates/schedule/src/fleet/wave.rs
@@ -38,17 +38,17 @@
 
     /// Returns whether the wave can wait for VMs that their pools need.
     fn has_time(&self, left: usize, now: Ms) -> bool {
-        let Some(asked_at) = self.request.requested_at else { return false };
+        let Some(requested_at) = self.request.requested_at else { return false };
         let rounds = left.div_ceil(self.request.cap.max(1));
         let needed = VM_TIME_MS * Ms::try_from(rounds).unwrap_or(Ms::MAX) + RESERVE_MS;
-        now + needed < asked_at + self.request.duration_ms
+        now + needed < requested_at + self.request.duration_ms
     }
 
     /// Returns the number of VMs that must be worked on at once for the wave to finish in time.
     fn required_parallelism(&self, left: usize, now: Ms) -> usize {
         let all = self.request.cap.max(1) + EMPTIED_AHEAD;
-        let Some(asked_at) = self.request.requested_at else { return all };
-        let end = (asked_at + self.request.duration_ms).saturating_sub(RESERVE_MS);
+        let Some(requested_at) = self.request.requested_at else { return all };
+        let end = (requested_at + self.request.duration_ms).saturating_sub(RESERVE_MS);
         let time = usize::try_from(end.saturating_sub(now)).unwrap_or(usize::MAX);
         let vm_time = usize::try_from(VM_TIME_MS).unwrap_or(usize::MAX);
         (left * vm_time).checked_div(time).map_or(all, |parallelism| (parallelism + 1).min(all))
@@ -65,16 +65,18 @@
 
     /// Records which VMs of waves are missing from a list. Those that have been missing for long have left permanently and
     /// count as done.
-    pub(super) fn record_missing(&mut self, asked_at: Ms) {
+    pub(super) fn record_missing(&mut self, requested_at: Ms) {
         let vms = &self.vms;
         self.missing_since.retain(|name, _| !vms.contains_key(name.as_str()));
         for record in &mut self.record.waves {
             for name in record.left.iter().filter(|name| !vms.contains_key(name.as_str())) {
-                self.missing_since.entry(name.clone()).or_insert(asked_at);
+                self.missing_since.entry(name.clone()).or_insert(requested_at);
             }
             let missing = &self.missing_since;
             let is_gone = |name: &String| {
-                missing.get(name).is_some_and(|since| asked_at.saturating_sub(*since) >= GONE_MS)
+                missing
+                    .get(name)
+                    .is_some_and(|since| requested_at.saturating_sub(*since) >= GONE_MS)
             };
             let (gone, left): (IndexSet<String>, IndexSet<String>) =
                 record.left.drain(..).partition(is_gone);
--- a/crates/schedule/src/ownership.rs
+++ b/crates/schedule/src/ownership.rs
@@ -124,12 +124,13 @@
     }
 
     /// Records a heartbeat that was read.
-    pub fn record_heartbeat(&mut self, name: &str, beat: &Heartbeat, now: Ms) {
-        let Heartbeat { incarnation: life, sequence, leaving, relay, speed } = *beat;
-        let update =
-            Member { speed, relay, incarnation: life, sequence, leaving, last_contact: now };
+    pub fn record_heartbeat(&mut self, name: &str, heartbeat: &Heartbeat, now: Ms) {
+        let Heartbeat { incarnation, sequence, leaving, relay, speed } = *heartbeat;
+        let update = Member { speed, relay, incarnation, sequence, leaving, last_contact: now };
         match self.members.get_mut(name) {
-            Some(m) if m.incarnation == life && m.sequence >= sequence => m.leaving |= leaving,
+            Some(m) if m.incarnation == incarnation && m.sequence >= sequence => {
+                m.leaving |= leaving
+            }
             Some(m) => *m = update,
             None => {
                 self.members.insert(name.to_owned(), update);
@@ -139,11 +140,11 @@
 
     /// Records a heartbeat that was read from the fallback partition. It may be outdated, so it does not introduce another
     /// incarnation of a known member.
-    pub fn record_fallback_heartbeat(&mut self, name: &str, beat: &Heartbeat, now: Ms) {
+    pub fn record_fallback_heartbeat(&mut self, name: &str, heartbeat: &Heartbeat, now: Ms) {
         let is_other_incarnation =
-            self.members.get(name).is_some_and(|m| m.incarnation != beat.incarnation);
+            self.members.get(name).is_some_and(|m| m.incarnation != heartbeat.incarnation);
         if !is_other_incarnation {
-            self.record_heartbeat(name, beat, now);
+            self.record_heartbeat(name, heartbeat, now);
         }
     }
 
--- a/crates/schedule/src/pool/incarnation.rs
+++ b/crates/schedule/src/pool/incarnation.rs
@@ -147,15 +147,15 @@
         stopped
     }
 
-    /// Records an answer to a query sent at `asked_at`.
-    pub fn record_answer(&mut self, asked_at: Ms, listing_is_complete: bool, now: Ms) {
+    /// Records an answer to a query sent at `requested_at`.
+    pub fn record_answer(&mut self, requested_at: Ms, listing_is_complete: bool, now: Ms) {
         self.reachable = true;
         self.unresponsive_since = None;
         if self.listed || !listing_is_complete {
             return;
         }
         let first = *self.answered_unlisted.get_or_insert(now);
-        self.leaving_unannounced |= asked_at >= first;
+        self.leaving_unannounced |= requested_at >= first;
     }
 
     pub fn record_success(&mut self) {
--- a/crates/schedule/src/pool/report.rs
+++ b/crates/schedule/src/pool/report.rs
@@ -75,14 +75,14 @@
         task.attempt != end.run.attempt || task.state != TaskState::Done
     }
 
-    fn apply_run_row(&mut self, key: VmKey, row: &RunRow, asked_at: Ms, now: Now) {
+    fn apply_run_row(&mut self, key: VmKey, row: &RunRow, requested_at: Ms, now: Now) {
         let vm = &mut self.vms[key];
         let task = row.run.task;
         if let Some(run) = vm.runs.get_mut(&task).filter(|r| r.attempt == row.run.attempt) {
             run.figure = row.metric;
             (run.progress, run.progress_at) = (row.percent, now.steady);
             // A listed run exists, even if this owner did not order it and never received an answer about it.
-            run.confirmed.get_or_insert(asked_at);
+            run.confirmed.get_or_insert(requested_at);
             (run.listed, run.unclear) = (true, false);
             if !row.checkpoint.is_empty() {
                 run.checkpoint.clone_from(&row.checkpoint);
--- a/crates/schedule/src/pool/suspects.rs
+++ b/crates/schedule/src/pool/suspects.rs
@@ -207,17 +207,17 @@
         let Some(job) = self.jobs.get_mut(key).filter(|job| job.phase == Phase::Open) else {
             return;
         };
-        let history = job.crash_histories.entry(task).or_default();
-        change(history);
-        let (verdict, history) = (history.verdict(), history.clone());
-        if history == CrashHistory::default() {
+        let crash_history = job.crash_histories.entry(task).or_default();
+        change(crash_history);
+        let (verdict, crash_history) = (crash_history.verdict(), crash_history.clone());
+        if crash_history == CrashHistory::default() {
             job.crash_histories.remove(&task);
         }
         job.crash_history_changed_at = now.steady;
         self.update_affected(key);
         self.mark_changed(key);
         if verdict == Verdict::GivenUp {
-            self.abandoned.push(AbandonedTask { task, crash_history: history });
+            self.abandoned.push(AbandonedTask { task, crash_history });
             self.settle(key, Phase::Failed, now);
         }
     }
--- a/crates/schedule/src/pool/takeover.rs
+++ b/crates/schedule/src/pool/takeover.rs
@@ -43,11 +43,11 @@
             // All repetitions before a recorded one are due as well, whatever this node's clock says.
             job.open_repetitions_up_to(last);
         }
-        for CrashHistoryRecord { time, step, index, crash_history: harm } in
+        for CrashHistoryRecord { time, step, index, crash_history } in
             &entry.progress.crash_histories
         {
             let task = TaskId { job: id, time: *time, step: *step, index: *index };
-            job.crash_histories.insert(task, harm.clone());
+            job.crash_histories.insert(task, crash_history.clone());
         }
         let key = self.jobs.insert(job);
         self.job_keys.insert(id, key);
--- a/crates/schedule/src/workspace.rs
+++ b/crates/schedule/src/workspace.rs
@@ -81,7 +81,7 @@
 }
 
 impl Workspaces {
-    /// Creates the set of workspaces. Ambiguous names and keys are left out and reported by [`Workspaces::doubts`].
+    /// Creates the set of workspaces. Ambiguous names and keys are left out and reported by [`Workspaces::warnings`].
     pub fn new(configs: Vec<WorkspaceConfig>, secret: &KeySecret) -> Self {
         let mut workspaces = Self::default();
         for config in configs {
--- a/crates/schedule/tests/common/mod.rs
+++ b/crates/schedule/tests/common/mod.rs
@@ -105,8 +105,8 @@
     RunRow { run, checkpoint: String::new(), percent, metric: None }
 }
 
-pub fn report(asked_at: Ms, running: Vec<RunRow>, ended: Vec<RunEnd>) -> VmReport {
-    VmReport { requested_at: asked_at, running, ended }
+pub fn report(requested_at: Ms, running: Vec<RunRow>, ended: Vec<RunEnd>) -> VmReport {
+    VmReport { requested_at, running, ended }
 }
 
 /// Ends a run in a report of its VM that lists nothing else as running.
--- a/crates/schedule/tests/link_world/link.rs
+++ b/crates/schedule/tests/link_world/link.rs
@@ -265,7 +265,7 @@
     }
 
     fn take_hold(&mut self, answer: Option<Answer>, now: Ms, events: &mut Vec<Event>) {
-        let Some((_, asked_at, wait)) = self.hold.take() else { return };
+        let Some((_, requested_at, wait)) = self.hold.take() else { return };
         self.answered_at = answer.is_some().then_some(now);
         if let Some(Answer::Held { life, clock, running, ended }) = answer {
             if life != self.vm {
@@ -288,10 +288,7 @@
             }
             let row = |run| RunRow { run, checkpoint: String::new(), percent: 100, metric: None };
             let running = running.into_iter().map(row).collect();
-            events.push(Event::Report(
-                self.vm.clone(),
-                VmReport { requested_at: asked_at, running, ended },
-            ));
+            events.push(Event::Report(self.vm.clone(), VmReport { requested_at, running, ended }));
             return;
         }
         self.lease.set_unresponsive();
--- a/crates/schedule/tests/ownership.rs
+++ b/crates/schedule/tests/ownership.rs
@@ -9,12 +9,12 @@
 };
 use thistle_schedule::{Ms, TaskLease};
 
-fn node(name: &str, life: u64) -> NodeIncarnation {
-    NodeIncarnation { name: name.to_owned(), incarnation: life }
+fn node(name: &str, incarnation: u64) -> NodeIncarnation {
+    NodeIncarnation { name: name.to_owned(), incarnation }
 }
 
-fn beat(life: u64, sequence: u64) -> Heartbeat {
-    Heartbeat { incarnation: life, sequence, leaving: false, relay: None, speed: 0 }
+fn beat(incarnation: u64, sequence: u64) -> Heartbeat {
+    Heartbeat { incarnation, sequence, leaving: false, relay: None, speed: 0 }
 }
 
 fn claim(name: &str, life: u64) -> Claim {
--- a/crates/scheduler/src/control/mod.rs
+++ b/crates/scheduler/src/control/mod.rs
@@ -161,8 +161,8 @@
     }
     reconcile_owner(node, running, &FLEET.into(), None);
     reconcile_owner(node, running, &CAPS.into(), None);
-    let owning = !running.is_empty();
-    node.is_owner.set(owning);
+    let is_owner = !running.is_empty();
+    node.is_owner.set(is_owner);
 }
 
 /// Starts or stops the owner of a pool, or of the fleet or the caps, which have no log.
--- a/crates/scheduler/src/find_job.rs
+++ b/crates/scheduler/src/find_job.rs
@@ -94,7 +94,7 @@
     let settled = known_reply(log, id, caller).filter(|&reply| is_settled(reply));
     let reply = match settled {
         Some(reply) => reply,
-        None if is_read_here(node, log).await => local_state(node, log, id, caller).await,
+        None if is_followed(node, log).await => local_state(node, log, id, caller).await,
         None => {
             let (pool, caller) = (log.pool.to_string(), caller.clone());
             query_peers(node, &Query::State { pool, id, caller }).await
@@ -138,7 +138,7 @@
 /// Returns the number of jobs of a queue that have not started, or `None` if the number is currently unavailable.
 pub async fn pending(node: &Node, queue: &Queue) -> Option<u64> {
     let log = node.pool_log_of(&queue.pool)?;
-    let reply = match is_read_here(node, &log).await {
+    let reply = match is_followed(node, &log).await {
         true => local_pending(node, &log, &queue.name).await,
         false => {
             let (pool, queue) = (log.pool.to_string(), queue.name.to_string());
@@ -183,7 +183,7 @@
 
 async fn local_reply(node: &Node, query: &Query) -> QueryReply {
     let Some(log) = node.pool_log_of(query.pool()) else { return QueryReply::NotRead };
-    if !is_read_here(node, &log).await {
+    if !is_followed(node, &log).await {
         return QueryReply::NotRead;
     }
     match query {
@@ -206,7 +206,7 @@
 }
 
 /// Returns whether this node follows a pool's records, after a short wait if the node has only just become the owner.
-async fn is_read_here(node: &Node, log: &PoolLog) -> bool {
+async fn is_followed(node: &Node, log: &PoolLog) -> bool {
     if !log.is_followed() && lock(&node.ownership).my_token(&log.pool).is_some() {
         log.wait_until_owned(TAKEOVER_TIMEOUT).await;
     }
--- a/crates/scheduler/src/follow.rs
+++ b/crates/scheduler/src/follow.rs
@@ -102,8 +102,8 @@
 /// The same pause while no VM is moving to another pool or in maintenance, so that no VM's heartbeat is awaited.
 const QUIET_OWNER_PAUSE: Duration = Duration::from_millis(400);
 
-async fn pause_before_next_read(node: &Node, pace: ReadMode) {
-    match pace {
+async fn pause_before_next_read(node: &Node, mode: ReadMode) {
+    match mode {
         ReadMode::Immediate => (),
         ReadMode::Batched => {
             let quiet = node.fleet.borrow().work.is_empty();
@@ -113,11 +113,11 @@
 }
 
 /// Follows a partition until the future is dropped, and calls `apply` with the records of each read and the reader.
-/// `pace` sets the pause between two reads.
+/// `mode` sets the pause between two reads.
 pub async fn follow(
     node: &Node,
     mut tail: Tail,
-    pace: ReadMode,
+    mode: ReadMode,
     mut apply: impl FnMut(Update, &Tail),
 ) {
     let mut wait = Duration::ZERO;
@@ -129,7 +129,7 @@
                 failures.record_success(&tail.topic, tail.part);
                 wait = if update.is_empty() { WAIT } else { WAIT_AFTER_RECORDS };
                 apply(update, &tail);
-                pause_before_next_read(node, pace).await;
+                pause_before_next_read(node, mode).await;
             }
             Err(e) => {
                 node.store_health.record_call(false);
@@ -147,7 +147,7 @@
 pub async fn follow_while_owning(
     node: &Node,
     (topic, part): (&str, u32),
-    pace: ReadMode,
+    mode: ReadMode,
     mut apply: impl FnMut(Update),
     mut clear: impl FnMut(),
 ) {
@@ -155,7 +155,7 @@
         node.is_owner.wait_for(true).await;
         let tail = Tail::new(topic, part);
         tokio::select! {
-            () = follow(node, tail, pace, |update, _| apply(update)) => (),
+            () = follow(node, tail, mode, |update, _| apply(update)) => (),
             () = node.is_owner.wait_for(false) => (),
         }
         clear();
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -16,7 +16,7 @@
 pub async fn follow_config(node: Arc<Node>) {
     let cx = node.clone();
     follow(&node, Tail::new(config::TOPIC, 0), ReadMode::Immediate, move |update, tail| {
-        let (records, asked_at) = match update {
+        let (records, requested_at) = match update {
             Update::Reloaded(records) => {
                 end_withdrawn_evacuations(&cx, &records);
                 (records, None)
@@ -27,7 +27,7 @@
             if stored.record.key == config::CATALOG_KEY {
                 apply_catalog(&cx, &stored);
             } else if let Some(wave) = config::wave_of_key(&stored.record.key) {
-                apply_wave(&cx, wave, &stored, asked_at);
+                apply_wave(&cx, wave, &stored, requested_at);
             } else if let Some(hall) = config::hall_of_key(&stored.record.key) {
                 apply_hall(&cx, hall, &stored);
             }
@@ -76,10 +76,10 @@
     node.catalog.send_replace(Some(catalog));
 }
 
-fn apply_wave(node: &Node, wave: u64, stored: &Stored, asked_at: Option<Ms>) {
+fn apply_wave(node: &Node, wave: u64, stored: &Stored, requested_at: Option<Ms>) {
     let Some(value) = stored.record.value() else { return };
     let request = match config::decode_wave(value) {
-        Ok(request) => WaveRequest { requested_at: asked_at, ..request },
+        Ok(request) => WaveRequest { requested_at, ..request },
         Err(e) => {
             log::error!("wave wave={wave} step=unreadable error=\"{}\"", e.0);
             return;
--- a/crates/scheduler/src/overview.rs
+++ b/crates/scheduler/src/overview.rs
@@ -72,7 +72,8 @@
     /// Tasks that have left their initial state, with their current state.
     tasks: Vec<String>,
     /// Tasks under which VMs were lost, with their crash history and verdict.
-    harms: Vec<String>,
+    #[serde(rename = "harms")]
+    crash_histories: Vec<String>,
 }
 
 /// Reads the state of the system from the store; `job` is the ID of a job to find.
@@ -188,7 +189,7 @@
             }
             let Some(entry) = log.get(id) else { continue };
             let Some((spec, state)) = entry.spec.as_ref().zip(entry.state()) else { continue };
-            let harm = |h: &thistle_schedule::crash_history::CrashHistoryRecord| {
+            let history = |h: &thistle_schedule::crash_history::CrashHistoryRecord| {
                 let name = format!("{id}.{}.{}.{}", h.time, h.step, h.index);
                 let (crashes, at_start, alone) =
                     (h.crash_history.crashes, h.crash_history.at_start, h.crash_history.alone);
@@ -216,7 +217,7 @@
                 workspace: spec.workspace.clone(),
                 state: format!("{state:?}").to_lowercase(),
                 tasks: entry.progress.tasks.iter().map(task).collect(),
-                harms: entry.progress.crash_histories.iter().map(harm).collect(),
+                crash_histories: entry.progress.crash_histories.iter().map(history).collect(),
             });
             return Ok(());
         }
@@ -311,7 +312,7 @@
         if let Some(job) = &self.job {
             let JobView { id, state, queue, pool, workspace, .. } = job;
             writeln!(f, "job {id} {state} queue {queue} pool {pool} workspace {workspace}")?;
-            for task in job.tasks.iter().chain(&job.harms) {
+            for task in job.tasks.iter().chain(&job.crash_histories) {
                 writeln!(f, "  {task}")?;
             }
         }
--- a/crates/scheduler/src/owner/progress.rs
+++ b/crates/scheduler/src/owner/progress.rs
@@ -145,7 +145,7 @@
     }
 
     /// Opens the overflow partitions because neither the first nor the fallback partition accepts progress. Without
-    /// them a pool stalled for 5.7 s at the start of its outage, and its kind of request earned 0.37 of what was due on
+    /// them a pool stalled for 5.7 s at the onset of its peak load, and its kind of request earned 0.37 of what was due on
     /// that day.
     async fn open_overflow_partitions(&mut self) {
         let is_open = self.journal.parts().any(|part| OVERFLOW_PROGRESS.contains(&part));
--- a/crates/scheduler/src/owner/telemetry.rs
+++ b/crates/scheduler/src/owner/telemetry.rs
@@ -10,8 +10,8 @@
 impl Owner {
     /// Logs the tasks that were abandoned because VMs crashed under them.
     pub(super) fn log_abandoned_tasks(&mut self) {
-        for AbandonedTask { task, crash_history: harm } in self.pool.take_abandoned() {
-            let CrashHistory { crashes, at_start, alone, .. } = harm;
+        for AbandonedTask { task, crash_history } in self.pool.take_abandoned() {
+            let CrashHistory { crashes, at_start, alone, .. } = crash_history;
             log::warn!(
                 "job step=given-up task={task} crashes={crashes} at_start={at_start} alone={alone}"
             );
--- a/crates/scheduler/src/owner/vms.rs
+++ b/crates/scheduler/src/owner/vms.rs
@@ -203,14 +203,14 @@
         }
         let pool = self.log.pool.to_string();
         counter!("thistle_vms_lost", "pool" => pool, "reason" => format!("{loss:?}")).increment(1);
-        for LostRun { run, age, may_exist: may_be_there } in lost {
-            let harm = self.pool.crash_history_of(run.task).cloned().unwrap_or_default();
+        for LostRun { run, age, may_exist } in lost {
+            let history = self.pool.crash_history_of(run.task).cloned().unwrap_or_default();
             log::info!(
-                "run step=lost run={run} vm={vm} reason={loss:?} age_ms={age} may_be_there={may_be_there} crashes={} at_start={} unclear={} verdict={:?}",
-                harm.crashes,
-                harm.at_start,
-                harm.unclear.len(),
-                harm.verdict(),
+                "run step=lost run={run} vm={vm} reason={loss:?} age_ms={age} may_be_there={may_exist} crashes={} at_start={} unclear={} verdict={:?}",
+                history.crashes,
+                history.at_start,
+                history.unclear.len(),
+                history.verdict(),
             );
         }
     }
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -104,15 +104,15 @@
     let mut previous = None;
     loop {
         tokio::time::sleep(PROBE_INTERVAL).await;
-        let detour = node.store.forwarding_peer();
-        if detour != previous {
-            match detour {
+        let peer = node.store.forwarding_peer();
+        if peer != previous {
+            match peer {
                 Some(peer) => log::warn!("store step=turned-away through={peer}"),
                 None => log::info!("store step=direct-again"),
             }
-            previous = detour;
+            previous = peer;
         }
-        if detour.is_some() {
+        if peer.is_some() {
             node.store.probe_directly().await;
         }
     }
