--- a/crates/schedule/src/ownership.rs
+++ b/crates/schedule/src/ownership.rs
@@ -129,7 +129,7 @@
         let update = Member { speed, relay, incarnation, sequence, leaving, last_contact: now };
         match self.members.get_mut(name) {
             Some(m) if m.incarnation == incarnation && m.sequence >= sequence => {
-                m.leaving |= leaving
+                m.leaving |= leaving;
             }
             Some(m) => *m = update,
             None => {
--- a/crates/schedule/src/pool/advice.rs
+++ b/crates/schedule/src/pool/advice.rs
@@ -85,7 +85,7 @@
         if state.in_flight || now.steady < state.retry_at {
             return;
         }
-        let fits = |vm: &&super::Vm| vm.takes_work() && vm.free().fits(step_spec.room());
+        let fits = |vm: &&super::Vm| vm.accepts_work() && vm.free().fits(step_spec.room());
         let mut vms: Vec<&super::Vm> = self.vms.values().filter(fits).collect();
         vms.sort_by_key(|vm| std::cmp::Reverse(vm.free().cpu));
         let vms: Vec<VmIncarnation> =
--- a/crates/schedule/src/pool/evacuate.rs
+++ b/crates/schedule/src/pool/evacuate.rs
@@ -93,7 +93,7 @@
             let same_step_count = other.runs.keys().filter(|t| same_step(t)).count();
             let spread = usize::try_from(step_spec.anti_affinity).unwrap_or(usize::MAX);
             key != vm
-                && other.takes_work()
+                && other.accepts_work()
                 && other.excluded_until <= now.steady
                 && other.free().fits(step_spec.room())
                 && (spread == 0 || same_step_count < spread)
--- a/crates/schedule/src/pool/incarnation.rs
+++ b/crates/schedule/src/pool/incarnation.rs
@@ -93,7 +93,7 @@
     }
 
     /// Returns whether new tasks may be placed on the VM, regardless of its free room.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         let fit =
             self.listed && self.token_confirmed && self.reachable && self.unknown_runs.is_empty();
         let readable = self.facts.as_ref().is_some_and(|f| !f.unreadable);
--- a/crates/schedule/src/pool/job.rs
+++ b/crates/schedule/src/pool/job.rs
@@ -116,7 +116,7 @@
     /// The estimated length of the critical path from each step to the end of the job, in milliseconds.
     pub critical_paths: Vec<u64>,
     pub phase: Phase,
-    pub begun: bool,
+    pub has_started: bool,
     pub settled_ms: u64,
     /// Open repetitions: those that are due and not done.
     pub repetitions: BTreeMap<u32, RepetitionState>,
@@ -141,7 +141,7 @@
             beyond_share: false,
             critical_paths: spec.critical_paths(),
             phase: Phase::Open,
-            begun: false,
+            has_started: false,
             settled_ms: 0,
             repetitions: BTreeMap::new(),
             next_repetition: 0,
@@ -249,7 +249,7 @@
         };
         let mut progress = Progress {
             phase: self.phase,
-            begun: self.begun,
+            begun: self.has_started,
             settled_ms: self.settled_ms,
             crash_histories: self.crash_histories.iter().map(crash_history).collect(),
             ..Progress::default()
--- a/crates/schedule/src/pool/mod.rs
+++ b/crates/schedule/src/pool/mod.rs
@@ -203,7 +203,7 @@
     /// Returns the current load.
     pub fn load(&self, now: Now) -> Load {
         let mut load = Load::default();
-        for vm in self.vms.values().filter(|vm| vm.takes_work()) {
+        for vm in self.vms.values().filter(|vm| vm.accepts_work()) {
             load.vms += 1;
             load.cpu += u64::from(vm.room().cpu);
             load.used_cpu += u64::from(vm.used.cpu);
--- a/crates/schedule/src/pool/need.rs
+++ b/crates/schedule/src/pool/need.rs
@@ -56,7 +56,7 @@
                 let left = self.time_left(task, run, now.steady);
                 let end = remaining.entry(step_of(task)).or_default();
                 *end = left.max(*end);
-                if left > lead && vm.takes_work() {
+                if left > lead && vm.accepts_work() {
                     let cpu = u64::from(run.demand.cpu);
                     match late.contains(&task.job) {
                         true => demand.late += cpu,
@@ -64,7 +64,7 @@
                     }
                 }
             }
-            if vm.takes_work() {
+            if vm.accepts_work() {
                 let lasting = vm.runs.values().filter(|run| run.lasting);
                 demand.staying += lasting.map(|run| u64::from(run.demand.cpu)).sum::<u64>();
                 if vm.is_occupied_by_suspect(now.steady) {
@@ -100,7 +100,7 @@
     /// Returns the CPU of the VMs that waiting suspects will occupy beyond their own demand, as each runs alone. At most as many
     /// VMs are added as the pool has now, so that many suspects do not claim all VMs at once.
     fn cpu_held_by_suspects(&self, now: Ms) -> u64 {
-        let vms: Vec<&Vm> = self.vms.values().filter(|vm| vm.takes_work()).collect();
+        let vms: Vec<&Vm> = self.vms.values().filter(|vm| vm.accepts_work()).collect();
         let cpu: u64 = vms.iter().map(|vm| u64::from(vm.room().cpu)).sum();
         let waiting = self.waiting_suspects(now).min(vms.len());
         let held = cpu * u64::try_from(waiting).unwrap_or(u64::MAX);
@@ -146,7 +146,7 @@
 
     /// Returns the CPU capacity of the largest VM that accepts work.
     fn largest_cpu(&self) -> u32 {
-        let rooms = self.vms.values().filter(|vm| vm.takes_work()).map(|vm| vm.room().cpu);
+        let rooms = self.vms.values().filter(|vm| vm.accepts_work()).map(|vm| vm.room().cpu);
         rooms.max().unwrap_or(0)
     }
 
--- a/crates/schedule/src/pool/place.rs
+++ b/crates/schedule/src/pool/place.rs
@@ -47,7 +47,7 @@
 
     /// Places waiting tasks while there is room. Jobs are ordered by the crashes under their suspects, then by rank.
     pub(super) fn place_waiting(&mut self, now: Now) {
-        if !self.vms.values().any(|vm| vm.takes_work() && vm.excluded_until <= now.steady) {
+        if !self.vms.values().any(|vm| vm.accepts_work() && vm.excluded_until <= now.steady) {
             return;
         }
         let mut ranked = Vec::new();
@@ -66,7 +66,7 @@
 
     /// Returns, for each resource, the largest free amount on any VM. A task that needs more fits nowhere.
     fn most_free(&self, now: Ms) -> Room {
-        let takes = |vm: &&Vm| vm.takes_work() && vm.excluded_until <= now;
+        let takes = |vm: &&Vm| vm.accepts_work() && vm.excluded_until <= now;
         self.vms.values().filter(takes).map(Vm::free).fold(Room::default(), Room::greater_of_each)
     }
 
@@ -157,7 +157,7 @@
         let needs_ticket = self.jobs[ready.job].spec.advice.is_some();
         let crash_prone = self.has_recent_crash(now);
         let fits = |vm: &Vm| {
-            vm.takes_work()
+            vm.accepts_work()
                 && vm.excluded_until <= now
                 && vm.free().fits(step_spec.room())
                 && vm.may_share(ready.id, isolation, now)
@@ -257,7 +257,7 @@
         let task = ready.task(index);
         let ticket = self.ticket(ready.id(), &self.vms[vm].id, now);
         let job = &mut self.jobs[ready.job];
-        job.begun = true;
+        job.has_started = true;
         let order = StartOrder {
             vm: self.vms[vm].id.clone(),
             run: RunId { task, attempt },
--- a/crates/schedule/src/pool/takeover.rs
+++ b/crates/schedule/src/pool/takeover.rs
@@ -36,7 +36,7 @@
         if now.steady.saturating_sub(job.accepted) < JUST_ACCEPTED_MS {
             self.record_arrival(spec, now.steady);
         }
-        job.begun = entry.progress.begun;
+        job.has_started = entry.progress.begun;
         job.done_repetitions.clone_from(&entry.progress.done_times);
         job.open_due_repetitions(now);
         if let Some(last) = entry.progress.tasks.iter().map(|record| record.time).max() {
@@ -66,7 +66,7 @@
             return;
         }
         let mut job = self.new_job(id, spec.clone(), now);
-        (job.phase, job.settled_ms, job.begun) = (progress.phase, progress.settled_ms, true);
+        (job.phase, job.settled_ms, job.has_started) = (progress.phase, progress.settled_ms, true);
         for record in &progress.tasks {
             job.open_repetition(record.time);
         }
--- a/crates/schedule/src/pool/vms.rs
+++ b/crates/schedule/src/pool/vms.rs
@@ -22,7 +22,7 @@
     /// The number of tasks assigned to the VM.
     pub runs: usize,
     /// Whether the VM accepts new work.
-    pub takes_work: bool,
+    pub accepts_work: bool,
     /// Whether the last call to the VM was answered.
     pub reachable: bool,
 }
@@ -106,13 +106,13 @@
 
     /// Returns the stable names of VMs that accept work and have no runs.
     pub fn idle(&self) -> Vec<Arc<str>> {
-        let idle = |vm: &&Vm| vm.takes_work() && vm.runs.is_empty();
+        let idle = |vm: &&Vm| vm.accepts_work() && vm.runs.is_empty();
         self.vms.values().filter(idle).filter_map(|vm| vm.name().cloned()).collect()
     }
 
     /// Returns the stable names of VMs that have runs but no lasting tasks, those that can be empty soonest first.
     pub fn without_lasting_tasks(&self, now: Now) -> Vec<Arc<str>> {
-        let ends = |vm: &&Vm| vm.takes_work() && !vm.runs.is_empty() && vm.lasting_runs() == 0;
+        let ends = |vm: &&Vm| vm.accepts_work() && !vm.runs.is_empty() && vm.lasting_runs() == 0;
         let mut vms: Vec<(Ms, u32, &Vm)> = self
             .vms
             .values()
@@ -156,7 +156,7 @@
             name: vm.name().cloned().unwrap_or_default(),
             used: vm.used,
             runs: vm.runs.len(),
-            takes_work: vm.takes_work(),
+            accepts_work: vm.accepts_work(),
             reachable: vm.reachable,
         };
         self.vms.values().map(summary).collect()
--- a/crates/scheduler/src/owner/link/mod.rs
+++ b/crates/scheduler/src/owner/link/mod.rs
@@ -156,8 +156,8 @@
     }
 
     /// Sets how often the VM is polled while no run ends.
-    pub fn set_watch(&self, watch: PollReason) {
-        let wait = match watch {
+    pub fn set_poll_reason(&self, reason: PollReason) {
+        let wait = match reason {
             PollReason::Figures => FIGURES_WAIT,
             PollReason::Ends => ENDS_WAIT,
             PollReason::Lease => LEASE_WAIT,
@@ -192,13 +192,13 @@
     }
 
     /// Sets the share of full speed at which a run works, in percent.
-    pub fn pace(&self, run: RunId, percent: u32) {
+    pub fn set_speed(&self, run: RunId, percent: u32) {
         let shared = self.shared.clone();
         tokio::spawn(async move {
             if !shared.may_send() {
                 return;
             }
-            if let Err(e) = shared.client.pace(run, percent, shared.token.on_the_wire).await {
+            if let Err(e) = shared.client.set_speed(run, percent, shared.token.on_the_wire).await {
                 log::debug!("pace step=failed run={run} vm={} error=\"{e}\"", shared.vm);
             }
         });
--- a/crates/scheduler/src/owner/mod.rs
+++ b/crates/scheduler/src/owner/mod.rs
@@ -256,7 +256,7 @@
         self.vms_checked_at = now;
         self.close_unused_links();
         for link in self.links.values() {
-            link.set_watch(self.pool.poll_reason(link.vm()));
+            link.set_poll_reason(self.pool.poll_reason(link.vm()));
         }
         self.update_load_metrics();
     }
@@ -299,7 +299,7 @@
             }
             Order::Throttle { vm, run, percent } => {
                 log::info!("pace step=ordered run={run} vm={vm} percent={percent}");
-                link.pace(run, percent);
+                link.set_speed(run, percent);
             }
             Order::RequestAdvice(_) => (),
         }
