--- a/crates/schedule/src/pool/job.rs
+++ b/crates/schedule/src/pool/job.rs
@@ -268,7 +268,7 @@
                     TaskState::Waiting => open && t.attempt > 0,
                 };
                 for (index, task) in tasks.filter(|(_, t)| counts(t)) {
-                    let place = match task.state {
+                    let placement = match task.state {
                         TaskState::Waiting => TaskPlacement::Waiting,
                         TaskState::Done => TaskPlacement::Done,
                         TaskState::Assigned(vm) => vm_id(vm)
@@ -284,7 +284,7 @@
                         time,
                         step,
                         index,
-                        placement: place,
+                        placement,
                         attempt,
                         failures,
                         checkpoint,
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -70,7 +70,7 @@
     lease_until: AtomicU64,
     /// Whether this node owns a pool or the fleet.
     pub is_owner: OwnershipFlag,
-    /// Whether this node is stopping: it gives up what it owns and reports that it is not ready for new connections.
+    /// Whether this node is stopping: it releases what it owns and reports that it is not ready for new connections.
     pub stopping: watch::Sender<bool>,
     /// Whether open connections are closed once the request in progress on each is answered.
     pub closing: watch::Sender<bool>,
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -104,15 +104,15 @@
     let mut previous = None;
     loop {
         tokio::time::sleep(PROBE_INTERVAL).await;
-        let peer = node.store.forwarding_peer();
-        if peer != previous {
-            match peer {
+        let forwarding_peer = node.store.forwarding_peer();
+        if forwarding_peer != previous {
+            match forwarding_peer {
                 Some(peer) => log::warn!("store step=turned-away through={peer}"),
                 None => log::info!("store step=direct-again"),
             }
-            previous = peer;
+            previous = forwarding_peer;
         }
-        if peer.is_some() {
+        if forwarding_peer.is_some() {
             node.store.probe_directly().await;
         }
     }
