--- a/crates/entry/src/backend.rs
+++ b/crates/entry/src/backend.rs
@@ -1,4 +1,4 @@
-//! Exchanges with backend servers: one request and its whole answer on a connection at a time.
+//! HTTP exchanges with backend servers: one request and its complete answer per connection at a time.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,44 +18,44 @@
 
 use crate::gated_io::{GateSlot, GatedIo};
 
-/// Idle connections that are kept for one VM.
+/// The maximum number of idle connections kept per VM.
 const MAX_IDLE: usize = 8;
 
 /// The body of a request to a backend server.
 pub type BackendBody = Full<Bytes>;
 
-/// A whole answer.
+/// A complete answer of a backend server.
 #[derive(Debug)]
 pub struct Answer {
-    /// Its status line and headers.
+    /// The status line and headers.
     pub parts: Parts,
-    /// Its whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// Why an exchange gave no whole answer; whether bytes went out is asked of the gate.
+/// Why an exchange ended without a complete answer. The gate tells whether bytes were written.
 #[derive(Debug)]
 pub struct ExchangeError {
-    /// The reason to tell the caller.
+    /// The reason reported to the caller.
     pub reason: RefusalReason,
-    /// What happened, for people.
+    /// A human-readable description of the failure.
     pub detail: String,
 }
 
-/// How an exchange is to be done.
+/// The parameters of an exchange.
 #[derive(Clone, Debug)]
 pub struct ExchangePlan {
-    /// The backend server.
+    /// The address of the backend server.
     pub addr: SocketAddr,
-    /// Whether the connection may be used again, as answers name their request.
+    /// Whether the connection may be reused, which requires that answers echo their request's id.
     pub reuse: bool,
-    /// The gate before the first byte.
+    /// The gate that must admit the request before its first byte is written.
     pub gate: Arc<SendGate>,
-    /// How long a connection may take to be made.
+    /// The connect timeout.
     pub connect_timeout: Duration,
-    /// Largest body of the answer, in bytes.
+    /// The maximum size of the answer's body, in bytes.
     pub max_answer: usize,
-    /// Largest headers of the answer, in bytes.
+    /// The maximum size of the answer's headers, in bytes.
     pub max_headers: usize,
 }
 
@@ -64,21 +64,21 @@
     gate: GateSlot,
 }
 
-/// Idle connections by backend server.
+/// A pool of idle connections by backend server.
 #[derive(Default)]
 pub struct Backends {
     idle: Mutex<HashMap<SocketAddr, Vec<Conn>>>,
 }
 
 impl Backends {
-    /// Makes an empty set.
+    /// Creates an empty pool.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sends a request and returns the whole answer.
+    /// Sends a request and returns the complete answer.
     ///
-    /// A connection whose exchange did not end with a whole answer is never used again.
+    /// A connection whose exchange did not end with a complete answer is never reused.
     pub async fn exchange(
         &self,
         plan: &ExchangePlan,
@@ -95,8 +95,8 @@
         Ok(answer)
     }
 
-    /// Sends on an idle connection; on a new one when it turns out to be closed and the request
-    /// comes back whole.
+    /// Sends a request on an idle connection, or on a new one if the idle connection turns out to be
+    /// closed and returns the request unsent.
     async fn send_on_idle(
         &self,
         plan: &ExchangePlan,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Closes the idle connections to servers for which `keep` is false.
+    /// Closes the idle connections to servers for which `keep` returns false.
     pub fn retain(&self, keep: impl Fn(&SocketAddr) -> bool) {
         self.lock().retain(|addr, _| keep(addr));
     }
@@ -160,7 +160,7 @@
     let connecting = TcpStream::connect(plan.addr);
     let stream = tokio::time::timeout(plan.connect_timeout, connecting)
         .await
-        .map_err(|_| refused("the connection took too long to be made".to_owned()))?
+        .map_err(|_| refused("timed out connecting to the backend server".to_owned()))?
         .map_err(|e| refused(e.to_string()))?;
     let _ = stream.set_nodelay(true);
     let gate = GateSlot::default();
@@ -181,7 +181,7 @@
         let too_large = e.downcast_ref::<LengthLimitError>().is_some();
         let reason =
             if too_large { RefusalReason::AnswerTooLarge } else { RefusalReason::BadAnswer };
-        ExchangeError { reason, detail: format!("the answer's body: {e}") }
+        ExchangeError { reason, detail: format!("failed to read the answer's body: {e}") }
     })?;
     Ok(Answer { parts, body: body.to_bytes() })
 }
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -18,18 +18,18 @@
 use crate::reply::Reply;
 use crate::{forward, health, reply};
 
-/// How long a caller may take to send its headers.
+/// The time within which a caller must send its headers.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a refused caller is told to stay away when this entry is full.
+/// The retry delay reported to callers that are refused because this entry is at its limit.
 const FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Serves callers until the task is dropped.
+/// Accepts and serves callers' connections until the task is dropped.
 pub async fn run(cx: Arc<Context>, listener: TcpListener) {
     let handler = {
         let cx = cx.clone();
         tower::service_fn(move |req| handle(cx.clone(), req))
     };
-    // Beyond the bound a request is refused at once, before its body is read.
+    // Requests beyond the limit are refused immediately, before their body is read.
     let service = ServiceBuilder::new()
         .load_shed()
         .concurrency_limit(cx.settings.max_requests)
@@ -55,7 +55,7 @@
         .header_read_timeout(HEADER_TIMEOUT)
         .max_buf_size(max_headers)
         .serve_connection(TokioIo::new(stream), respond);
-    // A caller that goes away is no fault; what may not be repeated is finished all the same.
+    // A caller that disconnects is not an error; requests that are not repeatable run to completion.
     let _ = conn.await;
 }
 
@@ -73,7 +73,7 @@
     })
 }
 
-/// Reads a request whole, then serves it.
+/// Reads a complete request, then serves it.
 async fn handle(cx: Arc<Context>, req: Request<Incoming>) -> Result<Reply, Infallible> {
     let req = match parse(req, cx.settings.max_body_bytes).await {
         Ok(req) => req,
--- a/crates/entry/src/claimant.rs
+++ b/crates/entry/src/claimant.rs
@@ -1,4 +1,4 @@
-//! Claiming an idempotency key at the voters before a request is sent.
+//! Claims an idempotency key at the voters before a request is sent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 
 use crate::context::Context;
 
-/// How long a voter may take to answer.
+/// The timeout of a call to a voter.
 const VOTER_TIMEOUT: Duration = Duration::from_millis(400);
-/// Tries of a claim while the voters change.
+/// The maximum number of tries of a claim while the set of voters changes.
 const TRIES: u32 = 4;
-/// Pause between tries, for the view to catch up.
+/// The delay between tries, during which the view may catch up.
 const TRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// A claim of one attempt.
+/// The claim of one attempt on an idempotency key.
 pub struct Claimant {
     cx: Arc<Context>,
     key: ClaimKey,
@@ -29,13 +29,13 @@
 }
 
 impl Claimant {
-    /// Makes a claim that is not asked for yet.
+    /// Creates a claim that has not been requested yet.
     pub fn new(cx: Arc<Context>, key: ClaimKey, fingerprint: u64) -> Self {
         let attempt = AttemptId(rand::random());
         Self { cx, key, claim: Claim { attempt, fingerprint, answer: None } }
     }
 
-    /// Asks the voters until the claim is won, held by another, or cannot be had.
+    /// Requests the claim from the voters until it is granted, held by another attempt, or fails.
     pub async fn ask(&self, deadline: Instant) -> Standing {
         for _ in 0..TRIES {
             let standing = self.ask_once().await;
@@ -63,12 +63,12 @@
                 tally.on_reply(id, reply);
             }
         }
-        // The calls that are left finish by themselves: they can only add to this attempt's claim.
+        // The remaining calls complete in the background: they can only add votes for this claim.
         calls.detach_all();
         tally.standing()
     }
 
-    /// Gives the key up, as nothing was sent.
+    /// Releases the key, as nothing was sent.
     pub fn release(&self) {
         let (key, attempt) = (self.key, self.claim.attempt);
         self.tell_all(move |client| async move {
@@ -76,7 +76,7 @@
         });
     }
 
-    /// Keeps the answer for later attempts.
+    /// Stores the answer at the voters for later attempts.
     pub fn settle(&self, answer: &KeptAnswer) {
         let (key, attempt) = (self.key, self.claim.attempt);
         let answer = answer.clone();
@@ -99,7 +99,7 @@
                     return;
                 };
                 let result = call(client).await;
-                // A voter that misses this only knows less: it answers "unknown" later.
+                // Errors are ignored: a voter that misses this call only replies "unknown" later.
                 let _ = line.check(result).await;
             });
         }
--- a/crates/entry/src/cmd/check_settings.rs
+++ b/crates/entry/src/cmd/check_settings.rs
@@ -1,4 +1,4 @@
-//! `thistle-entry check-settings`.
+//! The `check-settings` subcommand.
 
 use std::path::Path;
 
@@ -7,6 +7,6 @@
 /// Checks the settings file.
 pub fn run(path: &Path) -> Result<(), RunError> {
     thistle_settings::load::<EntrySettings>(path)?;
-    println!("{}: the settings are right", path.display());
+    println!("{}: the settings are valid", path.display());
     Ok(())
 }
--- a/crates/entry/src/cmd/mod.rs
+++ b/crates/entry/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands, one file each.
+//! The subcommands.
 
 pub mod check_settings;
 pub mod run;
--- a/crates/entry/src/cmd/run.rs
+++ b/crates/entry/src/cmd/run.rs
@@ -1,10 +1,10 @@
-//! `thistle-entry run`.
+//! The `run` subcommand.
 
 use std::path::Path;
 
 use thistle_settings::{EntrySettings, RunError};
 
-/// Runs the entry until it is told to stop and its requests are answered.
+/// Runs the entry until it receives a stop signal and has answered its requests.
 pub fn run(path: &Path) -> Result<(), RunError> {
     let settings: EntrySettings = thistle_settings::load(path)?;
     let logs = thistle_settings::start_logs(&settings.log)?;
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -1,4 +1,4 @@
-//! What the tasks of an entry share.
+//! State shared by the tasks of an entry.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,40 +18,40 @@
 
 use crate::backend::Backends;
 
-/// What the steward said of the members.
+/// The members and voters as last reported by the steward.
 #[derive(Debug)]
 pub struct LinkState {
-    /// The member for which this entry acts.
+    /// The member on whose behalf this entry acts.
     pub member: MemberId,
     /// The offset of the view.
     pub offset: Offset,
-    /// The voters.
+    /// The set of voters.
     pub voters: Voters,
-    /// Where the voters listen.
+    /// The addresses of the voters.
     pub voter_addrs: Vec<ViewVoter>,
     /// The members that grant slots.
     pub members: Vec<ViewVoter>,
-    /// VMs that answered that they are leaving.
+    /// VMs whose answers announced that they are leaving.
     pub leaving: Vec<VmName>,
 }
 
-/// What a waiting request is woken with.
+/// The decision that ends a request's wait.
 pub enum Woken {
-    /// It goes to a VM, on which it counts as in flight while the guard lives.
+    /// Send the request to a VM, which counts the request as in flight until the guard is dropped.
     Send(InFlight),
-    /// It is refused.
+    /// Refuse the request with this reason and retry delay.
     Refuse(RefusalReason, Duration),
 }
 
-/// Shared by all tasks of an entry.
+/// The state shared by all tasks of an entry.
 pub struct Context {
     /// The settings.
     pub settings: EntrySettings,
-    /// Connections to backend servers.
+    /// The idle connections to backend servers.
     pub backends: Backends,
-    /// Wakes the slot leases before their time.
+    /// Triggers an immediate renewal of the slot leases.
     pub slots_now: Notify,
-    /// Wakes the link to the steward before its time.
+    /// Triggers an immediate report to the steward.
     pub report_now: Notify,
     router: Mutex<Router>,
     waiters: Mutex<HashMap<Ticket, oneshot::Sender<Woken>>>,
@@ -63,7 +63,7 @@
 }
 
 impl Context {
-    /// Makes the context of an entry that has no view yet.
+    /// Creates the context of an entry that has no view yet.
     pub fn new(settings: EntrySettings) -> Self {
         let id = rand::random();
         let cfg = RouterConfig { max_queue: settings.max_queue, seed: id, ..Default::default() };
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Returns the number that this entry drew at its start.
+    /// Returns the random identifier that this entry generated at startup.
     pub const fn id(&self) -> u64 {
         self.id
     }
@@ -99,12 +99,12 @@
         lock(&self.router)
     }
 
-    /// Locks the link's state; the third in the lock order.
+    /// Locks the state of the link to the steward; the third in the lock order.
     pub fn link(&self) -> MutexGuard<'_, LinkState> {
         lock(&self.link)
     }
 
-    /// Returns the line to a steward's address.
+    /// Returns the client of the steward at an address.
     pub fn line(&self, addr: SocketAddr) -> Arc<PeerLine> {
         let mut lines = lock(&self.lines);
         lines.entry(addr).or_insert_with(|| Arc::new(PeerLine::new(addr))).clone()
@@ -115,17 +115,17 @@
         Ticket(self.tickets.fetch_add(1, Ordering::Relaxed) + 1)
     }
 
-    /// Returns the id under which a request is known.
+    /// Returns the request ID for a ticket.
     pub fn request_id(&self, ticket: Ticket) -> String {
         format!("{:08x}-{:x}", self.id >> 32, ticket.0)
     }
 
-    /// Turns new requests away from now on.
+    /// Starts to refuse new requests.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Release);
     }
 
-    /// Returns whether new requests are turned away.
+    /// Returns whether new requests are refused because the entry is stopping.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Acquire)
     }
@@ -135,20 +135,21 @@
         !self.is_stopping() && self.router().proof_until() > Instant::now()
     }
 
-    /// Returns a channel on which a waiting request is woken; made before the router decides, so
-    /// that no wake is missed.
+    /// Registers a waiting request and returns the channel on which it is woken.
+    ///
+    /// Call this under the router lock that queued the request, so that no wake is missed.
     pub fn waiter(&self, ticket: Ticket) -> oneshot::Receiver<Woken> {
         let (tx, rx) = oneshot::channel();
         lock(&self.waiters).insert(ticket, tx);
         rx
     }
 
-    /// Forgets a waiting request.
+    /// Unregisters a waiting request.
     pub fn forget_waiter(&self, ticket: Ticket) {
         lock(&self.waiters).remove(&ticket);
     }
 
-    /// Hands the router's decisions to the requests that wait for them.
+    /// Sends the router's decisions to the requests that wait for them.
     pub fn wake(self: &Arc<Self>, wakes: Vec<Wake>) {
         for wake in wakes {
             let woken = match wake.decision {
@@ -157,13 +158,13 @@
                 Decision::Wait => continue,
             };
             let waiter = lock(&self.waiters).remove(&wake.ticket);
-            // A caller that went away drops the guard, and so gives the slot back.
+            // If the caller has disconnected, the guard is dropped, which frees the slot.
             let _ = waiter.map(|tx| tx.send(woken));
         }
     }
 }
 
-/// A request counted as in flight on a VM; it is counted out when this is dropped.
+/// A guard that counts a request as in flight on a VM until dropped.
 pub struct InFlight {
     cx: Arc<Context>,
     vm: VmKey,
@@ -172,7 +173,7 @@
 }
 
 impl InFlight {
-    /// Takes over a request that the router counted in.
+    /// Creates the guard of a request that the router already counts as in flight.
     pub fn new(cx: Arc<Context>, vm: VmKey) -> Self {
         Self { cx, vm, began: Instant::now(), result: SendResult::Neutral }
     }
@@ -182,7 +183,7 @@
         self.vm
     }
 
-    /// Notes how the send ended and counts it out.
+    /// Sets the result of the send and drops the guard.
     pub fn finish(mut self, result: SendResult) {
         self.result = result;
     }
--- a/crates/entry/src/decision_log.rs
+++ b/crates/entry/src/decision_log.rs
@@ -1,4 +1,4 @@
-//! One log line for each routing decision.
+//! Log lines for routing decisions, one per decision.
 
 use thistle_model::clock::Instant;
 use thistle_request::Router;
@@ -7,18 +7,18 @@
 
 use crate::parse::CallerRequest;
 
-/// VMs of a pool that a request could not go to, by reason.
+/// The number of VMs of a pool that could not receive a request, by reason.
 #[derive(Default)]
 struct PassedOver {
     /// Drained, cordoned or leaving.
     closed: usize,
-    /// Set aside for failures.
+    /// Excluded because of failures.
     aside: usize,
-    /// Without a free slot of this entry's lease.
+    /// Without an idle slot leased to this entry.
     no_slot: usize,
 }
 
-/// Logs that a request goes to a VM, why, and which VMs of the pool were passed over.
+/// Logs the VM that a request is sent to, the reason, and how many VMs were skipped.
 pub fn sent(router: &Router, id: &str, req: &CallerRequest, key: VmKey, sends: u32) {
     if !log::log_enabled!(log::Level::Info) {
         return;
@@ -68,7 +68,7 @@
     passed
 }
 
-/// Logs that a request was refused.
+/// Logs a refusal.
 pub fn refused(id: &str, req: &CallerRequest, refusal: &thistle_request::Refusal) {
     log::info!(
         "refuse id={id} workspace={} service={} outcome={} reason={} retry_after_ms={} detail=\"{}\"",
--- a/crates/entry/src/flags.rs
+++ b/crates/entry/src/flags.rs
@@ -3,14 +3,14 @@
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Takes callers' requests and sends each to a VM of its workspace's pool.
+    /// Accepts callers' requests and forwards each to a VM of its workspace's pool.
     cmd entry {
         /// Runs the entry.
         cmd run {
             /// The settings file.
             required settings: PathBuf
         }
-        /// Checks a settings file and does nothing else.
+        /// Checks a settings file and exits.
         cmd check-settings {
             /// The settings file.
             required settings: PathBuf
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -1,4 +1,4 @@
-//! A request's way: accepted, picked, claimed, sent, answered or refused.
+//! The processing of a request: it is routed, claimed if needed, sent, and answered or refused.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,28 +23,28 @@
 use crate::sending::Sent;
 use crate::{decision_log, stats};
 
-/// After this a caller whose outcome is unknown is told to come back.
+/// The default retry delay reported with a refusal.
 pub const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A request under way.
+/// A request that is being processed.
 pub struct Forward {
-    /// What the entry's tasks share.
+    /// The state shared by the entry's tasks.
     pub cx: Arc<Context>,
-    /// The id under which the logs know it.
+    /// The request ID, as shown in logs.
     pub id: String,
-    /// What the caller sent.
+    /// The caller's request.
     pub req: Arc<CallerRequest>,
-    /// The service that it asks for.
+    /// The requested service.
     pub service: Service,
-    /// What the router knows of it.
+    /// The routing properties of the request.
     pub ask: Ask,
     claimant: Option<Claimant>,
 }
 
 /// Serves a request and returns the answer or the refusal.
 ///
-/// A request that may not be repeated runs in a task of its own, so that a caller that goes away
-/// cuts nothing short; any other is dropped with its caller.
+/// A request that is not repeatable runs in its own task, so that it completes even if the caller
+/// disconnects. A repeatable request is dropped when its caller disconnects.
 pub async fn serve(cx: Arc<Context>, req: CallerRequest) -> Reply {
     let began = Instant::now();
     let ticket = cx.next_ticket();
@@ -71,13 +71,13 @@
 async fn run_apart(forward: Forward) -> Result<Reply, Refusal> {
     let ended = tokio::spawn(forward.run()).await;
     ended.unwrap_or_else(|_| {
-        // The task panicked: where it stood is not known.
+        // The task panicked, so whether the request was sent is unknown.
         let sent = Pending::Unsent(Unsent::new()).hand_over();
         Err(sent.refuse(RefusalReason::Broken, RETRY_AFTER))
     })
 }
 
-/// Finds the service and the deadline of a request.
+/// Resolves the service, deadline and claim of a request.
 fn prepare(
     cx: &Arc<Context>,
     id: &str,
@@ -112,8 +112,8 @@
     Some((key, pool.tier, service))
 }
 
-/// Returns whether a request may be run twice: as the caller says, else by the service's setting,
-/// else by the rules of its method (RFC 9110, section 9.2.2).
+/// Returns whether a request may be run twice, as set by the caller, else by the service, else by
+/// whether the method is idempotent (RFC 9110, section 9.2.2).
 fn is_repeatable(req: &CallerRequest, service: &Service) -> bool {
     let by_method = matches!(
         req.method,
@@ -122,7 +122,8 @@
     req.repeatable.unwrap_or(service.repeatable || by_method)
 }
 
-/// Returns the claim that a request needs, if any; refuses keys that are too old to be sure.
+/// Creates the claim that a request needs, if any; refuses keys so old that their claim may have
+/// expired.
 fn claimant(
     cx: &Arc<Context>,
     req: &CallerRequest,
@@ -139,7 +140,8 @@
         KeyAge::Ahead => {
             let mut refusal = unsent.refuse(RefusalReason::BadRequest, RETRY_AFTER);
             refusal.detail =
-                "the time in the Idempotency-Key lies ahead: set your clock".to_owned();
+                "the timestamp in Idempotency-Key is in the future: check the caller's clock"
+                    .to_owned();
             return Err(refusal);
         }
     }
@@ -148,11 +150,11 @@
     Ok(Some(Claimant::new(cx.clone(), key, print)))
 }
 
-/// How a request's claim ended, when it was not refused.
+/// The result of claiming the key of a request that is not refused.
 enum Claimed {
-    /// The request may be sent, or needs no claim.
+    /// The request may be sent, as it holds the claim or needs none.
     Won(Pending),
-    /// The first attempt's answer.
+    /// An earlier attempt already has this answer.
     Replay(Reply),
 }
 
@@ -187,8 +189,8 @@
         }
     }
 
-    /// Asks the router; a request that waits gets its waiter under the same lock, so that no wake
-    /// is missed.
+    /// Gets the router's decision. A request that must wait is registered under the same lock, so that
+    /// no wake is missed.
     fn decide(
         &self,
         decide: impl FnOnce(&mut Router, Ask, Instant) -> Option<Decision>,
@@ -200,7 +202,7 @@
         (decision, waiter)
     }
 
-    /// Waits until the request has a VM, or refuses it.
+    /// Waits until the request is assigned a VM or refused.
     async fn placed(
         &self,
         pending: Pending,
@@ -239,7 +241,7 @@
         }
     }
 
-    /// Claims the key if there is one; returns the first attempt's answer when it is known.
+    /// Claims the idempotency key, if any; returns the answer of an earlier attempt if known.
     async fn claim(&self, pending: Pending) -> Result<Claimed, Refusal> {
         let Some(claimant) = &self.claimant else {
             return Ok(Claimed::Won(pending));
@@ -251,7 +253,8 @@
                 self.replay(&held).map(Claimed::Replay)
             }
             Standing::Pending | Standing::Lost => {
-                let detail = "this sending did not run; an earlier one with the same key may have";
+                let detail =
+                    "this attempt did not run; an earlier attempt with the same key may have run";
                 let detail = detail.to_owned();
                 Err(self.give_up(pending, RefusalReason::NoClaim, RETRY_AFTER, detail))
             }
@@ -282,7 +285,7 @@
         reply::answer(answer, &self.id)
     }
 
-    /// Refuses the request; a claim on which nothing was sent is released.
+    /// Refuses the request; releases its claim if nothing was sent.
     pub fn give_up(
         &self,
         pending: Pending,
--- a/crates/entry/src/gated_io.rs
+++ b/crates/entry/src/gated_io.rs
@@ -1,4 +1,4 @@
-//! A connection to a VM whose writes pass the gate of the exchange under way.
+//! A connection to a VM whose writes are subject to the gate of the current exchange.
 
 use std::io;
 use std::pin::Pin;
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// The gate of the exchange under way on one connection.
+/// The gate of the current exchange on one connection.
 #[derive(Clone, Debug, Default)]
 pub struct GateSlot(Arc<Mutex<Option<Arc<SendGate>>>>);
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// A TCP connection behind a [`GateSlot`].
+/// A TCP connection whose writes are subject to a [`GateSlot`].
 #[derive(Debug)]
 pub struct GatedIo {
     stream: TcpStream,
@@ -34,13 +34,16 @@
 }
 
 impl GatedIo {
-    /// Puts a connection behind a gate.
+    /// Wraps a connection with a gate.
     pub fn new(stream: TcpStream, gate: GateSlot) -> Self {
         Self { stream, gate }
     }
 
     fn refused<T>() -> Poll<io::Result<T>> {
-        let e = io::Error::new(io::ErrorKind::PermissionDenied, "the request was given up");
+        let e = io::Error::new(
+            io::ErrorKind::PermissionDenied,
+            "the request was abandoned before it was sent",
+        );
         Poll::Ready(Err(e))
     }
 }
--- a/crates/entry/src/health.rs
+++ b/crates/entry/src/health.rs
@@ -1,16 +1,16 @@
-//! Health for the balancer: alive is not the same as ready.
+//! Liveness and readiness endpoints for the load balancer.
 
 use hyper::StatusCode;
 
 use crate::context::Context;
 use crate::reply::{Reply, line};
 
-/// The path that tells whether the process runs.
+/// The path of the liveness endpoint: whether the process runs.
 const ALIVE: &str = "/-/alive";
-/// The path that tells whether requests should be sent here.
+/// The path of the readiness endpoint: whether the balancer should send requests here.
 const READY: &str = "/-/ready";
 
-/// Answers a health request; `None` for any other path.
+/// Answers a health request; returns `None` for any other path.
 pub fn answer(cx: &Context, path: &str) -> Option<Reply> {
     match path {
         ALIVE => Some(line(StatusCode::OK, "alive\n")),
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -1,4 +1,4 @@
-//! `thistle-entry`: the program on every entry VM that takes callers' requests.
+//! `thistle-entry`: the program that accepts callers' requests on every entry VM.
 
 mod cmd;
 mod flags;
--- a/crates/entry/src/parse.rs
+++ b/crates/entry/src/parse.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read whole and checked.
+//! Reading and validating callers' requests.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 use hyper::{Method, Request};
 use thistle_request::key::MAX_KEY_LEN;
 
-/// The caller's deadline in milliseconds; sent on to the backend server with what is left of it.
+/// Header with the caller's deadline in milliseconds; the backend server receives the time left.
 pub const DEADLINE: &str = "thistle-deadline-ms";
-/// Whether the request may be repeated: `yes` or `no`, over the rules of its method.
+/// Header that overrides whether the request may be repeated: `yes` or `no`.
 pub const REPEATABLE: &str = "thistle-repeatable";
-/// The id of the request, in answers and to backend servers.
+/// Header with the request ID, in answers and in requests to backend servers.
 pub const REQUEST_ID: &str = "thistle-request-id";
-/// The idempotency key.
+/// Header with the idempotency key.
 pub const KEY: &str = "idempotency-key";
 
-/// Headers that belong to one connection and are not sent on (RFC 9110, section 7.6.1).
+/// Hop-by-hop headers, which are not forwarded (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -40,25 +40,25 @@
     pub service: String,
     /// The method.
     pub method: Method,
-    /// The path and query that the backend server gets.
+    /// The path and query sent to the backend server.
     pub target: String,
-    /// The headers that the backend server gets.
+    /// The headers sent to the backend server.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// How long the caller waits, if it says so.
+    /// The time that the caller waits, if specified.
     pub deadline: Option<Duration>,
-    /// Whether it may be repeated, if the caller says so.
+    /// Whether the request may be repeated, if specified by the caller.
     pub repeatable: Option<bool>,
-    /// The idempotency key, if there is one.
+    /// The idempotency key, if any.
     pub key: Option<String>,
 }
 
-/// Why a request makes no sense, with the remedy.
+/// A description of why a request is invalid, and how to fix it.
 #[derive(Debug)]
 pub struct BadRequest(pub String);
 
-/// Reads and checks a request.
+/// Reads and validates a request.
 pub async fn parse(req: Request<Incoming>, max_body: usize) -> Result<CallerRequest, BadRequest> {
     let (parts, body) = req.into_parts();
     let (workspace, service, target) = split_path(&parts.uri)?;
@@ -69,7 +69,7 @@
         return Err(bad(format!("Idempotency-Key: use 1 to {MAX_KEY_LEN} characters")));
     }
     let body = Limited::new(body, max_body).collect().await.map_err(|e| {
-        bad(format!("the body could not be read whole ({e}): send at most {max_body} bytes"))
+        bad(format!("failed to read the body ({e}): send at most {max_body} bytes"))
     })?;
     let mut headers = parts.headers;
     strip(&mut headers);
@@ -86,7 +86,7 @@
     })
 }
 
-/// Removes the headers that belong to one connection.
+/// Removes hop-by-hop headers and `Content-Length`.
 pub fn strip(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(hyper::header::CONNECTION)
@@ -111,7 +111,7 @@
     let (workspace, service) = (parts.next(), parts.next());
     let (Some(""), Some("w"), Some(workspace), Some(service)) = (empty, w, workspace, service)
     else {
-        return Err(bad("the path names no workspace and service: use /w/WORKSPACE/SERVICE/..."));
+        return Err(bad("the path lacks a workspace and service: use /w/WORKSPACE/SERVICE/..."));
     };
     let rest = parts.next().map(|r| format!("/{r}")).unwrap_or_default();
     let query = uri.query().map(|q| format!("?{q}")).unwrap_or_default();
@@ -131,7 +131,8 @@
     let Some(text) = text(headers, name)? else {
         return Ok(None);
     };
-    let number = text.parse().map_err(|_| bad(format!("{name}: use a whole number of ms")))?;
+    let number =
+        text.parse().map_err(|_| bad(format!("{name}: use a whole number of milliseconds")))?;
     Ok(Some(number))
 }
 
--- a/crates/entry/src/reply.rs
+++ b/crates/entry/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Replies to callers.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -10,13 +10,13 @@
 use crate::backend::Answer;
 use crate::parse::{REQUEST_ID, strip};
 
-/// An answer to a caller.
+/// A reply to a caller.
 pub type Reply = Response<Full<Bytes>>;
 
-/// Header that shows that an answer is that of an earlier attempt with the same key.
+/// Header that marks the replayed answer of an earlier attempt with the same key.
 const REPLAYED: &str = "idempotency-replayed";
 
-/// Makes the reply to a refusal.
+/// Builds the reply for a refusal.
 pub fn problem(problem: &Problem) -> Reply {
     let body = serde_json::to_vec(problem).unwrap_or_default();
     let mut reply = Response::new(Full::new(Bytes::from(body)));
@@ -24,19 +24,19 @@
         StatusCode::from_u16(problem.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     let headers = reply.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/problem+json"));
-    // Retry-After is in whole seconds; the exact time is in the body.
+    // Retry-After is in whole seconds; the body has the exact delay.
     headers.insert(RETRY_AFTER, HeaderValue::from(problem.retry_after_ms.div_ceil(1_000)));
     with_id(reply, &problem.request_id)
 }
 
-/// Makes the reply of a backend server's whole answer.
+/// Builds the reply from a backend server's complete answer.
 pub fn answer(answer: Answer, request_id: &str) -> Reply {
     let mut reply = Response::from_parts(answer.parts, Full::new(answer.body));
     strip(reply.headers_mut());
     with_id(reply, request_id)
 }
 
-/// Makes the reply of an answer that an earlier attempt got.
+/// Builds the reply from the stored answer of an earlier attempt.
 pub fn kept(kept: &KeptAnswer, request_id: &str) -> Reply {
     let mut reply = Response::new(Full::new(Bytes::copy_from_slice(&kept.body)));
     *reply.status_mut() = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
@@ -47,7 +47,7 @@
     with_id(reply, request_id)
 }
 
-/// Makes a reply of a status and a line of text.
+/// Builds a plain-text reply with a status.
 pub fn line(status: StatusCode, text: &'static str) -> Reply {
     let mut reply = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *reply.status_mut() = status;
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting an entry and stopping it.
+//! Startup and shutdown of an entry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,19 +13,19 @@
 use crate::context::Context;
 use crate::{callers, slots, stats, steward_link};
 
-/// How often the queues are looked at for requests that grew too late.
+/// The interval at which queues are checked for requests that can no longer meet their deadline.
 const POLL_EVERY: Duration = Duration::from_millis(10);
-/// How long an entry that stops goes on listening, for the balancer to notice.
+/// How long a stopping entry keeps listening, so that the balancer notices that it is not ready.
 const STOP_NOTICE: Duration = Duration::from_secs(1);
-/// Pause between looks whether all requests are answered.
+/// The interval at which a stopping entry checks whether all requests are answered.
 const STOP_POLL: Duration = Duration::from_millis(20);
 
-/// Bounds of the buckets of answer times, in seconds.
+/// The histogram buckets of response times, in seconds.
 const SECONDS: [f64; 10] = [0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 5.0, 30.0];
-/// How often samples are folded together.
+/// The interval of the metrics recorder's maintenance.
 const UPKEEP_EVERY: Duration = Duration::from_secs(5);
 
-/// Runs an entry until it is told to stop and its requests are answered.
+/// Runs an entry until it receives a stop signal and has answered its requests.
 pub async fn run(settings: EntrySettings) -> Result<(), RunError> {
     let handle = PrometheusBuilder::new()
         .set_buckets(&SECONDS)
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-/// Folds the samples of histograms together, which would pile up between two scrapes.
+/// Aggregates histogram samples regularly, as they would otherwise accumulate between two scrapes.
 async fn upkeep(handle: PrometheusHandle) {
     loop {
         tokio::time::sleep(UPKEEP_EVERY).await;
@@ -58,7 +58,7 @@
     }
 }
 
-/// Refuses, in time, waiting requests that can no longer meet their deadline.
+/// Refuses waiting requests as soon as they can no longer meet their deadline.
 async fn poll(cx: Arc<Context>) {
     loop {
         tokio::time::sleep(POLL_EVERY).await;
@@ -67,7 +67,7 @@
     }
 }
 
-/// Turns new requests away and waits until those in flight are answered.
+/// Refuses new requests and waits until those in flight are answered.
 async fn stop(cx: &Context) {
     log::info!("entry name={} step=stop in_flight={}", cx.settings.name, cx.router().in_flight());
     cx.stop();
@@ -77,7 +77,7 @@
     while cx.router().in_flight() > 0 && Instant::now() < deadline {
         tokio::time::sleep(STOP_POLL).await;
     }
-    // The last answers are on their way to their callers.
+    // Leaves time for the last answers to reach their callers.
     tokio::time::sleep(STOP_POLL).await;
     let left = cx.router().in_flight();
     log::info!("entry name={} step=stopped left={left}", cx.settings.name);
--- a/crates/entry/src/sending.rs
+++ b/crates/entry/src/sending.rs
@@ -1,4 +1,4 @@
-//! One send of a request to a VM, and what it led to.
+//! A single send of a request to a VM, and its outcome.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,25 +20,25 @@
 use crate::forward::{Forward, RETRY_AFTER};
 use crate::parse::{DEADLINE, REQUEST_ID};
 
-/// Header by which a backend server says that it did not run a request.
+/// Header by which a backend server states that it did not run a request.
 const NOT_RUN: &str = "thistle-not-run";
-/// Header by which a backend server says that it is leaving.
+/// Header by which a backend server announces that it is leaving.
 const LEAVING: &str = "thistle-leaving";
 
-/// What one send led to.
+/// The outcome of one send.
 pub enum Sent {
-    /// A whole answer.
+    /// A complete answer.
     Answered(Answer),
-    /// It is to be tried again, or refused for this reason.
+    /// The request may be retried, or refused with this reason and detail.
     Again(Pending, RefusalReason, String),
-    /// A whole answer that is a server error, of a request that may be repeated.
+    /// A complete answer with a server error, to a repeatable request.
     ServerError(Answer, MaybeSent),
-    /// It is refused.
+    /// The request is refused.
     Refused(Refusal),
 }
 
 impl Forward {
-    /// Sends the request to a VM and waits for the whole answer.
+    /// Sends the request to a VM and waits for the complete answer.
     pub async fn send(&self, pending: Pending, in_flight: InFlight) -> Sent {
         let Some((plan, gate)) = self.plan(in_flight.vm(), pending.sends()) else {
             let detail = "the VM left before the request was sent".to_owned();
@@ -53,7 +53,7 @@
             Ok(Err(e)) => Err(e),
             Err(_) => Err(ExchangeError {
                 reason: RefusalReason::Deadline,
-                detail: "no whole answer within the deadline".to_owned(),
+                detail: "no complete answer within the deadline".to_owned(),
             }),
         };
         match result {
@@ -94,14 +94,14 @@
         req
     }
 
-    /// Checks that an answer is that of this request.
+    /// Checks that an answer belongs to this request.
     fn check(&self, answer: Answer) -> Result<Answer, ExchangeError> {
         let named = answer.parts.headers.get(REQUEST_ID);
         let is_ours = named.map(|id| id.as_bytes() == self.id.as_bytes());
         if is_ours.unwrap_or(!self.service.echoes_request_id) {
             return Ok(answer);
         }
-        let detail = "the answer is not that of this request".to_owned();
+        let detail = "the answer belongs to a different request".to_owned();
         Err(ExchangeError { reason: RefusalReason::BadAnswer, detail })
     }
 
@@ -114,7 +114,7 @@
         if let Some(word) = BackendRefusal::from_answer(status, header(NOT_RUN)) {
             in_flight.finish(SendResult::Bad);
             let back = sent.refused_by_backend(&word);
-            let detail = "the backend server did not run it".to_owned();
+            let detail = "the backend server reported that it did not run the request".to_owned();
             return Sent::Again(back, RefusalReason::BackendRefused, detail);
         }
         let is_error = answer.parts.status.is_server_error();
@@ -135,7 +135,7 @@
         let late = e.reason == RefusalReason::Deadline;
         in_flight.finish(match e.reason {
             RefusalReason::Connect => SendResult::NoConnect,
-            // A caller that waits for less than the service's own time proves nothing of the VM.
+            // A caller's deadline below that of the service says nothing about the VM's health.
             RefusalReason::Deadline if self.has_short_deadline() => SendResult::Neutral,
             _ => SendResult::Bad,
         });
--- a/crates/entry/src/slots.rs
+++ b/crates/entry/src/slots.rs
@@ -1,4 +1,4 @@
-//! Keeping slots leased from the homes of VMs.
+//! Renewal of slot leases at the homes of VMs.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,28 +15,28 @@
 
 use crate::context::Context;
 
-/// How often leases are renewed without need.
+/// The renewal interval while no requests wait.
 const RENEW_EVERY: Duration = Duration::from_millis(500);
-/// How often leases are asked for while requests wait.
+/// The renewal interval while requests wait.
 const SHORT_PAUSE: Duration = Duration::from_millis(5);
-/// How long a home may take to answer.
+/// The timeout of a call to a home.
 const HOME_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a home that did not answer is left alone.
+/// The time during which a home that did not reply is skipped.
 const HOME_PAUSE: Duration = Duration::from_secs(1);
 
-/// Keeps slots leased until the process ends.
+/// Renews slot leases until the process ends.
 pub async fn run(cx: Arc<Context>) {
     let mut silent: HashMap<SocketAddr, Instant> = HashMap::new();
     loop {
         let short = cx.router().is_short_of_slots();
         let pause = if short { SHORT_PAUSE } else { RENEW_EVERY };
-        // The pause ends early when requests begin to wait.
+        // The pause ends early when a request starts to wait.
         let _ = tokio::time::timeout(pause, cx.slots_now.notified()).await;
         round(&cx, &mut silent).await;
     }
 }
 
-/// Asks each home once, all at the same time.
+/// Sends one request to each home, all concurrently.
 async fn round(cx: &Arc<Context>, silent: &mut HashMap<SocketAddr, Instant>) {
     let now = Instant::now();
     silent.retain(|_, since| now.since(*since) < HOME_PAUSE);
@@ -55,7 +55,7 @@
     }
 }
 
-/// Groups what is wanted by the home of each VM.
+/// Groups slot requests by the home of their VM.
 fn group(wants: Vec<SlotWant>, members: &[ViewVoter]) -> HashMap<SocketAddr, Vec<SlotWant>> {
     let mut by_home: HashMap<SocketAddr, Vec<SlotWant>> = HashMap::new();
     for want in wants {
--- a/crates/entry/src/stats.rs
+++ b/crates/entry/src/stats.rs
@@ -24,12 +24,12 @@
     counter!("thistle_refusals_total", "reason" => refusal.reason.as_str()).increment(1);
 }
 
-/// Counts a send beyond a request's first.
+/// Counts a retry of a request.
 pub fn retried() {
     counter!("thistle_retries_total").increment(1);
 }
 
-/// Takes the figures and returns them as text.
+/// Updates the gauges and renders all metrics as text.
 pub fn render(cx: &Arc<Context>, handle: &PrometheusHandle) -> String {
     let router = cx.router();
     let now = Instant::now();
--- a/crates/entry/src/steward_link.rs
+++ b/crates/entry/src/steward_link.rs
@@ -1,4 +1,4 @@
-//! Following the view of the steward on the same VM.
+//! The link to the steward on the same VM: receives its view and reports this entry's state.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -12,25 +12,25 @@
 
 use crate::context::Context;
 
-/// How long the steward may take to reply.
+/// The timeout of a call to the steward.
 const TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause after a call that failed.
+/// The delay after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// How far this entry's view is.
+/// The versions of this entry's view.
 #[derive(Default)]
 struct Position {
     revision: Revision,
     hints: u64,
 }
 
-/// Follows the view until the process ends.
+/// Polls the steward for view updates until the process ends.
 pub async fn run(cx: Arc<Context>) {
     let line = LinkLine::new(cx.settings.steward);
     let mut position = Position::default();
     loop {
         let asked = call(&cx, &line, &position);
-        // A drain that is finished is reported at once; the call given up is asked anew.
+        // A report that is due, such as a completed drain, cancels the pending call and starts a new one.
         let reply = tokio::select! {
             reply = asked => reply,
             () = cx.report_now.notified() => continue,
@@ -58,11 +58,11 @@
     line.check(call).await.ok()
 }
 
-/// Takes a reply over: first the view, then the proof that goes with it.
+/// Applies a reply: first the view update, then the proof of membership that belongs to it.
 fn take(cx: &Arc<Context>, reply: ViewReply, position: &mut Position) {
     let mut router = cx.router();
     if let Some(update) = &reply.update {
-        // A steward that was restarted may lag behind what this entry knows: never go back.
+        // A restarted steward may lag behind this entry's view, which must never go back.
         if update.offset < cx.link().offset {
             return;
         }
@@ -91,7 +91,7 @@
     }
 }
 
-/// Closes idle connections to VMs that may not be sent work any more.
+/// Closes idle connections to VMs that no longer accept requests.
 fn close_unused(cx: &Context, router: &thistle_request::Router) {
     let sendable = router.vms().filter(|vm| vm.is_sendable());
     let addrs: HashSet<_> = sendable.map(|vm| vm.facts.addr).collect();
--- a/crates/request/src/admit.rs
+++ b/crates/request/src/admit.rs
@@ -1,4 +1,4 @@
-//! Waiting for a slot: by tier, within the deadline, refused early when it cannot be met.
+//! Admission control: a queue ordered by tier that refuses requests that cannot meet their deadline.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,38 +6,38 @@
 use thistle_model::Tier;
 use thistle_model::clock::Instant;
 
-/// Weight of the newest service time in the moving mean, as 1 / this.
+/// The newest service time has a weight of `1 / SMOOTHING` in the moving mean.
 const SMOOTHING: f64 = 16.0;
-/// Mean deviations that are added to the mean service time.
+/// The number of mean deviations added to the mean for a conservative service time.
 const DEVIATIONS: f64 = 2.0;
-/// Service time that is assumed before any was measured.
+/// The service time assumed before the first request completes.
 const FIRST_GUESS: Duration = Duration::from_millis(20);
 
-/// When a request that would miss its deadline is refused.
+/// When to refuse a request that would miss its deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmitPolicy {
-    /// Only when the deadline has passed.
+    /// Only once the deadline has passed.
     Late,
-    /// At once, when the queue before it and its own service time exceed the deadline.
+    /// Immediately, if the expected wait plus the service time exceed the deadline.
     Deadline,
 }
 
-/// A waiting request.
+/// The identifier of a request in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// What became of a request that asked to wait.
+/// The result of adding a request to the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Push {
-    /// It waits.
+    /// The request was queued.
     Queued,
-    /// It waits, and the request of this ticket was taken out for it and must be refused.
+    /// The request was queued in place of the one with this ticket, which must be refused.
     Displaced(Ticket),
-    /// It is refused.
+    /// The request was refused.
     Refused,
 }
 
-/// The queue is full of requests that go before.
+/// The queue is full of requests of the same or a higher tier.
 struct Full;
 
 #[derive(Clone, Copy, Debug)]
@@ -45,7 +45,7 @@
     deadline: Instant,
 }
 
-/// The queue of one pool at one entry.
+/// The queue of one pool at one entry, ordered by tier and arrival.
 #[derive(Clone, Debug)]
 pub struct Queue {
     policy: AdmitPolicy,
@@ -56,7 +56,7 @@
 }
 
 impl Queue {
-    /// Makes an empty queue of at most `max` requests.
+    /// Creates an empty queue for at most `max` requests.
     pub fn new(policy: AdmitPolicy, max: usize) -> Self {
         Self {
             policy,
@@ -67,35 +67,35 @@
         }
     }
 
-    /// Returns how many wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Returns whether none waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Returns the moving mean of service times.
+    /// Returns the moving mean of the service times.
     pub fn service_time(&self) -> Duration {
         Duration::from_secs_f64(self.service)
     }
 
-    /// Notes how long an answered request was at its VM.
+    /// Records how long a VM took to answer a request.
     pub fn on_service(&mut self, took: Duration) {
         let off = took.as_secs_f64() - self.service;
         self.service += off / SMOOTHING;
         self.deviation += (off.abs() - self.deviation) / SMOOTHING;
     }
 
-    /// Returns how long a new request of `tier` would wait when `slots` serve the queue.
+    /// Returns the expected wait of a new request of `tier` when `slots` slots serve the queue.
     pub fn expected_wait(&self, tier: Tier, slots: u32) -> Duration {
         let ahead = self.waiting.range(..=(tier, Ticket(u64::MAX))).count();
         Duration::from_secs_f64(self.service * (ahead + 1) as f64 / f64::from(slots.max(1)))
     }
 
-    /// Lets a request wait, or refuses it at once.
+    /// Queues a request, or refuses it immediately.
     pub fn push(
         &mut self,
         ticket: Ticket,
@@ -115,12 +115,13 @@
         displaced.map_or(Push::Queued, Push::Displaced)
     }
 
-    /// Removes a request that no longer waits.
+    /// Removes a request from the queue.
     pub fn remove(&mut self, ticket: Ticket, tier: Tier) {
         self.waiting.remove(&(tier, ticket));
     }
 
-    /// Takes the next request that can still meet its deadline; those that cannot go to `refused`.
+    /// Removes and returns the next request that can still meet its deadline; requests before it
+    /// that cannot are moved to `refused`.
     pub fn pop(&mut self, now: Instant, refused: &mut Vec<Ticket>) -> Option<Ticket> {
         while let Some(((_, ticket), w)) = self.waiting.pop_first() {
             if self.is_in_time(w.deadline, now) {
@@ -131,7 +132,7 @@
         None
     }
 
-    /// Removes the requests that can no longer meet their deadline.
+    /// Moves all requests that can no longer meet their deadline to `refused`.
     pub fn drop_late(&mut self, now: Instant, refused: &mut Vec<Ticket>) {
         let service = self.needed();
         self.waiting.retain(|&(_, ticket), w| {
@@ -143,8 +144,9 @@
         });
     }
 
-    /// Returns a service time that most requests stay under: run times are far from their mean, and
-    /// a run that ends after its deadline is work for nothing.
+    /// Returns a service time that most requests stay below.
+    ///
+    /// Service times vary widely around their mean, and a run that ends after its deadline is wasted.
     fn ample_time(&self) -> Duration {
         Duration::from_secs_f64(self.service + DEVIATIONS * self.deviation)
     }
@@ -169,7 +171,7 @@
         }
     }
 
-    /// Makes room for one request, by taking out the last one of a lower tier when it must.
+    /// Makes room for one request; a full queue evicts its last request if that has a lower tier.
     fn make_room(&mut self, tier: Tier) -> Result<Option<Ticket>, Full> {
         if self.waiting.len() < self.max {
             return Ok(None);
--- a/crates/request/src/breaker.rs
+++ b/crates/request/src/breaker.rs
@@ -1,38 +1,39 @@
-//! Outlier detection: a VM that fails its requests is set aside and comes back by trial.
+//! Outlier detection: a VM whose requests fail is excluded, then readmitted after a trial request.
 
 use std::time::Duration;
 
 use thistle_model::clock::Instant;
 
-/// Results after which a VM can be judged.
+/// The minimum number of results before the failure share is considered.
 const MIN_RESULTS: u32 = 5;
-/// Weight of the newest result in the moving share of failures, as 1 / this.
+/// The newest result has a weight of `1 / SMOOTHING` in the moving failure share.
 const SMOOTHING: f64 = 8.0;
-/// Share of failures from which a VM is set aside.
+/// The failure share from which a VM is excluded.
 const BAD_SHARE: f64 = 0.5;
-/// Failures in a row after which a VM is set aside.
+/// The number of consecutive failures after which a VM is excluded.
 const MAX_BAD_IN_ROW: u32 = 3;
-/// Failures to connect in a row after which a VM is set aside without further judging.
+/// The number of consecutive connection failures after which a VM is excluded, whatever its failure
+/// share.
 const MAX_CONNECT_FAILURES: u32 = 1;
-/// First time for which a VM is set aside.
+/// The duration of the first exclusion; each failed trial doubles it.
 const FIRST_PAUSE: Duration = Duration::from_secs(1);
-/// Longest time for which a VM is set aside.
+/// The maximum duration of an exclusion.
 const MAX_PAUSE: Duration = Duration::from_secs(30);
 
-/// How a send to a VM ended, as far as the VM's health goes.
+/// The result of a send, as evidence of the VM's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendResult {
-    /// A whole answer that is no server error.
+    /// A complete response that is not a server error.
     Good,
-    /// A server error, a broken connection or a bad answer.
+    /// A server error, a broken connection or an invalid response.
     Bad,
-    /// The connection could not be made.
+    /// The connection could not be established.
     NoConnect,
-    /// The entry gave the request up for reasons that do not speak of the VM.
+    /// The entry abandoned the request for a reason that says nothing about the VM's health.
     Neutral,
 }
 
-/// The health of one VM as one entry sees it.
+/// The health of one VM as observed by one entry.
 #[derive(Clone, Debug, Default)]
 pub struct Breaker {
     results: u32,
@@ -44,19 +45,19 @@
     trial: bool,
 }
 
-/// Whether a VM may be chosen.
+/// Whether a VM may receive requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It takes work.
+    /// The VM receives requests.
     Good,
-    /// It is set aside.
+    /// The VM is excluded.
     Aside,
-    /// It may take one request as a trial.
+    /// The VM may receive one trial request.
     Trial,
 }
 
 impl Breaker {
-    /// Returns whether the VM may be chosen at `now`.
+    /// Returns whether the VM may receive requests at `now`.
     pub fn standing(&self, now: Instant) -> Standing {
         match self.aside_until {
             None => Standing::Good,
@@ -65,23 +66,23 @@
         }
     }
 
-    /// Returns whether the VM is set aside or on trial.
+    /// Returns whether the VM is excluded or on trial.
     pub const fn is_aside(&self) -> bool {
         self.aside_until.is_some()
     }
 
-    /// Returns the moving share of failures.
+    /// Returns the moving failure share.
     pub const fn bad_share(&self) -> f64 {
         self.bad_share
     }
 
-    /// Notes that the trial request was sent.
+    /// Records that the trial request was sent.
     pub const fn begin_trial(&mut self) {
         self.trial = true;
     }
 
-    /// Notes a result; `may_set_aside` is false when too many VMs of the pool are aside already
-    /// or the whole pool fails alike.
+    /// Records a result; `may_set_aside` is false if too many VMs of the pool are already excluded
+    /// or the whole pool fails in the same way.
     pub fn on_result(&mut self, result: SendResult, may_set_aside: bool, now: Instant) {
         let bad = match result {
             SendResult::Neutral => {
--- a/crates/request/src/claim.rs
+++ b/crates/request/src/claim.rs
@@ -1,8 +1,8 @@
-//! Claims on idempotency keys: which one attempt may send a request that may not be repeated.
+//! Claims on idempotency keys, which let at most one attempt send a request that is not repeatable.
 //!
-//! Voters hold claims. An attempt may send only after a quorum of the voters of one revision has
-//! accepted it; quorums of successive revisions meet (see the fold's voters), and a new set takes
-//! over the claims of a quorum of the old one before it is committed.
+//! Voters hold the claims. An attempt may send only after a quorum of the voters of one revision has
+//! accepted its claim. Quorums of successive revisions intersect (see the voters in the fold), and a
+//! new set of voters copies the claims of a quorum of the old set before the new set is committed.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -15,38 +15,38 @@
 
 use crate::key::ClaimKey;
 
-/// The largest answer that is kept for later attempts, in bytes of its body.
+/// The maximum body size of an answer that is kept for later attempts, in bytes.
 pub const MAX_KEPT_BODY: usize = 4 * 1024;
-/// Claims in one page of a take-over.
+/// The number of keys whose claims one page of a transfer between voters holds.
 pub const PAGE_CLAIMS: usize = 512;
 
-/// An attempt's number, drawn at random by its entry.
+/// The identifier of an attempt, generated at random by its entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AttemptId(pub u64);
 
-/// An answer kept for later attempts with the same key.
+/// An answer that is kept for later attempts with the same key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptAnswer {
-    /// Its HTTP status.
+    /// The HTTP status.
     pub status: u16,
-    /// Its content type, empty when it had none.
+    /// The content type; empty if the response had none.
     pub content_type: String,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
 }
 
 /// A claim on a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The attempt that holds it.
+    /// The attempt that holds the claim.
     pub attempt: AttemptId,
-    /// The fingerprint of its request.
+    /// The fingerprint of the attempt's request.
     pub fingerprint: u64,
-    /// The answer, once it is known; boxed, as most claims have none.
+    /// The answer, once known; boxed, as most claims have none.
     pub answer: Option<Box<KeptAnswer>>,
 }
 
-/// A claim with its key, as it is handed over.
+/// A claim with its key, as transferred between voters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyedClaim {
     /// The key.
@@ -55,21 +55,21 @@
     pub claim: Claim,
 }
 
-/// A holder's reply to an attempt.
+/// A voter's reply to a claim request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimReply {
-    /// The attempt holds the key here, under this revision of the voters.
+    /// The attempt holds the key at this voter, under this revision of the voters.
     Accepted(Revision),
-    /// Another attempt holds the key here.
+    /// Another attempt holds the key at this voter.
     Held(Claim),
-    /// The holder is at another revision of the voters.
+    /// The voter is at a different revision of the voters.
     WrongRevision(Revision),
-    /// The holder has no room for another claim.
+    /// The voter has no room for another claim.
     Full,
 }
 
-/// The claims on one key: more than one only where a take-over brought together the claim of an
-/// attempt that won and those of attempts that did not.
+/// The claims on one key. There is more than one only after a transfer between voters that merged
+/// the claim of a successful attempt with those of unsuccessful attempts.
 #[derive(Clone, Debug)]
 struct Held {
     claims: SmallVec<[Claim; 1]>,
@@ -77,7 +77,7 @@
 }
 
 impl Held {
-    /// Returns another attempt's claim, one with an answer if there is one.
+    /// Returns the claim of another attempt, preferably one with an answer.
     fn other_than(&self, attempt: AttemptId) -> Option<&Claim> {
         let others = self.claims.iter().filter(|c| c.attempt != attempt);
         others.max_by_key(|c| c.answer.is_some())
@@ -88,7 +88,7 @@
     }
 }
 
-/// The claims that one voter holds.
+/// The claims held by one voter.
 #[derive(Clone, Debug)]
 pub struct ClaimTable {
     claims: BTreeMap<ClaimKey, Held>,
@@ -100,8 +100,8 @@
 }
 
 impl ClaimTable {
-    /// Makes a table that keeps claims for `keep` and at most `max` of them, with kept answers of
-    /// at most `max_body_bytes` altogether.
+    /// Creates a table that keeps at most `max` keys, each for `keep`, with answer bodies of at most
+    /// `max_body_bytes` in total.
     pub fn new(keep: Duration, max: usize, max_body_bytes: usize) -> Self {
         Self {
             claims: BTreeMap::new(),
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Returns the number of claims held.
+    /// Returns the number of keys with claims.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
@@ -123,7 +123,8 @@
         self.claims.is_empty()
     }
 
-    /// Answers an attempt; `present` is the holder's revision of the voters, `asked` the attempt's.
+    /// Handles a claim request made under the `asked` revision of the voters; `present` is this
+    /// voter's revision.
     pub fn claim(
         &mut self,
         key: ClaimKey,
@@ -147,7 +148,7 @@
         ClaimReply::Accepted(present)
     }
 
-    /// Gives a key up for an attempt that did not send.
+    /// Releases the claim of an attempt that did not send its request.
     pub fn release(&mut self, key: ClaimKey, attempt: AttemptId) {
         let Some(held) = self.claims.get_mut(&key) else {
             return;
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Keeps the answer of an attempt that holds the key.
+    /// Stores the answer of an attempt that holds the key, if the size limits allow.
     pub fn settle(&mut self, key: ClaimKey, attempt: AttemptId, answer: KeptAnswer) {
         let room = self.max_body_bytes.saturating_sub(self.body_bytes);
         let fits = answer.body.len() <= MAX_KEPT_BODY.min(room);
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Returns the claims on the keys after `after` in the order of keys, for a take-over.
+    /// Returns a page of claims, ordered by key, that starts after the key `after`.
     pub fn page(&self, after: Option<ClaimKey>) -> Vec<KeyedClaim> {
         let from = after.map_or(std::ops::Bound::Unbounded, std::ops::Bound::Excluded);
         let rest = self.claims.range((from, std::ops::Bound::Unbounded)).take(PAGE_CLAIMS);
@@ -180,9 +181,9 @@
         rest.flat_map(keyed).collect()
     }
 
-    /// Takes over claims from another voter, beside those that are held here.
+    /// Merges claims from another voter into this table.
     ///
-    /// Of two attempts on a key either may be the one that won, so both are kept.
+    /// If two attempts claimed a key, either may have succeeded, so both claims are kept.
     pub fn merge(&mut self, page: Vec<KeyedClaim>, now: Instant) {
         for KeyedClaim { key, mut claim } in page {
             let (attempt, answer) = (claim.attempt, claim.answer.take());
@@ -210,7 +211,8 @@
         self.body_bytes -= answers.map(|a| a.body.len()).sum::<usize>();
     }
 
-    /// Forgets claims older than `keep`; a key released and claimed anew counts from the new claim.
+    /// Removes claims older than `keep`; the age of a key that was released and claimed again counts
+    /// from the later claim.
     fn expire(&mut self, now: Instant) {
         while let Some(&(since, key)) = self.ages.front() {
             if now.since(since) < self.keep {
@@ -224,20 +226,20 @@
     }
 }
 
-/// How an attempt's claim stands.
+/// The state of an attempt's claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Standing {
     /// More replies are needed.
     Pending,
-    /// The attempt may send.
+    /// The claim is granted; the attempt may send.
     Won,
-    /// Another attempt holds the key, with its answer if it is known.
+    /// Another attempt holds the key; its claim includes the answer if known.
     Held(Claim),
-    /// No quorum can be had.
+    /// No quorum can be reached.
     Lost,
 }
 
-/// Counts the replies to one attempt under one revision of the voters.
+/// Counts the voters' replies to one attempt under one revision of the voters.
 #[derive(Clone, Debug)]
 pub struct Tally {
     voters: Voters,
@@ -247,12 +249,12 @@
 }
 
 impl Tally {
-    /// Makes an empty tally.
+    /// Creates an empty tally.
     pub fn new(voters: Voters) -> Self {
         Self { voters, accepted: Vec::new(), refused: Vec::new(), held: None }
     }
 
-    /// Notes a voter's reply, `None` when there was none.
+    /// Records a voter's reply; `None` means that the voter did not reply.
     pub fn on_reply(&mut self, from: MemberId, reply: Option<ClaimReply>) {
         match reply {
             Some(ClaimReply::Accepted(revision)) if revision == self.voters.revision => {
@@ -269,7 +271,7 @@
         }
     }
 
-    /// Returns how the claim stands.
+    /// Returns the state of the claim.
     pub fn standing(&self) -> Standing {
         if !self.voters.current.is_empty() && self.voters.is_quorum(&self.accepted) {
             return Standing::Won;
--- a/crates/request/src/exchange.rs
+++ b/crates/request/src/exchange.rs
@@ -1,4 +1,4 @@
-//! The states of a request, as types: only an unsent request can be refused as not run.
+//! The send states of a request as types: only an unsent request can be refused as not run.
 
 use std::time::Duration;
 
@@ -6,21 +6,21 @@
 
 use crate::gate::{GateClosed, SendGate};
 
-/// A refusal: the final answer to a request that is given up.
+/// A refusal: the final reply to a request that the entry abandons.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: RefusalReason,
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub outcome: Outcome,
-    /// When the caller should come back.
+    /// The delay before the caller should retry.
     pub retry_after: Duration,
-    /// What happened, for people.
+    /// A human-readable description of the failure.
     pub detail: String,
 }
 
 impl Refusal {
-    /// Makes the problem details of the refusal.
+    /// Converts the refusal into problem details.
     pub fn into_problem(self, request_id: &str) -> Problem {
         Problem::new(self.reason, self.outcome, self.retry_after)
             .with_detail(self.detail)
@@ -28,7 +28,8 @@
     }
 }
 
-/// A request of which no byte can have reached a backend server.
+/// A request that cannot have run: no byte of it reached a backend server, or the server stated
+/// that it did not run the request.
 #[derive(Debug)]
 pub struct Unsent {
     sends: u32,
@@ -41,14 +42,15 @@
     earlier: bool,
 }
 
-/// A backend server's own documented word that it did not run the request.
+/// A backend server's explicit statement that it did not run the request.
 #[derive(Debug)]
 pub struct BackendRefusal(());
 
 impl BackendRefusal {
-    /// Takes a whole answer's status and its `Thistle-Not-Run` header as a refusal, if it is one.
+    /// Returns the refusal that a complete response with this status and `Thistle-Not-Run` header
+    /// expresses, if any.
     ///
-    /// A bare 503 is none: a server may send it after it began.
+    /// A 503 without the header does not count: a server may send it after it started the request.
     pub fn from_answer(status: u16, not_run_header: Option<&str>) -> Option<Self> {
         (status == 503 && not_run_header == Some("1")).then_some(Self(()))
     }
@@ -61,24 +63,25 @@
 }
 
 impl Unsent {
-    /// Makes the state of a request that was just read.
+    /// Creates the state of a request that was just received.
     pub const fn new() -> Self {
         Self { sends: 0 }
     }
 
-    /// Gives the request up as not run.
+    /// Refuses the request as not run.
     pub fn refuse(self, reason: RefusalReason, retry_after: Duration) -> Refusal {
         Refusal { reason, outcome: Outcome::NotRun, retry_after, detail: String::new() }
     }
 
-    /// Gives up a request whose key another attempt holds: that one may have run.
+    /// Refuses a request whose key another attempt holds. The outcome is unknown, as that attempt
+    /// may have run.
     pub fn refuse_held(self, reason: RefusalReason, retry_after: Duration) -> Refusal {
         Refusal { reason, outcome: Outcome::Unknown, retry_after, detail: String::new() }
     }
 }
 
 impl MaybeSent {
-    /// Takes the request back when its gate shows that no byte went out.
+    /// Restores the state before the send if the gate shows that no byte was written.
     pub fn take_back(self, gate: &SendGate) -> Result<Pending, Self> {
         match gate.close() {
             Some(GateClosed { .. }) => Ok(self.as_before()),
@@ -86,24 +89,25 @@
         }
     }
 
-    /// Takes the request back on the backend server's own word.
-    pub fn refused_by_backend(self, _word: &BackendRefusal) -> Pending {
+    /// Restores the state before the send, as the backend server states that it did not run the
+    /// request.
+    pub fn refused_by_backend(self, _refusal: &BackendRefusal) -> Pending {
         self.as_before()
     }
 
-    /// Takes the request back to send it again, as it may be repeated.
+    /// Prepares a repeatable request for another send.
     ///
-    /// What comes back can no longer be refused as not run.
+    /// The result can no longer be refused as not run.
     pub const fn repeat(self) -> Pending {
         Pending::Repeated(Repeated { sends: self.sends })
     }
 
-    /// Gives the request up; it may have run.
+    /// Refuses the request with an unknown outcome, as it may have run.
     pub fn refuse(self, reason: RefusalReason, retry_after: Duration) -> Refusal {
         Refusal { reason, outcome: Outcome::Unknown, retry_after, detail: String::new() }
     }
 
-    /// Returns the state before the last hand-over, of which nothing reached a server.
+    /// Returns the state before the last send, which did not run.
     const fn as_before(&self) -> Pending {
         if self.earlier {
             return Pending::Repeated(Repeated { sends: self.sends });
@@ -112,23 +116,23 @@
     }
 }
 
-/// A repeatable request that may have run already and is to be sent again.
+/// A repeatable request that may already have run and is due to be sent again.
 #[derive(Debug)]
 pub struct Repeated {
     sends: u32,
 }
 
-/// A request that is not at a VM, whether or not an earlier send may have run.
+/// A request that is not in flight; an earlier send of it may have run.
 #[derive(Debug)]
 pub enum Pending {
-    /// Nothing reached a server so far.
+    /// No earlier send can have run.
     Unsent(Unsent),
     /// An earlier send may have run.
     Repeated(Repeated),
 }
 
 impl Pending {
-    /// Returns how often the request was handed to a connection before.
+    /// Returns the number of sends started so far.
     pub const fn sends(&self) -> u32 {
         match self {
             Self::Unsent(r) => r.sends,
@@ -136,7 +140,7 @@
         }
     }
 
-    /// Hands the request to a connection; from now on bytes may go out.
+    /// Marks the start of a send; from here on bytes may be written to the connection.
     pub const fn hand_over(self) -> MaybeSent {
         match self {
             Self::Unsent(r) => MaybeSent { sends: r.sends + 1, earlier: false },
@@ -144,7 +148,7 @@
         }
     }
 
-    /// Gives the request up with the outcome that its state allows.
+    /// Refuses the request with the outcome that its state allows.
     pub fn refuse(self, reason: RefusalReason, retry_after: Duration) -> Refusal {
         let outcome = match self {
             Self::Unsent(r) => return r.refuse(reason, retry_after),
--- a/crates/request/src/gate.rs
+++ b/crates/request/src/gate.rs
@@ -1,4 +1,4 @@
-//! The gate before a backend connection: decides once whether the first byte of a request goes out.
+//! The gate in front of a backend connection, which decides once whether a request may be written.
 
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
 
@@ -8,22 +8,23 @@
 const WRITTEN: u8 = 1;
 const CLOSED: u8 = 2;
 
-/// Shared by the writer of a request and by whoever may give the request up.
+/// A gate shared by the writer of a request and the code that may abandon the request.
 ///
-/// Exactly one of [`SendGate::pass`] and [`SendGate::close`] succeeds, so "not run" is said only
-/// when no byte went out and none can go out later.
+/// Exactly one of [`SendGate::pass`] and [`SendGate::close`] succeeds, so "not run" is reported
+/// only if no byte was written and none can be written later.
 #[derive(Debug)]
 pub struct SendGate {
     state: AtomicU8,
     proof_until_us: AtomicU64,
 }
 
-/// Evidence that no byte of a request went out and none will.
+/// Proof that no byte of a request was written and none will be.
 #[derive(Debug, PartialEq, Eq)]
 pub struct GateClosed(());
 
 impl SendGate {
-    /// Makes a gate that lets bytes pass until `proof_until`, when the entry's proof lapses.
+    /// Creates a gate that a request may pass until `proof_until`, when the entry's proof of
+    /// membership expires.
     pub fn new(proof_until: Instant) -> Self {
         Self {
             state: AtomicU8::new(ARMED),
@@ -31,9 +32,10 @@
         }
     }
 
-    /// Called right before bytes are written; returns whether they may be.
+    /// Returns whether bytes may be written; the caller must check right before each write.
     ///
-    /// The proof is checked only before the first byte: a request under way is finished.
+    /// The proof of membership is checked only before the first byte: a request that has been
+    /// partly written is completed.
     pub fn pass(&self, now: Instant) -> bool {
         if self.state.load(Ordering::Acquire) == WRITTEN {
             return true;
@@ -46,12 +48,12 @@
         matches!(swapped, Ok(_) | Err(WRITTEN))
     }
 
-    /// Returns whether a byte has passed.
+    /// Returns whether a write was permitted.
     pub fn has_passed(&self) -> bool {
         self.state.load(Ordering::Acquire) == WRITTEN
     }
 
-    /// Closes the gate; returns the evidence when no byte has passed.
+    /// Closes the gate; returns the proof if no write was permitted before.
     pub fn close(&self) -> Option<GateClosed> {
         let swapped =
             self.state.compare_exchange(ARMED, CLOSED, Ordering::AcqRel, Ordering::Acquire);
--- a/crates/request/src/lib.rs
+++ b/crates/request/src/lib.rs
@@ -1,6 +1,6 @@
-//! The decisions of an entry about callers' requests, without sockets and without a clock.
+//! The decision logic of an entry for callers' requests, without I/O and without a clock.
 //!
-//! The daemon, the replays and the randomised tests run this same code; time is passed in.
+//! The daemon, the replays and the randomised tests share this code; callers pass in the time.
 
 pub mod admit;
 pub mod breaker;
--- a/crates/request/src/retry.rs
+++ b/crates/request/src/retry.rs
@@ -1,19 +1,20 @@
-//! A retry budget: retries are a bounded share of the sends, so that they cannot feed an overload.
+//! A retry budget: retries are a bounded share of the requests, so that they cannot worsen an
+//! overload.
 
 use thistle_model::clock::Instant;
 
-/// Parts of a token; a retry costs this much.
+/// The units of one token; each retry costs one token.
 const TOKEN: u32 = 1_000;
 
-/// Retries that are allowed each second however few the sends are.
+/// The number of retries allowed per second regardless of the number of requests.
 const FLOOR_PER_SECOND: u64 = 2;
-/// Parts of a token that one millisecond adds.
+/// The units added per millisecond.
 const FLOOR_PER_MS: u64 = FLOOR_PER_SECOND * TOKEN as u64 / 1_000;
 
-/// A bucket that sends and time fill a little and each retry empties by one token.
+/// A token bucket that first sends and elapsed time refill; each retry takes one token.
 ///
-/// The floor keeps a pool of few and long requests from losing them all with one rack; it is too
-/// small to feed an overload.
+/// The time-based refill lets a pool with few, long requests retry them after the loss of a rack;
+/// the refill is too small to worsen an overload.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     per_send: u32,
@@ -23,19 +24,20 @@
 }
 
 impl RetryBudget {
-    /// Makes a bucket for retries of at most `percent` of the sends, with room for `burst` retries.
+    /// Creates a full bucket for `burst` retries that is refilled by `percent` of a token per
+    /// request.
     pub fn new(percent: u32, burst: u32) -> Self {
         let max = burst.saturating_mul(TOKEN);
         let per_send = percent.saturating_mul(TOKEN / 100);
         Self { per_send, max, level: max, filled: Instant::default() }
     }
 
-    /// Notes a first send.
+    /// Records the first send of a request.
     pub fn on_send(&mut self) {
         self.level = (self.level + self.per_send).min(self.max);
     }
 
-    /// Takes a token for a retry; false when the budget is spent.
+    /// Takes a token for a retry; returns false if the budget is exhausted.
     pub fn take(&mut self, now: Instant) -> bool {
         self.fill(now);
         let Some(level) = self.level.checked_sub(TOKEN) else {
--- a/crates/request/src/router/choose.rs
+++ b/crates/request/src/router/choose.rs
@@ -1,4 +1,4 @@
-//! The choice of a VM, and which failing VMs are set aside.
+//! The choice of a VM for a request, and the limits on excluding failing VMs.
 
 use rand::Rng;
 use thistle_model::clock::Instant;
@@ -6,14 +6,14 @@
 use super::{Ask, ChoicePolicy, PoolKey, Router, VmKey, VmLoad};
 use crate::breaker::{SendResult, Standing};
 
-/// Mean share of failures in the rest of a pool from which no VM is set aside: the requests fail,
-/// not the VM.
+/// The mean failure share of a pool's other VMs from which no VM is excluded: at that level the
+/// requests are at fault, not the VM.
 const POOL_FAILS: f64 = 0.3;
-/// The most VMs of a pool that are set aside because they cannot be connected to, in percent.
+/// The maximum share of a pool's VMs that connection failures may exclude, in percent.
 const MAX_UNREACHABLE_PERCENT: u32 = 60;
 
 impl Router {
-    /// Returns the VM for a request, or `None` when none may take it now.
+    /// Returns the VM for a request, or `None` if no VM can accept it now.
     pub(super) fn choose(&mut self, ask: &Ask, now: Instant) -> Option<VmKey> {
         let pool = self.pools.get(ask.pool)?;
         if self.cfg.choice == ChoicePolicy::Random {
@@ -23,7 +23,7 @@
         let mut first: Option<VmKey> = None;
         let mut second: Option<VmKey> = None;
         let mut seen = 0u32;
-        // Where all others are taken, a VM that failed before is better than none.
+        // If no other VM has room, a VM on which the request failed before is better than none.
         let mut avoided = None;
         for &key in &pool.vms {
             let vm = &self.vms[key];
@@ -73,13 +73,13 @@
             }
     }
 
-    /// Returns whether the pool has a VM that may be sent work at all.
+    /// Returns whether the pool has a VM that accepts new requests, with or without room.
     pub(super) fn has_vm(&self, key: PoolKey) -> bool {
         let pool = self.pools.get(key);
         pool.is_some_and(|p| p.vms.iter().any(|&k| self.vms[k].is_sendable()))
     }
 
-    /// Returns the slots that serve a pool's queue at this entry.
+    /// Returns the number of slots that serve a pool's queue at this entry.
     pub(super) fn slots_for(&self, key: PoolKey, now: Instant) -> u32 {
         let Some(pool) = self.pools.get(key) else {
             return 0;
@@ -92,7 +92,7 @@
         pool.vms.iter().map(|&k| slots(&self.vms[k])).sum()
     }
 
-    /// Returns whether one more VM of this VM's pool may be set aside.
+    /// Returns whether this VM may be excluded, given the other VMs of its pool.
     pub(super) fn may_set_aside(&self, key: VmKey, result: SendResult) -> bool {
         let Some(pool) = self.pools.get(self.vms[key].pool) else {
             return false;
@@ -117,7 +117,7 @@
     }
 }
 
-/// Keeps two random VMs of those seen so far (reservoir sampling).
+/// Keeps a random sample of two of the VMs seen so far (reservoir sampling).
 fn sample_two(
     rng: &mut impl Rng,
     seen: u32,
--- a/crates/request/src/router/lease.rs
+++ b/crates/request/src/router/lease.rs
@@ -1,4 +1,4 @@
-//! Which slots this entry asks for, and taking over what homes grant.
+//! Slot leases of this entry: which slots to request, and applying the grants.
 
 use thistle_model::clock::Instant;
 use thistle_model::rendezvous::weight;
@@ -7,27 +7,27 @@
 use crate::breaker::Standing;
 use crate::slot_home::{SLOT_LEASE, SlotGrant, SlotWant};
 
-/// Slots of a pool that an entry keeps beyond what it uses.
+/// The minimum number of idle slots of a pool that an entry keeps.
 const MIN_SPARE: u32 = 2;
-/// The share of the slots in use that is kept as a spare besides, as 1 / this.
+/// The number of idle slots kept is the number of slots in use divided by this, if larger.
 const SPARE_PART: u32 = 4;
 
 impl Router {
-    /// Returns what to ask of the homes of all VMs.
+    /// Returns the slot requests to the homes of all VMs.
     ///
-    /// Slots beyond the wish are given up here and now, before their home hears of it, so that a
-    /// slot is never used by two entries.
+    /// This entry releases surplus slots here, before their home receives the request, so that two
+    /// entries never use the same slot.
     pub fn slot_wants(&mut self, now: Instant) -> Vec<SlotWant> {
         let pools: Vec<_> = self.pools.keys().collect();
         pools.into_iter().flat_map(|key| self.pool_wants(key, now)).collect()
     }
 
-    /// Returns whether requests wait in a pool for which more slots should be asked at once.
+    /// Returns whether requests wait in any pool, so that slots should be requested immediately.
     pub fn is_short_of_slots(&self) -> bool {
         self.pools.values().any(|p| !p.queue.is_empty())
     }
 
-    /// Takes over a grant that was asked for at `asked_at`.
+    /// Applies a grant that was requested at `asked_at`.
     pub fn apply_grant(&mut self, grant: &SlotGrant, asked_at: Instant) {
         let Some(vm) = self.vm_keys.get(&grant.vm).and_then(|&key| self.vms.get_mut(key)) else {
             return;
@@ -49,7 +49,7 @@
         wants.collect::<Vec<_>>().into_iter().flatten().collect()
     }
 
-    /// Returns the pool's VMs in an order of this entry's own, those with free slots first.
+    /// Returns the pool's usable VMs in an order specific to this entry, VMs with free slots first.
     fn order_of(&self, pool: PoolKey, now: Instant) -> Vec<VmKey> {
         let usable = |key: &VmKey| {
             let vm = &self.vms[*key];
@@ -63,7 +63,7 @@
         order
     }
 
-    /// Keeps idle slots that this entry has already, as far as it wishes for more.
+    /// Keeps the idle slots that this entry already holds, up to `extra`.
     fn keep_leased(&self, order: &[VmKey], wishes: &mut [u16], extra: &mut u32, now: Instant) {
         for (wish, &key) in wishes.iter_mut().zip(order) {
             let idle = u32::from(self.vms[key].free_leased(now)).min(*extra);
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Spreads what is still wished for over the VMs, one slot a turn.
+    /// Distributes the remaining `extra` slots over the VMs, one slot per VM and round.
     fn ask_more(&self, order: &[VmKey], wishes: &mut [u16], extra: &mut u32) {
         while *extra > 0 {
             let before = *extra;
--- a/crates/request/src/router/load.rs
+++ b/crates/request/src/router/load.rs
@@ -1,4 +1,4 @@
-//! Pools and VMs as one entry sees them.
+//! Pools and VMs as known to one entry.
 
 use std::sync::Arc;
 
@@ -16,59 +16,59 @@
     pub struct VmKey;
 }
 
-/// A pool with the requests that wait for it.
+/// A pool with its waiting requests.
 #[derive(Debug)]
 pub struct PoolLoad {
-    /// The workspace.
+    /// The name of the workspace.
     pub name: PoolName,
-    /// Its tier.
+    /// The default tier of its requests.
     pub tier: Tier,
-    /// Its template.
+    /// The template of its VMs.
     pub template: Arc<Template>,
-    /// Its VMs that are in the view, whether or not they may be sent work.
+    /// The VMs of the pool in the view, including drained ones.
     pub vms: Vec<VmKey>,
-    /// The requests that wait.
+    /// The waiting requests.
     pub queue: Queue,
-    /// Requests taken out of the queue for others, to be refused.
+    /// Requests evicted from the queue that have yet to be refused.
     pub(super) displaced: Vec<Ticket>,
 }
 
 impl PoolLoad {
-    /// Returns a service of the pool.
+    /// Returns the service of this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.template.services.iter().find(|s| s.name.as_str() == name)
     }
 }
 
-/// A VM with what this entry has in flight there.
+/// A VM with this entry's load on it.
 #[derive(Debug)]
 pub struct VmLoad {
-    /// Its name.
+    /// The name.
     pub name: VmName,
-    /// What the platform says of it.
+    /// The facts reported by the platform.
     pub facts: VmFacts,
-    /// Its pool.
+    /// The pool.
     pub pool: PoolKey,
-    /// Whether the view allows new work there.
+    /// Whether the view allows new requests to the VM.
     pub in_view: bool,
-    /// Whether it is known to be leaving.
+    /// Whether the VM is known to be leaving.
     pub leaving: bool,
-    /// The revision of its drain, while there is one.
+    /// The revision of the drain, while the VM is drained.
     pub drain: Option<Revision>,
-    /// Requests of this entry that are there or on their way.
+    /// The number of requests that this entry has in flight on the VM.
     pub in_flight: u16,
-    /// Slots of this entry's lease.
+    /// The number of slots leased to this entry.
     pub leased: u16,
-    /// When the lease lapses.
+    /// When the lease expires.
     pub lease_until: Instant,
-    /// Slots that nobody had when its home last answered.
+    /// The number of unleased slots in the last reply of the VM's home.
     pub free_hint: u16,
-    /// Its health.
+    /// The health of the VM.
     pub breaker: Breaker,
 }
 
 impl VmLoad {
-    /// Makes a VM without load.
+    /// Creates a VM without load.
     pub(super) fn new(name: VmName, facts: VmFacts, pool: PoolKey) -> Self {
         let free_hint = facts.slots;
         Self {
@@ -86,12 +86,12 @@
         }
     }
 
-    /// Returns whether new work may be sent there.
+    /// Returns whether new requests may be sent to the VM.
     pub const fn is_sendable(&self) -> bool {
         self.in_view && !self.leaving
     }
 
-    /// Returns the free slots of this entry's lease.
+    /// Returns the number of idle slots leased to this entry.
     pub fn free_leased(&self, now: Instant) -> u16 {
         if now >= self.lease_until { 0 } else { self.leased.saturating_sub(self.in_flight) }
     }
--- a/crates/request/src/router/mod.rs
+++ b/crates/request/src/router/mod.rs
@@ -1,4 +1,4 @@
-//! The router of an entry: which VM gets a request, who waits, who is refused.
+//! The router of an entry, which sends each request to a VM, queues it or refuses it.
 
 mod choose;
 mod lease;
@@ -22,42 +22,42 @@
 use crate::exchange::Pending;
 use crate::retry::RetryBudget;
 
-/// How the VM for a request is chosen.
+/// How to choose the VM for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChoicePolicy {
-    /// Any VM of the pool, whatever it has in flight.
+    /// A random VM of the pool, regardless of its load.
     Random,
-    /// The one with less in flight of two random VMs, by this entry's own count.
+    /// The less loaded of two random VMs, by this entry's own requests in flight.
     TwoChoices,
-    /// The same among VMs on which this entry holds a free slot of its lease.
+    /// The less loaded of two random VMs on which this entry has an idle leased slot.
     Leased,
 }
 
 /// When a failed request may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// Always, up to the most sends.
+    /// Always, up to the maximum number of sends.
     Always,
-    /// Within a budget that is this percentage of the sends.
+    /// Within a budget of this percentage of the requests.
     Budget(u32),
 }
 
-/// The policies and bounds of a router.
+/// The policies and limits of a router.
 #[derive(Clone, Debug)]
 pub struct RouterConfig {
-    /// How the VM is chosen.
+    /// How to choose the VM for a request.
     pub choice: ChoicePolicy,
-    /// When a request that would be late is refused.
+    /// When to refuse a request that would miss its deadline.
     pub admit: AdmitPolicy,
-    /// When a request may be sent again.
+    /// When a failed request may be sent again.
     pub retry: RetryPolicy,
-    /// Requests that may wait in one pool.
+    /// The maximum number of requests that wait in one pool.
     pub max_queue: usize,
-    /// The most VMs of a pool that are set aside for errors, in percent.
+    /// The maximum share of a pool's VMs that errors may exclude, in percent.
     pub max_aside_percent: u32,
-    /// The most sends of one request.
+    /// The maximum number of sends of one request.
     pub max_sends: u32,
-    /// A number of this entry's own, for its random choices and its order of VMs.
+    /// A seed specific to this entry, for its random choices and its order of VMs.
     pub seed: u64,
 }
 
@@ -75,31 +75,31 @@
     }
 }
 
-/// The most sends of one request.
+/// The default maximum number of sends of one request.
 const MAX_SENDS: u32 = 5;
-/// Retries that may be done before the budget has filled.
+/// The capacity of the retry budget, which starts full, in retries.
 const RETRY_BURST: u32 = 20;
-/// Shortest time after which a refused caller is told to come back.
+/// The minimum retry delay reported with a refusal.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// What the router needs to know of a request.
+/// The properties of a request that the router needs.
 #[derive(Clone, Copy, Debug)]
 pub struct Ask {
-    /// The request's ticket.
+    /// The ticket of the request.
     pub ticket: Ticket,
-    /// Its pool.
+    /// The pool.
     pub pool: PoolKey,
-    /// Its tier.
+    /// The tier.
     pub tier: Tier,
-    /// When its answer is worth nothing any more.
+    /// The time after which the caller no longer needs the answer.
     pub deadline: Instant,
-    /// Whether it may go to a VM that is on trial.
+    /// Whether the request may be repeated, so that it may serve as a VM's trial request.
     pub repeatable: bool,
-    /// VMs on which it failed before.
+    /// The VMs on which the request failed before.
     pub avoid: Avoid,
 }
 
-/// VMs on which a request failed before, the last few.
+/// The VMs on which the last few sends of a request failed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Avoid([Option<VmKey>; MAX_SENDS as usize]);
 
@@ -110,29 +110,29 @@
         self.0[0] = Some(vm);
     }
 
-    /// Returns whether a VM is to be avoided.
+    /// Returns whether the request failed on a VM.
     pub fn contains(&self, vm: VmKey) -> bool {
         self.0.contains(&Some(vm))
     }
 }
 
-/// What is to be done with a request.
+/// The router's decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it to this VM, on which it now counts as in flight.
+    /// Send the request to this VM, which now counts the request as in flight.
     Send(VmKey),
-    /// Keep it until the router says more.
+    /// Keep the request until the router returns a [`Wake`] for it.
     Wait,
-    /// Refuse it now.
+    /// Refuse the request now, with this reason and retry delay.
     Refuse(RefusalReason, Duration),
 }
 
-/// A decision on a request that waited.
+/// A decision on a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Wake {
-    /// The request.
+    /// The ticket of the request.
     pub ticket: Ticket,
-    /// What is to be done with it.
+    /// The decision.
     pub decision: Decision,
 }
 
@@ -151,7 +151,7 @@
 }
 
 impl Router {
-    /// Makes a router that knows no pool.
+    /// Creates a router without pools.
     pub fn new(cfg: RouterConfig) -> Self {
         let budget = match cfg.retry {
             RetryPolicy::Always => RetryBudget::new(0, 0),
@@ -197,17 +197,17 @@
         self.vms.values()
     }
 
-    /// Sets until when this entry has proof that it is a member.
+    /// Extends the time until which this entry has proof of membership.
     pub fn set_proof(&mut self, until: Instant) {
         self.proof_until = self.proof_until.max(until);
     }
 
-    /// Returns until when this entry has proof that it is a member.
+    /// Returns the time until which this entry has proof of membership.
     pub const fn proof_until(&self) -> Instant {
         self.proof_until
     }
 
-    /// Returns the requests that are waiting or in flight.
+    /// Returns the number of requests that are waiting or in flight.
     pub fn in_flight(&self) -> usize {
         let sent: usize = self.vms.values().map(|vm| usize::from(vm.in_flight)).sum();
         sent + self.asks.len()
@@ -219,10 +219,10 @@
         self.place(ask, now)
     }
 
-    /// Decides on a request whose send failed; `None` when it may not be sent again.
+    /// Decides on a request whose send failed; returns `None` if it may not be sent again.
     ///
-    /// Only a request that may have run uses the budget: another try of one of which nothing went
-    /// out adds no work anywhere.
+    /// Only a request that may have run takes from the retry budget: a retry of one that did not run
+    /// adds no load.
     pub fn resubmit(&mut self, ask: Ask, state: &Pending, now: Instant) -> Option<Decision> {
         if state.sends() >= self.cfg.max_sends || now >= ask.deadline {
             return None;
@@ -270,7 +270,7 @@
         Decision::Wait
     }
 
-    /// Forgets a waiting request whose caller went away.
+    /// Removes a waiting request whose caller no longer waits.
     pub fn cancel(&mut self, ticket: Ticket) {
         let Some(ask) = self.asks.remove(&ticket) else {
             return;
@@ -280,7 +280,7 @@
         }
     }
 
-    /// Notes the end of a send and returns decisions on waiting requests.
+    /// Records the end of a send and returns decisions on waiting requests.
     pub fn finish(
         &mut self,
         key: VmKey,
@@ -305,7 +305,7 @@
         self.dispatch(pool, now)
     }
 
-    /// Returns decisions that are due because time passed or leases came.
+    /// Returns decisions on waiting requests that are due as time has passed or leases were granted.
     pub fn poll(&mut self, now: Instant) -> Vec<Wake> {
         let busy = |(_, p): &(PoolKey, &PoolLoad)| !p.queue.is_empty() || !p.displaced.is_empty();
         let keys: Vec<_> = self.pools.iter().filter(busy).map(|(k, _)| k).collect();
--- a/crates/request/src/router/view.rs
+++ b/crates/request/src/router/view.rs
@@ -1,4 +1,4 @@
-//! Taking over a view of the agreed state, and acknowledging drains.
+//! Applying the view of the agreed state, and acknowledging drains.
 
 use std::collections::HashSet;
 
@@ -8,7 +8,8 @@
 use super::{PoolKey, PoolLoad, Router, VmKey, VmLoad};
 use crate::admit::Queue;
 
-/// A drain that this entry acknowledges: it sends nothing there and has nothing in flight there.
+/// An acknowledgement of a drain: this entry sends no requests to the VM and has none in flight
+/// there.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct DrainAck {
     /// The VM.
@@ -18,7 +19,7 @@
 }
 
 impl Router {
-    /// Takes over what changed in the view.
+    /// Applies an update of the view.
     pub fn apply_view(&mut self, update: &ViewUpdate) {
         for pool in &update.pools {
             self.apply_pool(pool);
@@ -28,7 +29,7 @@
         idle.into_iter().for_each(|key| self.forget_idle(key));
     }
 
-    /// Sets which VMs are known to be leaving before the log says so.
+    /// Sets the VMs that are known to be leaving before the log records it.
     pub fn set_leaving(&mut self, leaving: &[VmName]) {
         let leaving: HashSet<_> = leaving.iter().collect();
         for vm in self.vms.values_mut() {
@@ -73,7 +74,7 @@
         key
     }
 
-    /// Takes all VMs out of a pool; those with requests in flight stay known.
+    /// Removes all VMs from a pool; VMs with requests in flight remain known to the router.
     fn clear_pool(&mut self, key: PoolKey) {
         for vm_key in std::mem::take(&mut self.pools[key].vms) {
             let vm = &mut self.vms[vm_key];
@@ -100,7 +101,8 @@
         self.pools[pool].vms.push(key);
     }
 
-    /// Notes a drain, also of a VM that this entry never knew: it has nothing in flight there.
+    /// Records a drain. A VM that this entry never knew is added, as its drain can be acknowledged
+    /// too: no requests are in flight there.
     fn put_drain(&mut self, pool: PoolKey, name: &VmName, revision: Revision) {
         let key = match self.vm_keys.get(name) {
             Some(&key) => key,
@@ -123,7 +125,7 @@
         key
     }
 
-    /// Forgets a VM that is in no view and has nothing in flight.
+    /// Removes a VM that is in no pool and has no requests in flight.
     pub(super) fn forget_idle(&mut self, key: VmKey) {
         let Some(vm) = self.vms.get(key) else { return };
         let listed = self.pools.get(vm.pool).is_some_and(|p| p.vms.contains(&key));
@@ -136,7 +138,7 @@
     }
 }
 
-/// Facts of a VM of which this entry knows only that it is drained; nothing is sent there.
+/// Returns placeholder facts for a VM known only from its drain; no requests are sent to the VM.
 fn unknown_facts() -> thistle_model::VmFacts {
     let hall = thistle_model::HallName::new("unknown").expect("a constant name is valid");
     let rack = thistle_model::RackName::new("unknown").expect("a constant name is valid");
--- a/crates/request/src/slot_home.rs
+++ b/crates/request/src/slot_home.rs
@@ -1,8 +1,8 @@
-//! Slots of workers, granted by each VM's home under short leases.
+//! Slots of VMs, granted to entries by each VM's home under short leases.
 //!
-//! A worker's slots are shared by all entries. One steward, picked by rendezvous hash, is a VM's
-//! home and grants its slots, so that all entries together never use more than there are. Grants
-//! follow the demand that entries state, which an uneven balancer makes uneven.
+//! All entries share a VM's slots. One steward, selected by rendezvous hashing, is the home of a VM
+//! and grants its slots, so that all entries together never use more slots than the VM has. Grants
+//! are proportional to the demand that entries report, as the balancer may load entries unevenly.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,30 +11,30 @@
 use thistle_model::clock::Instant;
 use thistle_model::{MemberId, VmName};
 
-/// For how long granted slots may be used without being asked for again.
+/// The time for which granted slots may be used without renewal.
 pub const SLOT_LEASE: Duration = Duration::from_secs(2);
 
-/// What an entry asks of a VM's home.
+/// An entry's request for slots to a VM's home.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotWant {
     /// The VM.
     pub vm: VmName,
-    /// Slots that the entry has now, in use or not; it has given up any others for good.
+    /// The slots that the entry holds now, in use or not; it no longer uses any others.
     pub held: u16,
-    /// Slots that it would like to have altogether.
+    /// The total number of slots that the entry wants.
     pub want: u16,
 }
 
-/// What the home grants.
+/// A grant of slots by a VM's home.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotGrant {
     /// The VM.
     pub vm: VmName,
-    /// Slots that the entry now has; never fewer than it held.
+    /// The slots that the entry now holds; never fewer than it held before.
     pub slots: u16,
-    /// Slots to which the entry should come down as its requests end.
+    /// The number of slots to which the entry should shrink as its requests end.
     pub share: u16,
-    /// Slots that nobody has.
+    /// The slots that no entry holds.
     pub free: u16,
 }
 
@@ -51,34 +51,35 @@
     open_at: Instant,
 }
 
-/// The VMs of which one steward is the home.
+/// The VMs whose home is one steward.
 #[derive(Clone, Debug, Default)]
 pub struct SlotHome {
     vms: HashMap<VmName, HomedVm>,
 }
 
 impl SlotHome {
-    /// Makes a home without VMs.
+    /// Creates a home without VMs.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Becomes or stays the home of a VM.
     ///
-    /// A new home renews what entries say they hold and grants anew only from `open_at` on, when
-    /// the leases of the home before it have run out.
+    /// Before `open_at`, when the leases of the previous home have expired, the home only renews the
+    /// slots that entries report as held; it grants more slots only from then on.
     pub fn adopt(&mut self, vm: &VmName, open_at: Instant) {
         if !self.vms.contains_key(vm) {
             self.vms.insert(vm.clone(), HomedVm { leases: HashMap::new(), open_at });
         }
     }
 
-    /// Forgets the VMs for which `keep` is false.
+    /// Removes the VMs for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&VmName) -> bool) {
         self.vms.retain(|vm, _| keep(vm));
     }
 
-    /// Answers an entry; `slots` is what the VM has. `None` when this is not the VM's home.
+    /// Handles a request of an entry for slots of a VM that has `slots` slots; returns `None` if this
+    /// is not the VM's home.
     pub fn grant(
         &mut self,
         from: MemberId,
@@ -90,8 +91,8 @@
         vm.leases.retain(|_, l| l.expires > now);
         let free = slots.saturating_sub(vm.taken_by_others(from));
         let share = vm.fair_share(from, want.want, slots).min(free);
-        let wish = if now < vm.open_at { 0 } else { share };
-        let granted = wish.max(want.held.min(free));
+        let target = if now < vm.open_at { 0 } else { share };
+        let granted = target.max(want.held.min(free));
         vm.lease(from, granted, want.want, now);
         Some(SlotGrant { vm: want.vm.clone(), slots: granted, share, free: free - granted })
     }
@@ -103,7 +104,7 @@
         others.map(|(_, l)| l.slots).sum()
     }
 
-    /// Returns the part of the slots that the stated demands give to `from`.
+    /// Returns the share of the slots for `from`, in proportion to the reported demands.
     fn fair_share(&self, from: MemberId, want: u16, slots: u16) -> u16 {
         let others = self.leases.iter().filter(|(id, _)| **id != from);
         let all = others.map(|(_, l)| u32::from(l.want)).sum::<u32>() + u32::from(want);
--- a/crates/request/tests/claims.rs
+++ b/crates/request/tests/claims.rs
@@ -1,5 +1,5 @@
-//! At most once across entries: random runs of attempts, lost and late messages, lagging members,
-//! deaths, and changes of the voters in the middle of claims.
+//! At-most-once execution across entries, tested with random sequences of attempts, lost and delayed
+//! messages, lagging members, crashes, and changes of the voters during claims.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -27,7 +27,7 @@
     if std::env::var_os("THISTLE_LONG_RUN").is_some() { 100_000 } else { 400 }
 }
 
-/// One member with its claims; it has folded the log up to its state's offset.
+/// A member with its claims; its state is the fold of the log up to `state.next`.
 struct Node {
     state: State,
     claims: ClaimTable,
@@ -35,7 +35,7 @@
     alive: bool,
 }
 
-/// An attempt with the messages that are still on their way.
+/// An attempt with its messages in transit.
 struct Attempt {
     key: u64,
     claim: Claim,
@@ -101,7 +101,7 @@
         true
     }
 
-    /// A member proposes the set of voters that the bits name.
+    /// Lets a member propose the set of voters given by `bits`.
     fn propose(&mut self, by: usize, bits: u32) {
         let set: Vec<_> = (0..NODES).filter(|i| bits >> i & 1 == 1).map(id).collect();
         let base = self.nodes[by].state.voters.revision;
@@ -110,7 +110,7 @@
         }
     }
 
-    /// A voter takes over the claims of a majority of the present set.
+    /// Lets a voter merge the claims of a majority of the current set of voters.
     fn merge(&mut self, i: usize, order: u32) {
         let voters = self.nodes[i].state.voters.clone();
         if !self.nodes[i].alive || voters.next.is_none() || !voters.contains(id(i)) {
@@ -165,7 +165,7 @@
         });
     }
 
-    /// Delivers one claim request; the voter's reply is on its way then.
+    /// Delivers one claim request, which puts the voter's reply in transit.
     fn deliver_request(&mut self, a: usize, pick: usize, lost: bool) {
         let attempt = &mut self.attempts[a];
         if attempt.to_voters.is_empty() {
@@ -188,7 +188,7 @@
         attempt.replies.push((to, Some(reply)));
     }
 
-    /// Delivers one reply; an attempt that has won runs, one that has not releases.
+    /// Delivers one reply; a successful attempt runs its request, a failed one releases its claims.
     fn deliver_reply(&mut self, a: usize, pick: usize, lost: bool) {
         let attempt = &mut self.attempts[a];
         if attempt.replies.is_empty() || attempt.ended {
@@ -213,7 +213,8 @@
         }
     }
 
-    /// Kills a member; its claims are lost with it. A majority of the present voters stays.
+    /// Kills a member, whose claims are lost, unless the rest would no longer be a quorum of the
+    /// voters.
     fn kill(&mut self, i: usize) {
         let newest = self.nodes.iter().map(|n| n.state.next).max().unwrap();
         let state = &self.nodes.iter().find(|n| n.state.next == newest).unwrap().state;
@@ -225,7 +226,7 @@
         self.nodes[i].alive = false;
     }
 
-    /// An attempt whose messages arrive at once, but for those that the bits hold back.
+    /// Makes an attempt whose messages arrive immediately, except those that `bits` delays.
     fn attempt_now(&mut self, entry: usize, key: u64, bits: u32) {
         self.attempt(entry, key);
         let a = self.attempts.len() - 1;
@@ -238,7 +239,7 @@
         }
     }
 
-    /// A change of the voters in one go, but for the members that the bits hold back.
+    /// Changes the voters in one step, except at the members that `bits` delays.
     fn change_voters(&mut self, by: usize, bits: u32) {
         while self.advance(by) {}
         self.propose(by, bits);
@@ -305,7 +306,7 @@
             Ok(())
         })
         .unwrap();
-    // The runs are worth something only when attempts do win and voters do change.
+    // The test is meaningful only if attempts do win and the voters do change.
     assert!(ran.get() > cases() / 2, "only {} attempts won", ran.get());
     assert!(committed.get() > u64::from(cases()) * 2, "the voters hardly changed");
 }
@@ -351,7 +352,7 @@
 
 #[gtest]
 fn key_older_than_its_claim_is_not_run() {
-    // A UUID of version 7 whose time is 2026-11-01 08:00:00 UTC.
+    // A version 7 UUID with the timestamp 2026-11-01 08:00:00 UTC.
     let created = 1_793_520_000_000u64;
     let hex = format!("{created:012x}");
     let key = format!("{}-{}-7000-8000-000000000000", &hex[..8], &hex[8..]);
@@ -363,8 +364,8 @@
     expect_that!(judge_age("opaque", created, KEEP, created - 1), eq(KeyAge::TooOld));
 }
 
-/// Found by the long run: a take-over kept only the first claim that it met, so the claim of an
-/// attempt that had lost hid that of the one that had won, and its release freed the key.
+/// Guards against a merge that keeps only the first claim on a key: the claim of a failed attempt
+/// then replaces that of the successful one, and its release frees the key.
 #[gtest]
 fn take_over_keeps_the_winner_beside_a_loser() {
     let (key, r, now) = (ClaimKey(1), Revision(1), Instant::from_micros(1));
--- a/crates/request/tests/gate.rs
+++ b/crates/request/tests/gate.rs
@@ -1,4 +1,4 @@
-//! "Not run" is never said once a byte may have gone out.
+//! A request is never reported as "not run" if a backend server may have run it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -92,7 +92,7 @@
         )
     }
 
-    /// Whether the backend server may have run the request.
+    /// Returns whether the backend server may have run the request.
     fn may_have_run(self) -> bool {
         self.bytes_went_out() && !matches!(self, Self::BackendRefused)
     }
--- a/crates/request/tests/router.rs
+++ b/crates/request/tests/router.rs
@@ -1,4 +1,4 @@
-//! The router's decisions, case by case.
+//! The router's decisions in individual cases.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     VmName::new(&format!("vm-{i}")).unwrap()
 }
 
-/// A view with `vms` VMs that may be sent work and the drained ones.
+/// Returns a view of a pool with VMs `0..vms`, of which those in `drained` are drained.
 fn view(vms: usize, drained: &[usize]) -> ViewUpdate {
     let service = Service {
         name: ServiceName::new("s").unwrap(),
@@ -53,7 +53,7 @@
     ViewUpdate { offset: Offset(1), pools: vec![pool], ..ViewUpdate::default() }
 }
 
-/// A router with `slots` leased on each of `vms` VMs and proof for an hour.
+/// Returns a router with `slots` leased on each of `vms` VMs and proof of membership for an hour.
 fn router(vms: usize, slots: u16, max_queue: usize) -> Router {
     let mut router = Router::new(RouterConfig { max_queue, ..RouterConfig::default() });
     router.apply_view(&view(vms, &[]));
@@ -118,7 +118,7 @@
 fn request_that_cannot_meet_its_deadline_is_refused_at_once() {
     let mut router = router(1, 1, 100);
     let first = sent_to(submit(&mut router, 1, Tier::Gold, 1_000));
-    // A service time of 200 ms is learned; the one slot is then taken by a second request.
+    // The mean service time becomes 200 ms; a second request then occupies the only slot.
     for n in 0..100 {
         router.finish(first, SendResult::Good, SECOND / 5, at(0));
         sent_to(submit(&mut router, 2 + n, Tier::Gold, 1_000));
@@ -138,7 +138,7 @@
     sent_to(submit(&mut router, 1, Tier::Gold, 10_000));
     expect_that!(submit(&mut router, 2, Tier::Gold, 1_000), eq(Decision::Wait));
     expect_that!(refused(&router.poll(at(500))), is_empty());
-    // 20 ms, the first guess of a service time, before its deadline and not at it.
+    // The request is refused 20 ms (the initial service time) before its deadline, not at it.
     expect_that!(refused(&router.poll(at(985))), elements_are![eq(&2)]);
 }
 
--- a/crates/request/tests/slots.rs
+++ b/crates/request/tests/slots.rs
@@ -1,4 +1,4 @@
-//! All entries together never hold more slots of a worker than there are.
+//! All entries together never hold more slots of a VM than it has.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 const SLOTS: u16 = 8;
 const ENTRIES: usize = 9;
 
-/// What one entry believes to hold, and until when.
+/// The slots that one entry holds according to its last grant, and when its lease expires.
 #[derive(Clone, Copy, Debug, Default)]
 struct Holding {
     slots: u16,
