--- a/crates/entry/src/claimant.rs
+++ b/crates/entry/src/claimant.rs
@@ -38,9 +38,9 @@
     /// Requests the claim from the voters until it is granted, held by another attempt, or fails.
     pub async fn ask(&self, deadline: Instant) -> Standing {
         for _ in 0..TRIES {
-            let standing = self.ask_once().await;
-            if standing != Standing::Lost || Instant::now() >= deadline {
-                return standing;
+            let state = self.ask_once().await;
+            if state != Standing::Lost || Instant::now() >= deadline {
+                return state;
             }
             tokio::time::sleep(TRY_PAUSE).await;
         }
--- a/crates/entry/src/decision_log.rs
+++ b/crates/entry/src/decision_log.rs
@@ -25,7 +25,7 @@
     }
     let Some(vm) = router.vm(key) else { return };
     let Some(pool) = router.pool(vm.pool) else { return };
-    let passed = passed_over(router, pool, key);
+    let skipped = passed_over(router, pool, key);
     log::info!(
         "route id={id} workspace={} service={} vm={} hall={} send={} reason={} in_flight={} leased={} \
          passed_over=closed:{},aside:{},no-slot:{} of={}",
@@ -37,9 +37,9 @@
         reason(vm, sends),
         vm.in_flight,
         vm.leased,
-        passed.closed,
-        passed.aside,
-        passed.no_slot,
+        skipped.closed,
+        skipped.aside,
+        skipped.no_slot,
         pool.vms.len(),
     );
 }
@@ -54,18 +54,18 @@
 
 fn passed_over(router: &Router, pool: &PoolLoad, chosen: VmKey) -> PassedOver {
     let now = Instant::now();
-    let mut passed = PassedOver::default();
+    let mut skipped = PassedOver::default();
     let others = pool.vms.iter().filter(|&&key| key != chosen);
     for vm in others.filter_map(|&key| router.vm(key)) {
         if !vm.is_sendable() {
-            passed.closed += 1;
+            skipped.closed += 1;
         } else if vm.breaker.standing(now) != Standing::Good {
-            passed.aside += 1;
+            skipped.aside += 1;
         } else if vm.free_leased(now) == 0 {
-            passed.no_slot += 1;
+            skipped.no_slot += 1;
         }
     }
-    passed
+    skipped
 }
 
 /// Logs a refusal.
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -46,18 +46,18 @@
 /// A request that is not repeatable runs in its own task, so that it completes even if the caller
 /// disconnects. A repeatable request is dropped when its caller disconnects.
 pub async fn serve(cx: Arc<Context>, req: CallerRequest) -> Reply {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let ticket = cx.next_ticket();
     let id = cx.request_id(ticket);
     let req = Arc::new(req);
-    let result = match prepare(&cx, &id, req.clone(), ticket, began) {
+    let result = match prepare(&cx, &id, req.clone(), ticket, started_at) {
         Ok(forward) if forward.ask.repeatable => forward.run().await,
         Ok(forward) => run_apart(forward).await,
         Err(refusal) => Err(refusal),
     };
     match result {
         Ok(reply) => {
-            stats::answered(&req.workspace, Instant::now().since(began));
+            stats::answered(&req.workspace, Instant::now().since(started_at));
             reply
         }
         Err(refusal) => {
@@ -145,9 +145,9 @@
             return Err(refusal);
         }
     }
-    let print = fingerprint(req.method.as_str(), &req.target, &req.body);
+    let request_hash = fingerprint(req.method.as_str(), &req.target, &req.body);
     let key = ClaimKey::new(&req.workspace, &req.service, key);
-    Ok(Some(Claimant::new(cx.clone(), key, print)))
+    Ok(Some(Claimant::new(cx.clone(), key, request_hash)))
 }
 
 /// The result of claiming the key of a request that is not refused.
@@ -169,23 +169,25 @@
         };
         loop {
             let vm = in_flight.vm();
-            let (back, last) = match self.send(pending, in_flight).await {
+            let (restored, last) = match self.send(pending, in_flight).await {
                 Sent::Answered(answer) => return Ok(self.answered(answer)),
                 Sent::Refused(refusal) => return Err(refusal),
                 Sent::ServerError(answer, sent) => (sent.repeat(), Ok(answer)),
-                Sent::Again(back, reason, detail) => (back, Err((reason, detail))),
+                Sent::Again(restored, reason, detail) => (restored, Err((reason, detail))),
             };
             self.ask.avoid.add(vm);
             let (decision, waiter) =
-                self.decide(|router, ask, now| router.resubmit(ask, &back, now));
+                self.decide(|router, ask, now| router.resubmit(ask, &restored, now));
             if decision.is_none() {
                 return match last {
                     Ok(answer) => Ok(self.answered(answer)),
-                    Err((reason, detail)) => Err(self.give_up(back, reason, RETRY_AFTER, detail)),
+                    Err((reason, detail)) => {
+                        Err(self.give_up(restored, reason, RETRY_AFTER, detail))
+                    }
                 };
             }
             stats::retried();
-            (pending, in_flight) = self.placed(back, decision, waiter).await?;
+            (pending, in_flight) = self.placed(restored, decision, waiter).await?;
         }
     }
 
@@ -263,8 +265,8 @@
 
     fn replay(&self, held: &Claim) -> Result<Reply, Refusal> {
         let unsent = Unsent::new();
-        let print = fingerprint(self.req.method.as_str(), &self.req.target, &self.req.body);
-        if held.fingerprint != print {
+        let request_hash = fingerprint(self.req.method.as_str(), &self.req.target, &self.req.body);
+        if held.fingerprint != request_hash {
             return Err(unsent.refuse(RefusalReason::KeyReused, RETRY_AFTER));
         }
         match &held.answer {
--- a/crates/entry/src/sending.rs
+++ b/crates/entry/src/sending.rs
@@ -111,11 +111,11 @@
             self.note_leaving(in_flight.vm());
         }
         let status = answer.parts.status.as_u16();
-        if let Some(word) = BackendRefusal::from_answer(status, header(NOT_RUN)) {
+        if let Some(statement) = BackendRefusal::from_answer(status, header(NOT_RUN)) {
             in_flight.finish(SendResult::Bad);
-            let back = sent.refused_by_backend(&word);
+            let restored = sent.refused_by_backend(&statement);
             let detail = "the backend server reported that it did not run the request".to_owned();
-            return Sent::Again(back, RefusalReason::BackendRefused, detail);
+            return Sent::Again(restored, RefusalReason::BackendRefused, detail);
         }
         let is_error = answer.parts.status.is_server_error();
         in_flight.finish(if is_error { SendResult::Bad } else { SendResult::Good });
@@ -140,11 +140,13 @@
             _ => SendResult::Bad,
         });
         match sent.take_back(gate) {
-            Ok(back) if late => Sent::Refused(self.give_up(back, e.reason, RETRY_AFTER, e.detail)),
-            Ok(back) => {
+            Ok(restored) if late => {
+                Sent::Refused(self.give_up(restored, e.reason, RETRY_AFTER, e.detail))
+            }
+            Ok(restored) => {
                 let lapsed = Instant::now() >= self.cx.router().proof_until();
                 let reason = if lapsed { RefusalReason::NoProof } else { RefusalReason::Connect };
-                Sent::Again(back, reason, e.detail)
+                Sent::Again(restored, reason, e.detail)
             }
             Err(sent) if self.ask.repeatable && !late => {
                 Sent::Again(sent.repeat(), e.reason, e.detail)
--- a/crates/entry/src/slots.rs
+++ b/crates/entry/src/slots.rs
@@ -26,31 +26,31 @@
 
 /// Renews slot leases until the process ends.
 pub async fn run(cx: Arc<Context>) {
-    let mut silent: HashMap<SocketAddr, Instant> = HashMap::new();
+    let mut unresponsive: HashMap<SocketAddr, Instant> = HashMap::new();
     loop {
         let short = cx.router().is_short_of_slots();
         let pause = if short { SHORT_PAUSE } else { RENEW_EVERY };
         // The pause ends early when a request starts to wait.
         let _ = tokio::time::timeout(pause, cx.slots_now.notified()).await;
-        round(&cx, &mut silent).await;
+        round(&cx, &mut unresponsive).await;
     }
 }
 
 /// Sends one request to each home, all concurrently.
-async fn round(cx: &Arc<Context>, silent: &mut HashMap<SocketAddr, Instant>) {
+async fn round(cx: &Arc<Context>, unresponsive: &mut HashMap<SocketAddr, Instant>) {
     let now = Instant::now();
-    silent.retain(|_, since| now.since(*since) < HOME_PAUSE);
+    unresponsive.retain(|_, since| now.since(*since) < HOME_PAUSE);
     let wants = cx.router().slot_wants(now);
     let (member, members) = {
         let link = cx.link();
         (link.member, link.members.clone())
     };
     let by_home = group(wants, &members);
-    let asked = by_home.into_iter().filter(|(addr, _)| !silent.contains_key(addr));
-    let calls = asked.map(|(addr, wants)| ask(cx, addr, member, wants));
+    let requests = by_home.into_iter().filter(|(addr, _)| !unresponsive.contains_key(addr));
+    let calls = requests.map(|(addr, wants)| ask(cx, addr, member, wants));
     for (addr, answered) in join_all(calls).await {
         if !answered {
-            silent.insert(addr, now);
+            unresponsive.insert(addr, now);
         }
     }
 }
@@ -75,7 +75,7 @@
     wants: Vec<SlotWant>,
 ) -> (SocketAddr, bool) {
     let line = cx.line(addr);
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     let Ok(client) = line.client().await else {
         return (addr, false);
     };
@@ -89,7 +89,7 @@
     };
     let mut router = cx.router();
     for grant in &grants {
-        router.apply_grant(grant, asked);
+        router.apply_grant(grant, requested_at);
     }
     let wakes = router.poll(Instant::now());
     drop(router);
--- a/crates/entry/src/steward_link.rs
+++ b/crates/entry/src/steward_link.rs
@@ -29,10 +29,10 @@
     let line = LinkLine::new(cx.settings.steward);
     let mut position = Position::default();
     loop {
-        let asked = call(&cx, &line, &position);
+        let pending_reply = call(&cx, &line, &position);
         // A report that is due, such as a completed drain, cancels the pending call and starts a new one.
         let reply = tokio::select! {
-            reply = asked => reply,
+            reply = pending_reply => reply,
             () = cx.report_now.notified() => continue,
         };
         match reply {
--- a/crates/request/src/admit.rs
+++ b/crates/request/src/admit.rs
@@ -134,9 +134,9 @@
 
     /// Moves all requests that can no longer meet their deadline to `refused`.
     pub fn drop_late(&mut self, now: Instant, refused: &mut Vec<Ticket>) {
-        let service = self.needed();
+        let required = self.needed();
         self.waiting.retain(|&(_, ticket), w| {
-            let in_time = now + service < w.deadline;
+            let in_time = now + required < w.deadline;
             if !in_time {
                 refused.push(ticket);
             }
--- a/crates/request/src/breaker.rs
+++ b/crates/request/src/breaker.rs
@@ -84,7 +84,7 @@
     /// Records a result; `may_set_aside` is false if too many VMs of the pool are already excluded
     /// or the whole pool fails in the same way.
     pub fn on_result(&mut self, result: SendResult, may_set_aside: bool, now: Instant) {
-        let bad = match result {
+        let failed = match result {
             SendResult::Neutral => {
                 self.trial = false;
                 return;
@@ -93,15 +93,15 @@
             SendResult::Bad | SendResult::NoConnect => true,
         };
         self.results = self.results.saturating_add(1);
-        self.bad_share += (f64::from(u8::from(bad)) - self.bad_share) / SMOOTHING;
-        self.bad_in_row = if bad { self.bad_in_row + 1 } else { 0 };
+        self.bad_share += (f64::from(u8::from(failed)) - self.bad_share) / SMOOTHING;
+        self.bad_in_row = if failed { self.bad_in_row + 1 } else { 0 };
         if result == SendResult::NoConnect {
             self.connect_failures += 1;
         } else {
             self.connect_failures = 0;
         }
         if self.trial {
-            self.end_trial(bad, now);
+            self.end_trial(failed, now);
         } else if self.aside_until.is_none() && may_set_aside && self.is_bad() {
             self.set_aside(FIRST_PAUSE, now);
         }
@@ -112,9 +112,9 @@
         judged || self.bad_in_row >= MAX_BAD_IN_ROW || self.connect_failures >= MAX_CONNECT_FAILURES
     }
 
-    fn end_trial(&mut self, bad: bool, now: Instant) {
+    fn end_trial(&mut self, failed: bool, now: Instant) {
         self.trial = false;
-        if bad {
+        if failed {
             self.set_aside((self.pause * 2).min(MAX_PAUSE), now);
             return;
         }
--- a/crates/request/src/claim.rs
+++ b/crates/request/src/claim.rs
@@ -123,14 +123,14 @@
         self.claims.is_empty()
     }
 
-    /// Handles a claim request made under the `asked` revision of the voters; `present` is this
-    /// voter's revision.
+    /// Handles a claim request. It is accepted only if the attempt and this voter are at the same
+    /// revision of the voters.
     pub fn claim(
         &mut self,
         key: ClaimKey,
         wanted: &Claim,
-        asked: Revision,
-        present: Revision,
+        attempt_revision: Revision,
+        voter_revision: Revision,
         now: Instant,
     ) -> ClaimReply {
         self.expire(now);
@@ -138,14 +138,14 @@
         if let Some(other) = known.and_then(|held| held.other_than(wanted.attempt)) {
             return ClaimReply::Held(other.clone());
         }
-        if asked != present {
-            return ClaimReply::WrongRevision(present);
+        if attempt_revision != voter_revision {
+            return ClaimReply::WrongRevision(voter_revision);
         }
         if known.is_none() && self.claims.len() >= self.max {
             return ClaimReply::Full;
         }
         self.insert(key, wanted.clone(), now);
-        ClaimReply::Accepted(present)
+        ClaimReply::Accepted(voter_revision)
     }
 
     /// Releases the claim of an attempt that did not send its request.
--- a/crates/request/src/router/choose.rs
+++ b/crates/request/src/router/choose.rs
@@ -14,17 +14,17 @@
 
 impl Router {
     /// Returns the VM for a request, or `None` if no VM can accept it now.
-    pub(super) fn choose(&mut self, ask: &Ask, now: Instant) -> Option<VmKey> {
-        let pool = self.pools.get(ask.pool)?;
+    pub(super) fn choose(&mut self, request: &Ask, now: Instant) -> Option<VmKey> {
+        let pool = self.pools.get(request.pool)?;
         if self.cfg.choice == ChoicePolicy::Random {
-            return self.choose_random(ask.pool);
+            return self.choose_random(request.pool);
         }
         let mut trial = None;
         let mut first: Option<VmKey> = None;
         let mut second: Option<VmKey> = None;
         let mut seen = 0u32;
         // If no other VM has room, a VM on which the request failed before is better than none.
-        let mut avoided = None;
+        let mut failed_before = None;
         for &key in &pool.vms {
             let vm = &self.vms[key];
             if !self.has_room(vm, now) {
@@ -38,17 +38,17 @@
                 }
                 Standing::Good => {}
             }
-            if ask.avoid.contains(key) {
-                avoided = Some(key);
+            if request.avoid.contains(key) {
+                failed_before = Some(key);
                 continue;
             }
             seen += 1;
             sample_two(&mut self.rng, seen, key, &mut first, &mut second);
         }
-        if ask.repeatable && trial.is_some() {
+        if request.repeatable && trial.is_some() {
             return trial;
         }
-        less_loaded(&self.vms, first, second).or(avoided)
+        less_loaded(&self.vms, first, second).or(failed_before)
     }
 
     fn choose_random(&mut self, pool: PoolKey) -> Option<VmKey> {
@@ -99,13 +99,13 @@
         };
         let total = u32::try_from(pool.vms.len()).unwrap_or(u32::MAX);
         let others = || pool.vms.iter().filter(|&&k| k != key).map(|&k| &self.vms[k].breaker);
-        let aside = u32::try_from(others().filter(|b| b.is_aside()).count()).unwrap_or(u32::MAX);
+        let excluded = u32::try_from(others().filter(|b| b.is_aside()).count()).unwrap_or(u32::MAX);
         let percent = match result {
             SendResult::NoConnect => MAX_UNREACHABLE_PERCENT,
             _ => self.cfg.max_aside_percent,
         };
         let bound = (total * percent / 100).max(1).min(total.saturating_sub(1));
-        if aside >= bound {
+        if excluded >= bound {
             return false;
         }
         if result == SendResult::NoConnect {
--- a/crates/request/src/router/lease.rs
+++ b/crates/request/src/router/lease.rs
@@ -39,13 +39,13 @@
 
     fn pool_wants(&mut self, pool: PoolKey, now: Instant) -> Vec<SlotWant> {
         let order = self.order_of(pool, now);
-        let mut wishes: Vec<u16> = order.iter().map(|&key| self.vms[key].in_flight).collect();
-        let used: u32 = wishes.iter().map(|&w| u32::from(w)).sum();
+        let mut targets: Vec<u16> = order.iter().map(|&key| self.vms[key].in_flight).collect();
+        let used: u32 = targets.iter().map(|&w| u32::from(w)).sum();
         let waiting = u32::try_from(self.pools[pool].queue.len()).unwrap_or(u32::MAX);
         let mut extra = waiting.saturating_add(MIN_SPARE.max(used / SPARE_PART));
-        self.keep_leased(&order, &mut wishes, &mut extra, now);
-        self.ask_more(&order, &mut wishes, &mut extra);
-        let wants = order.iter().zip(wishes).map(|(&key, want)| self.want(key, want, now));
+        self.keep_leased(&order, &mut targets, &mut extra, now);
+        self.ask_more(&order, &mut targets, &mut extra);
+        let wants = order.iter().zip(targets).map(|(&key, want)| self.want(key, want, now));
         wants.collect::<Vec<_>>().into_iter().flatten().collect()
     }
 
@@ -64,21 +64,21 @@
     }
 
     /// Keeps the idle slots that this entry already holds, up to `extra`.
-    fn keep_leased(&self, order: &[VmKey], wishes: &mut [u16], extra: &mut u32, now: Instant) {
-        for (wish, &key) in wishes.iter_mut().zip(order) {
+    fn keep_leased(&self, order: &[VmKey], targets: &mut [u16], extra: &mut u32, now: Instant) {
+        for (target, &key) in targets.iter_mut().zip(order) {
             let idle = u32::from(self.vms[key].free_leased(now)).min(*extra);
-            *wish += u16::try_from(idle).unwrap_or(u16::MAX);
+            *target += u16::try_from(idle).unwrap_or(u16::MAX);
             *extra -= idle;
         }
     }
 
     /// Distributes the remaining `extra` slots over the VMs, one slot per VM and round.
-    fn ask_more(&self, order: &[VmKey], wishes: &mut [u16], extra: &mut u32) {
+    fn ask_more(&self, order: &[VmKey], targets: &mut [u16], extra: &mut u32) {
         while *extra > 0 {
             let before = *extra;
-            for (wish, &key) in wishes.iter_mut().zip(order) {
-                if *extra > 0 && *wish < self.vms[key].facts.slots {
-                    *wish += 1;
+            for (target, &key) in targets.iter_mut().zip(order) {
+                if *extra > 0 && *target < self.vms[key].facts.slots {
+                    *target += 1;
                     *extra -= 1;
                 }
             }
--- a/crates/request/src/router/mod.rs
+++ b/crates/request/src/router/mod.rs
@@ -214,69 +214,69 @@
     }
 
     /// Decides on a new request.
-    pub fn submit(&mut self, ask: Ask, now: Instant) -> Decision {
+    pub fn submit(&mut self, request: Ask, now: Instant) -> Decision {
         self.budget.on_send();
-        self.place(ask, now)
+        self.place(request, now)
     }
 
     /// Decides on a request whose send failed; returns `None` if it may not be sent again.
     ///
     /// Only a request that may have run takes from the retry budget: a retry of one that did not run
     /// adds no load.
-    pub fn resubmit(&mut self, ask: Ask, state: &Pending, now: Instant) -> Option<Decision> {
-        if state.sends() >= self.cfg.max_sends || now >= ask.deadline {
+    pub fn resubmit(&mut self, request: Ask, state: &Pending, now: Instant) -> Option<Decision> {
+        if state.sends() >= self.cfg.max_sends || now >= request.deadline {
             return None;
         }
         let allowed = match (self.cfg.retry, state) {
             (RetryPolicy::Always, _) | (_, Pending::Unsent(_)) => true,
             (RetryPolicy::Budget(_), Pending::Repeated(_)) => self.budget.take(now),
         };
-        allowed.then(|| self.place(ask, now))
+        allowed.then(|| self.place(request, now))
     }
 
-    fn place(&mut self, ask: Ask, now: Instant) -> Decision {
-        if now >= ask.deadline {
+    fn place(&mut self, request: Ask, now: Instant) -> Decision {
+        if now >= request.deadline {
             return Decision::Refuse(RefusalReason::Deadline, MIN_RETRY_AFTER);
         }
         if now >= self.proof_until {
             return Decision::Refuse(RefusalReason::NoProof, MIN_RETRY_AFTER);
         }
-        let queued = self.pools.get(ask.pool).map_or(0, |p| p.queue.len());
+        let queued = self.pools.get(request.pool).map_or(0, |p| p.queue.len());
         if queued == 0
-            && let Some(vm) = self.choose(&ask, now)
+            && let Some(vm) = self.choose(&request, now)
         {
             self.begin(vm, now);
             return Decision::Send(vm);
         }
-        self.enqueue(ask, now)
+        self.enqueue(request, now)
     }
 
-    fn enqueue(&mut self, ask: Ask, now: Instant) -> Decision {
-        let slots = self.slots_for(ask.pool, now);
-        let can_serve = self.has_vm(ask.pool);
-        let Some(pool) = self.pools.get_mut(ask.pool) else {
+    fn enqueue(&mut self, request: Ask, now: Instant) -> Decision {
+        let slots = self.slots_for(request.pool, now);
+        let can_serve = self.has_vm(request.pool);
+        let Some(pool) = self.pools.get_mut(request.pool) else {
             return Decision::Refuse(RefusalReason::NoSuchService, MIN_RETRY_AFTER);
         };
         if !can_serve {
             return Decision::Refuse(RefusalReason::NoVm, Duration::from_secs(1));
         }
-        let wait = pool.queue.expected_wait(ask.tier, slots).max(MIN_RETRY_AFTER);
-        match pool.queue.push(ask.ticket, ask.tier, ask.deadline, slots, now) {
+        let wait = pool.queue.expected_wait(request.tier, slots).max(MIN_RETRY_AFTER);
+        match pool.queue.push(request.ticket, request.tier, request.deadline, slots, now) {
             Push::Refused => return Decision::Refuse(RefusalReason::Overload, wait),
             Push::Queued => {}
             Push::Displaced(ticket) => pool.displaced.push(ticket),
         }
-        self.asks.insert(ask.ticket, ask);
+        self.asks.insert(request.ticket, request);
         Decision::Wait
     }
 
     /// Removes a waiting request whose caller no longer waits.
     pub fn cancel(&mut self, ticket: Ticket) {
-        let Some(ask) = self.asks.remove(&ticket) else {
+        let Some(request) = self.asks.remove(&ticket) else {
             return;
         };
-        if let Some(pool) = self.pools.get_mut(ask.pool) {
-            pool.queue.remove(ticket, ask.tier);
+        if let Some(pool) = self.pools.get_mut(request.pool) {
+            pool.queue.remove(ticket, request.tier);
         }
     }
 
@@ -336,7 +336,7 @@
         if pool.queue.is_empty() || now >= self.proof_until {
             return None;
         }
-        let probe = Ask {
+        let any_request = Ask {
             ticket: Ticket(0),
             pool: key,
             tier: Tier::Bronze,
@@ -344,7 +344,7 @@
             repeatable: false,
             avoid: Avoid::default(),
         };
-        let vm = self.choose(&probe, now)?;
+        let vm = self.choose(&any_request, now)?;
         let ticket = self.pools.get_mut(key)?.queue.pop(now, late)?;
         self.asks.remove(&ticket);
         self.begin(vm, now);
--- a/crates/request/tests/claims.rs
+++ b/crates/request/tests/claims.rs
@@ -316,7 +316,7 @@
 }
 
 #[gtest]
-fn second_attempt_gets_the_first_ones_answer() {
+fn second_attempt_gets_the_answer_of_the_first() {
     let mut table = ClaimTable::new(KEEP, 10, 1 << 20);
     let (key, r, now) = (ClaimKey(1), Revision(1), Instant::from_micros(1));
     expect_that!(table.claim(key, &claim(1), r, r, now), eq(&ClaimReply::Accepted(r)));
@@ -327,7 +327,7 @@
 }
 
 #[gtest]
-fn full_table_refuses_and_forgets_nothing() {
+fn full_table_refuses_claims_and_drops_none() {
     let mut table = ClaimTable::new(KEEP, 2, 1 << 20);
     let (r, now) = (Revision(1), Instant::from_micros(1));
     for k in 0..2 {
@@ -338,7 +338,7 @@
 }
 
 #[gtest]
-fn key_claimed_anew_after_a_release_keeps_its_full_time() {
+fn key_claimed_again_after_a_release_is_kept_for_the_full_time() {
     let mut table = ClaimTable::new(KEEP, 10, 1 << 20);
     let (key, r) = (ClaimKey(1), Revision(1));
     table.claim(key, &claim(1), r, r, Instant::from_micros(0));
@@ -367,7 +367,7 @@
 /// Guards against a merge that keeps only the first claim on a key: the claim of a failed attempt
 /// then replaces that of the successful one, and its release frees the key.
 #[gtest]
-fn take_over_keeps_the_winner_beside_a_loser() {
+fn merge_keeps_the_winning_claim_next_to_a_losing_one() {
     let (key, r, now) = (ClaimKey(1), Revision(1), Instant::from_micros(1));
     let mut table = ClaimTable::new(KEEP, 10, 1 << 20);
     let taken = |attempt| vec![KeyedClaim { key, claim: claim(attempt) }];
--- a/crates/request/tests/gate.rs
+++ b/crates/request/tests/gate.rs
@@ -27,7 +27,7 @@
 }
 
 #[gtest]
-fn gate_stays_shut_when_the_proof_has_lapsed() {
+fn gate_stays_closed_when_the_proof_has_expired() {
     let until = Instant::from_micros(100);
     let gate = SendGate::new(until);
     expect_that!(gate.pass(until), eq(false));
@@ -35,7 +35,7 @@
 }
 
 #[gtest]
-fn request_under_way_is_finished_after_the_proof_lapsed() {
+fn partly_written_request_completes_after_the_proof_expired() {
     let gate = SendGate::new(Instant::from_micros(100));
     expect_that!(gate.pass(Instant::from_micros(50)), eq(true));
     expect_that!(gate.pass(Instant::from_micros(500)), eq(true));
@@ -56,7 +56,7 @@
 }
 
 #[gtest]
-fn bare_503_is_no_word_of_not_run() {
+fn bare_503_does_not_mean_not_run() {
     expect_that!(BackendRefusal::from_answer(503, None), none());
     expect_that!(BackendRefusal::from_answer(500, Some("1")), none());
     expect_that!(BackendRefusal::from_answer(503, Some("1")), some(anything()));
@@ -107,7 +107,7 @@
     })]
 
     #[test]
-    fn not_run_is_said_only_when_nothing_can_have_run(
+    fn not_run_is_reported_only_if_nothing_can_have_run(
         ends in prop::collection::vec(0..End::ALL.len(), 1..6),
     ) {
         let mut pending = Pending::Unsent(Unsent::new());
@@ -120,8 +120,8 @@
             }
             may_have_run |= end.may_have_run();
             if let End::BackendRefused = end {
-                let word = BackendRefusal::from_answer(503, Some("1")).unwrap();
-                pending = sent.refused_by_backend(&word);
+                let statement = BackendRefusal::from_answer(503, Some("1")).unwrap();
+                pending = sent.refused_by_backend(&statement);
                 continue;
             }
             pending = match sent.take_back(&gate) {
--- a/crates/request/tests/router.rs
+++ b/crates/request/tests/router.rs
@@ -97,14 +97,14 @@
 }
 
 #[gtest]
-fn lapsed_lease_sends_nothing_more() {
+fn nothing_is_sent_after_the_lease_expired() {
     let mut router = router(1, 4, 10);
     let ask = ask(&router, 1, Tier::Gold, at(10_000));
     expect_that!(router.submit(ask, at(2_000)), eq(Decision::Wait));
 }
 
 #[gtest]
-fn lapsed_proof_refuses_at_once() {
+fn request_is_refused_immediately_after_the_proof_expired() {
     let mut router = router(1, 4, 10);
     let ask = ask(&router, 1, Tier::Gold, at(4_000_000));
     let decision = router.submit(ask, at(3_600_000));
@@ -115,7 +115,7 @@
 }
 
 #[gtest]
-fn request_that_cannot_meet_its_deadline_is_refused_at_once() {
+fn request_that_cannot_meet_its_deadline_is_refused_immediately() {
     let mut router = router(1, 1, 100);
     let first = sent_to(submit(&mut router, 1, Tier::Gold, 1_000));
     // The mean service time becomes 200 ms; a second request then occupies the only slot.
@@ -143,7 +143,7 @@
 }
 
 #[gtest]
-fn full_queue_gives_way_to_a_higher_tier() {
+fn full_queue_evicts_a_request_for_a_higher_tier() {
     let mut router = router(1, 1, 1);
     sent_to(submit(&mut router, 1, Tier::Gold, 10_000));
     expect_that!(submit(&mut router, 2, Tier::Bronze, 10_000), eq(Decision::Wait));
@@ -167,7 +167,7 @@
 }
 
 #[gtest]
-fn leaving_vm_gets_no_new_work() {
+fn leaving_vm_gets_no_new_requests() {
     let mut router = router(2, 8, 10);
     router.set_leaving(&[vm(0)]);
     for n in 0..8 {
@@ -177,7 +177,7 @@
 }
 
 #[gtest]
-fn failing_vm_is_set_aside_and_comes_back_by_trial() {
+fn failing_vm_is_excluded_and_readmitted_after_a_trial() {
     let mut router = router(4, 8, 10);
     let bad = sent_to(submit(&mut router, 0, Tier::Gold, 1_000));
     router.finish(bad, SendResult::NoConnect, Duration::ZERO, at(0));
--- a/crates/request/tests/slots.rs
+++ b/crates/request/tests/slots.rs
@@ -26,7 +26,7 @@
     })]
 
     #[test]
-    fn entries_never_hold_more_slots_than_there_are(
+    fn entries_never_hold_more_slots_than_the_vm_has(
         steps in prop::collection::vec((0..ENTRIES, 0..12u16, 0..900u64, any::<bool>()), 1..300),
     ) {
         let vm = VmName::new("vm").unwrap();
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn new_home_renews_and_grants_nothing_before_the_old_leases_lapse() {
+fn new_home_only_renews_before_the_old_leases_expire() {
     let vm = VmName::new("vm").unwrap();
     let mut home = SlotHome::new();
     let open = Instant::from_micros(1_000);
