--- a/crates/bench/src/slopes/requests.rs
+++ b/crates/bench/src/slopes/requests.rs
@@ -11,7 +11,7 @@
 use thistle_request::Router;
 use thistle_request::admit::Ticket;
 use thistle_request::breaker::SendResult;
-use thistle_request::router::{Ask, Avoid, ChoicePolicy, Decision, RouterConfig};
+use thistle_request::router::{ChoicePolicy, Decision, FailedVms, RouteRequest, RouterConfig};
 
 use super::{Slope, micros};
 
@@ -48,16 +48,16 @@
     micros(5, 5_000, || {
         n += 1;
         let now = Instant::from_micros(n);
-        let ask = Ask {
+        let ask = RouteRequest {
             ticket: Ticket(n),
             pool,
             tier: Tier::Gold,
             deadline: now + Duration::from_secs(1),
             repeatable: true,
-            avoid: Avoid::default(),
+            failed_vms: FailedVms::default(),
         };
         if let Decision::Send(vm) = router.submit(ask, now) {
-            black_box(router.finish(vm, SendResult::Good, Duration::from_millis(1), now));
+            black_box(router.finish(vm, SendResult::Success, Duration::from_millis(1), now));
         }
     })
 }
--- a/crates/entry/src/backend.rs
+++ b/crates/entry/src/backend.rs
@@ -88,7 +88,7 @@
             Some(conn) => self.send_on_idle(plan, conn, req).await?,
             None => send_on_new(plan, req).await?,
         };
-        let answer = read_whole(answer, plan.max_answer).await?;
+        let answer = read_complete(answer, plan.max_answer).await?;
         if plan.reuse {
             self.put_idle(plan.addr, conn);
         }
@@ -108,7 +108,7 @@
             Ok(answer) => Ok((conn, answer)),
             Err(mut e) => match e.take_message() {
                 Some(req) if !plan.gate.has_passed() => send_on_new(plan, req).await,
-                _ => Err(broken(e.error())),
+                _ => Err(exchange_error(e.error())),
             },
         }
     }
@@ -151,7 +151,7 @@
 ) -> Result<(Conn, Response<Incoming>), ExchangeError> {
     let mut conn = connect(plan).await?;
     conn.gate.set(plan.gate.clone());
-    let answer = conn.sender.send_request(req).await.map_err(|e| broken(&e))?;
+    let answer = conn.sender.send_request(req).await.map_err(|e| exchange_error(&e))?;
     Ok((conn, answer))
 }
 
@@ -174,7 +174,7 @@
     Ok(Conn { sender, gate })
 }
 
-async fn read_whole(answer: Response<Incoming>, max: usize) -> Result<Answer, ExchangeError> {
+async fn read_complete(answer: Response<Incoming>, max: usize) -> Result<Answer, ExchangeError> {
     let (parts, body) = answer.into_parts();
     let read = Limited::new(body, max).collect().await;
     let body = read.map_err(|e| {
@@ -186,7 +186,7 @@
     Ok(Answer { parts, body: body.to_bytes() })
 }
 
-fn broken(e: &hyper::Error) -> ExchangeError {
+fn exchange_error(e: &hyper::Error) -> ExchangeError {
     let reason = if e.is_parse() { RefusalReason::BadAnswer } else { RefusalReason::Broken };
     ExchangeError { reason, detail: e.to_string() }
 }
--- a/crates/entry/src/claimant.rs
+++ b/crates/entry/src/claimant.rs
@@ -6,7 +6,7 @@
 use thistle_model::MemberId;
 use thistle_model::clock::Instant;
 use thistle_model::view::{ViewVoter, Voters};
-use thistle_request::claim::{AttemptId, Claim, ClaimReply, KeptAnswer, Standing, Tally};
+use thistle_request::claim::{AttemptId, Claim, ClaimReply, ClaimState, KeptAnswer, Tally};
 use thistle_request::key::ClaimKey;
 use thistle_wire::dial::context;
 use thistle_wire::peer::ClaimRequest;
@@ -17,9 +17,9 @@
 /// The timeout of a call to a voter.
 const VOTER_TIMEOUT: Duration = Duration::from_millis(400);
 /// The maximum number of tries of a claim while the set of voters changes.
-const TRIES: u32 = 4;
+const MAX_TRIES: u32 = 4;
 /// The delay between tries, during which the view may catch up.
-const TRY_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// The claim of one attempt on an idempotency key.
 pub struct Claimant {
@@ -36,42 +36,42 @@
     }
 
     /// Requests the claim from the voters until it is granted, held by another attempt, or fails.
-    pub async fn ask(&self, deadline: Instant) -> Standing {
-        for _ in 0..TRIES {
-            let state = self.ask_once().await;
-            if state != Standing::Lost || Instant::now() >= deadline {
+    pub async fn acquire(&self, deadline: Instant) -> ClaimState {
+        for _ in 0..MAX_TRIES {
+            let state = self.acquire_once().await;
+            if state != ClaimState::NoQuorum || Instant::now() >= deadline {
                 return state;
             }
-            tokio::time::sleep(TRY_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
-        Standing::Lost
+        ClaimState::NoQuorum
     }
 
-    async fn ask_once(&self) -> Standing {
+    async fn acquire_once(&self) -> ClaimState {
         let (voters, addrs) = self.voters();
         let mut calls = JoinSet::new();
         for voter in addrs {
             let (cx, req) = (self.cx.clone(), self.request(voter.id, &voters));
-            calls.spawn(async move { (voter.id, ask_voter(&cx, &voter, req).await) });
+            calls.spawn(async move { (voter.id, request_claim(&cx, &voter, req).await) });
         }
         let mut tally = Tally::new(voters);
-        while tally.standing() == Standing::Pending {
+        while tally.state() == ClaimState::Pending {
             let Some(answered) = calls.join_next().await else {
-                return Standing::Lost;
+                return ClaimState::NoQuorum;
             };
             if let Ok((id, reply)) = answered {
-                tally.on_reply(id, reply);
+                tally.record_reply(id, reply);
             }
         }
         // The remaining calls complete in the background: they can only add votes for this claim.
         calls.detach_all();
-        tally.standing()
+        tally.state()
     }
 
     /// Releases the key, as nothing was sent.
     pub fn release(&self) {
         let (key, attempt) = (self.key, self.claim.attempt);
-        self.tell_all(move |client| async move {
+        self.notify_voters(move |client| async move {
             client.release(context(VOTER_TIMEOUT), key, attempt).await
         });
     }
@@ -80,13 +80,13 @@
     pub fn settle(&self, answer: &KeptAnswer) {
         let (key, attempt) = (self.key, self.claim.attempt);
         let answer = answer.clone();
-        self.tell_all(move |client| {
+        self.notify_voters(move |client| {
             let answer = answer.clone();
             async move { client.settle(context(VOTER_TIMEOUT), key, attempt, answer).await }
         });
     }
 
-    fn tell_all<F, Fut>(&self, call: F)
+    fn notify_voters<F, Fut>(&self, call: F)
     where
         F: Fn(thistle_wire::peer::PeerClient) -> Fut + Clone + Send + 'static,
         Fut: Future<Output = Result<(), tarpc::client::RpcError>> + Send,
@@ -94,7 +94,7 @@
         for voter in self.voters().1 {
             let (cx, call) = (self.cx.clone(), call.clone());
             tokio::spawn(async move {
-                let line = cx.line(voter.peer_addr);
+                let line = cx.peer_line(voter.peer_addr);
                 let Ok(client) = line.client().await else {
                     return;
                 };
@@ -115,8 +115,8 @@
     }
 }
 
-async fn ask_voter(cx: &Context, voter: &ViewVoter, req: ClaimRequest) -> Option<ClaimReply> {
-    let line = cx.line(voter.peer_addr);
+async fn request_claim(cx: &Context, voter: &ViewVoter, req: ClaimRequest) -> Option<ClaimReply> {
+    let line = cx.peer_line(voter.peer_addr);
     let client = line.client().await.ok()?;
     let call = client.claim(context(VOTER_TIMEOUT), req).await;
     line.check(call).await.ok()
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -36,7 +36,7 @@
 }
 
 /// The decision that ends a request's wait.
-pub enum Woken {
+pub enum WaitResult {
     /// Send the request to a VM, which counts the request as in flight until the guard is dropped.
     Send(InFlight),
     /// Refuse the request with this reason and retry delay.
@@ -50,13 +50,13 @@
     /// The idle connections to backend servers.
     pub backends: Backends,
     /// Triggers an immediate renewal of the slot leases.
-    pub slots_now: Notify,
+    pub renew_slots_now: Notify,
     /// Triggers an immediate report to the steward.
     pub report_now: Notify,
     router: Mutex<Router>,
-    waiters: Mutex<HashMap<Ticket, oneshot::Sender<Woken>>>,
+    waiters: Mutex<HashMap<Ticket, oneshot::Sender<WaitResult>>>,
     link: Mutex<LinkState>,
-    lines: Mutex<HashMap<SocketAddr, Arc<PeerLine>>>,
+    peer_lines: Mutex<HashMap<SocketAddr, Arc<PeerLine>>>,
     tickets: AtomicU64,
     stopping: AtomicBool,
     id: u64,
@@ -70,7 +70,7 @@
         Self {
             settings,
             backends: Backends::new(),
-            slots_now: Notify::new(),
+            renew_slots_now: Notify::new(),
             report_now: Notify::new(),
             router: Mutex::new(Router::new(cfg)),
             waiters: Mutex::new(HashMap::new()),
@@ -82,7 +82,7 @@
                 members: Vec::new(),
                 leaving: Vec::new(),
             }),
-            lines: Mutex::new(HashMap::new()),
+            peer_lines: Mutex::new(HashMap::new()),
             tickets: AtomicU64::new(0),
             stopping: AtomicBool::new(false),
             id,
@@ -105,8 +105,8 @@
     }
 
     /// Returns the client of the steward at an address.
-    pub fn line(&self, addr: SocketAddr) -> Arc<PeerLine> {
-        let mut lines = lock(&self.lines);
+    pub fn peer_line(&self, addr: SocketAddr) -> Arc<PeerLine> {
+        let mut lines = lock(&self.peer_lines);
         lines.entry(addr).or_insert_with(|| Arc::new(PeerLine::new(addr))).clone()
     }
 
@@ -138,14 +138,14 @@
     /// Registers a waiting request and returns the channel on which it is woken.
     ///
     /// Call this under the router lock that queued the request, so that no wake is missed.
-    pub fn waiter(&self, ticket: Ticket) -> oneshot::Receiver<Woken> {
+    pub fn register_waiter(&self, ticket: Ticket) -> oneshot::Receiver<WaitResult> {
         let (tx, rx) = oneshot::channel();
         lock(&self.waiters).insert(ticket, tx);
         rx
     }
 
     /// Unregisters a waiting request.
-    pub fn forget_waiter(&self, ticket: Ticket) {
+    pub fn unregister_waiter(&self, ticket: Ticket) {
         lock(&self.waiters).remove(&ticket);
     }
 
@@ -153,8 +153,8 @@
     pub fn wake(self: &Arc<Self>, wakes: Vec<Wake>) {
         for wake in wakes {
             let woken = match wake.decision {
-                Decision::Send(vm) => Woken::Send(InFlight::new(self.clone(), vm)),
-                Decision::Refuse(reason, after) => Woken::Refuse(reason, after),
+                Decision::Send(vm) => WaitResult::Send(InFlight::new(self.clone(), vm)),
+                Decision::Refuse(reason, after) => WaitResult::Refuse(reason, after),
                 Decision::Wait => continue,
             };
             let waiter = lock(&self.waiters).remove(&wake.ticket);
@@ -168,14 +168,14 @@
 pub struct InFlight {
     cx: Arc<Context>,
     vm: VmKey,
-    began: Instant,
+    started_at: Instant,
     result: SendResult,
 }
 
 impl InFlight {
     /// Creates the guard of a request that the router already counts as in flight.
     pub fn new(cx: Arc<Context>, vm: VmKey) -> Self {
-        Self { cx, vm, began: Instant::now(), result: SendResult::Neutral }
+        Self { cx, vm, started_at: Instant::now(), result: SendResult::Neutral }
     }
 
     /// Returns the VM.
@@ -193,7 +193,7 @@
     fn drop(&mut self) {
         let now = Instant::now();
         let mut router = self.cx.router();
-        let wakes = router.finish(self.vm, self.result, now.since(self.began), now);
+        let wakes = router.finish(self.vm, self.result, now.since(self.started_at), now);
         let is_drained =
             router.vm(self.vm).is_some_and(|vm| vm.drain.is_some() && vm.in_flight == 0);
         drop(router);
--- a/crates/entry/src/decision_log.rs
+++ b/crates/entry/src/decision_log.rs
@@ -2,18 +2,18 @@
 
 use thistle_model::clock::Instant;
 use thistle_request::Router;
-use thistle_request::breaker::Standing;
+use thistle_request::breaker::Availability;
 use thistle_request::router::{PoolLoad, VmKey, VmLoad};
 
 use crate::parse::CallerRequest;
 
 /// The number of VMs of a pool that could not receive a request, by reason.
 #[derive(Default)]
-struct PassedOver {
+struct SkippedVms {
     /// Drained, cordoned or leaving.
     closed: usize,
     /// Excluded because of failures.
-    aside: usize,
+    excluded: usize,
     /// Without an idle slot leased to this entry.
     no_slot: usize,
 }
@@ -25,7 +25,7 @@
     }
     let Some(vm) = router.vm(key) else { return };
     let Some(pool) = router.pool(vm.pool) else { return };
-    let skipped = passed_over(router, pool, key);
+    let skipped = skipped_vms(router, pool, key);
     log::info!(
         "route id={id} workspace={} service={} vm={} hall={} send={} reason={} in_flight={} leased={} \
          passed_over=closed:{},aside:{},no-slot:{} of={}",
@@ -38,29 +38,29 @@
         vm.in_flight,
         vm.leased,
         skipped.closed,
-        skipped.aside,
+        skipped.excluded,
         skipped.no_slot,
         pool.vms.len(),
     );
 }
 
 fn reason(vm: &VmLoad, sends: u32) -> &'static str {
-    match (vm.breaker.is_aside(), sends) {
+    match (vm.breaker.is_excluded(), sends) {
         (true, _) => "trial-of-a-vm-set-aside",
         (false, 0) => "fewer-in-flight-of-two",
         (false, _) => "again-after-a-failure",
     }
 }
 
-fn passed_over(router: &Router, pool: &PoolLoad, chosen: VmKey) -> PassedOver {
+fn skipped_vms(router: &Router, pool: &PoolLoad, chosen: VmKey) -> SkippedVms {
     let now = Instant::now();
-    let mut skipped = PassedOver::default();
+    let mut skipped = SkippedVms::default();
     let others = pool.vms.iter().filter(|&&key| key != chosen);
     for vm in others.filter_map(|&key| router.vm(key)) {
         if !vm.is_sendable() {
             skipped.closed += 1;
-        } else if vm.breaker.standing(now) != Standing::Good {
-            skipped.aside += 1;
+        } else if vm.breaker.availability(now) != Availability::Available {
+            skipped.excluded += 1;
         } else if vm.free_leased(now) == 0 {
             skipped.no_slot += 1;
         }
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -9,18 +9,18 @@
 use thistle_model::{RefusalReason, Service, Tier};
 use thistle_request::Router;
 use thistle_request::admit::Ticket;
-use thistle_request::claim::{Claim, KeptAnswer, Standing};
+use thistle_request::claim::{Claim, ClaimState, KeptAnswer};
 use thistle_request::exchange::{Pending, Refusal, Unsent};
-use thistle_request::key::{ClaimKey, KeyAge, fingerprint, judge_age};
-use thistle_request::router::{Ask, Avoid, Decision, PoolKey};
+use thistle_request::key::{ClaimKey, KeyAge, classify_age, fingerprint};
+use thistle_request::router::{Decision, FailedVms, PoolKey, RouteRequest};
 use tokio::sync::oneshot;
 
 use crate::backend::Answer;
 use crate::claimant::Claimant;
-use crate::context::{Context, InFlight, Woken};
+use crate::context::{Context, InFlight, WaitResult};
 use crate::parse::CallerRequest;
 use crate::reply::{self, Reply};
-use crate::sending::Sent;
+use crate::sending::SendOutcome;
 use crate::{decision_log, stats};
 
 /// The default retry delay reported with a refusal.
@@ -37,7 +37,7 @@
     /// The requested service.
     pub service: Service,
     /// The routing properties of the request.
-    pub ask: Ask,
+    pub route_request: RouteRequest,
     claimant: Option<Claimant>,
 }
 
@@ -51,8 +51,8 @@
     let id = cx.request_id(ticket);
     let req = Arc::new(req);
     let result = match prepare(&cx, &id, req.clone(), ticket, started_at) {
-        Ok(forward) if forward.ask.repeatable => forward.run().await,
-        Ok(forward) => run_apart(forward).await,
+        Ok(forward) if forward.route_request.repeatable => forward.run().await,
+        Ok(forward) => run_detached(forward).await,
         Err(refusal) => Err(refusal),
     };
     match result {
@@ -68,11 +68,11 @@
     }
 }
 
-async fn run_apart(forward: Forward) -> Result<Reply, Refusal> {
+async fn run_detached(forward: Forward) -> Result<Reply, Refusal> {
     let ended = tokio::spawn(forward.run()).await;
     ended.unwrap_or_else(|_| {
         // The task panicked, so whether the request was sent is unknown.
-        let sent = Pending::Unsent(Unsent::new()).hand_over();
+        let sent = Pending::Unsent(Unsent::new()).start_send();
         Err(sent.refuse(RefusalReason::Broken, RETRY_AFTER))
     })
 }
@@ -99,9 +99,10 @@
     let deadline = now + req.deadline.unwrap_or(longest);
     let repeatable = is_repeatable(&req, &service);
     let tier = service.tier.unwrap_or(tier);
-    let ask = Ask { ticket, pool, tier, deadline, repeatable, avoid: Avoid::default() };
-    let claimant = claimant(cx, &req, repeatable, unsent)?;
-    Ok(Forward { cx: cx.clone(), id: id.to_owned(), req, service, ask, claimant })
+    let ask =
+        RouteRequest { ticket, pool, tier, deadline, repeatable, failed_vms: FailedVms::default() };
+    let claimant = new_claimant(cx, &req, repeatable, unsent)?;
+    Ok(Forward { cx: cx.clone(), id: id.to_owned(), req, service, route_request: ask, claimant })
 }
 
 fn find_service(cx: &Context, req: &CallerRequest) -> Option<(PoolKey, Tier, Service)> {
@@ -124,7 +125,7 @@
 
 /// Creates the claim that a request needs, if any; refuses keys so old that their claim may have
 /// expired.
-fn claimant(
+fn new_claimant(
     cx: &Arc<Context>,
     req: &CallerRequest,
     repeatable: bool,
@@ -134,10 +135,10 @@
         return Ok(None);
     };
     let claims_from = cx.link().voters.claims_from_ms;
-    match judge_age(key, wall_ms(), cx.settings.claim_keep.0, claims_from) {
+    match classify_age(key, wall_ms(), cx.settings.claim_keep.0, claims_from) {
         KeyAge::Fresh => {}
         KeyAge::TooOld => return Err(unsent.refuse_held(RefusalReason::KeyTooOld, RETRY_AFTER)),
-        KeyAge::Ahead => {
+        KeyAge::InFuture => {
             let mut refusal = unsent.refuse(RefusalReason::BadRequest, RETRY_AFTER);
             refusal.detail =
                 "the timestamp in Idempotency-Key is in the future: check the caller's clock"
@@ -151,7 +152,7 @@
 }
 
 /// The result of claiming the key of a request that is not refused.
-enum Claimed {
+enum ClaimResult {
     /// The request may be sent, as it holds the claim or needs none.
     Won(Pending),
     /// An earlier attempt already has this answer.
@@ -162,32 +163,32 @@
     async fn run(mut self) -> Result<Reply, Refusal> {
         let pending = Pending::Unsent(Unsent::new());
         let (decision, waiter) = self.decide(|router, ask, now| Some(router.submit(ask, now)));
-        let (pending, mut in_flight) = self.placed(pending, decision, waiter).await?;
+        let (pending, mut in_flight) = self.wait_for_vm(pending, decision, waiter).await?;
         let mut pending = match self.claim(pending).await? {
-            Claimed::Won(pending) => pending,
-            Claimed::Replay(reply) => return Ok(reply),
+            ClaimResult::Won(pending) => pending,
+            ClaimResult::Replay(reply) => return Ok(reply),
         };
         loop {
             let vm = in_flight.vm();
             let (restored, last) = match self.send(pending, in_flight).await {
-                Sent::Answered(answer) => return Ok(self.answered(answer)),
-                Sent::Refused(refusal) => return Err(refusal),
-                Sent::ServerError(answer, sent) => (sent.repeat(), Ok(answer)),
-                Sent::Again(restored, reason, detail) => (restored, Err((reason, detail))),
+                SendOutcome::Answered(answer) => return Ok(self.answered(answer)),
+                SendOutcome::Refused(refusal) => return Err(refusal),
+                SendOutcome::ServerError(answer, sent) => (sent.into_repeated(), Ok(answer)),
+                SendOutcome::Retry(restored, reason, detail) => (restored, Err((reason, detail))),
             };
-            self.ask.avoid.add(vm);
+            self.route_request.failed_vms.add(vm);
             let (decision, waiter) =
                 self.decide(|router, ask, now| router.resubmit(ask, &restored, now));
             if decision.is_none() {
                 return match last {
                     Ok(answer) => Ok(self.answered(answer)),
                     Err((reason, detail)) => {
-                        Err(self.give_up(restored, reason, RETRY_AFTER, detail))
+                        Err(self.refuse(restored, reason, RETRY_AFTER, detail))
                     }
                 };
             }
             stats::retried();
-            (pending, in_flight) = self.placed(restored, decision, waiter).await?;
+            (pending, in_flight) = self.wait_for_vm(restored, decision, waiter).await?;
         }
     }
 
@@ -195,30 +196,30 @@
     /// no wake is missed.
     fn decide(
         &self,
-        decide: impl FnOnce(&mut Router, Ask, Instant) -> Option<Decision>,
-    ) -> (Option<Decision>, Option<oneshot::Receiver<Woken>>) {
+        decide: impl FnOnce(&mut Router, RouteRequest, Instant) -> Option<Decision>,
+    ) -> (Option<Decision>, Option<oneshot::Receiver<WaitResult>>) {
         let mut router = self.cx.router();
-        let decision = decide(&mut router, self.ask, Instant::now());
+        let decision = decide(&mut router, self.route_request, Instant::now());
         let waits = decision == Some(Decision::Wait);
-        let waiter = waits.then(|| self.cx.waiter(self.ask.ticket));
+        let waiter = waits.then(|| self.cx.register_waiter(self.route_request.ticket));
         (decision, waiter)
     }
 
     /// Waits until the request is assigned a VM or refused.
-    async fn placed(
+    async fn wait_for_vm(
         &self,
         pending: Pending,
         decision: Option<Decision>,
-        waiter: Option<oneshot::Receiver<Woken>>,
+        waiter: Option<oneshot::Receiver<WaitResult>>,
     ) -> Result<(Pending, InFlight), Refusal> {
         match (decision, waiter) {
             (Some(Decision::Send(vm)), _) => Ok((pending, InFlight::new(self.cx.clone(), vm))),
             (Some(Decision::Refuse(reason, after)), _) => {
-                Err(self.give_up(pending, reason, after, String::new()))
+                Err(self.refuse(pending, reason, after, String::new()))
             }
             (_, Some(waiter)) => self.wait(pending, waiter).await,
             (_, None) => {
-                Err(self.give_up(pending, RefusalReason::Overload, RETRY_AFTER, String::new()))
+                Err(self.refuse(pending, RefusalReason::Overload, RETRY_AFTER, String::new()))
             }
         }
     }
@@ -226,39 +227,39 @@
     async fn wait(
         &self,
         pending: Pending,
-        waiter: oneshot::Receiver<Woken>,
+        waiter: oneshot::Receiver<WaitResult>,
     ) -> Result<(Pending, InFlight), Refusal> {
-        self.cx.slots_now.notify_one();
-        let left = self.ask.deadline.since(Instant::now());
+        self.cx.renew_slots_now.notify_one();
+        let left = self.route_request.deadline.since(Instant::now());
         match tokio::time::timeout(left, waiter).await {
-            Ok(Ok(Woken::Send(in_flight))) => Ok((pending, in_flight)),
-            Ok(Ok(Woken::Refuse(reason, after))) => {
-                Err(self.give_up(pending, reason, after, String::new()))
+            Ok(Ok(WaitResult::Send(in_flight))) => Ok((pending, in_flight)),
+            Ok(Ok(WaitResult::Refuse(reason, after))) => {
+                Err(self.refuse(pending, reason, after, String::new()))
             }
             Ok(Err(_)) | Err(_) => {
-                self.cx.router().cancel(self.ask.ticket);
-                self.cx.forget_waiter(self.ask.ticket);
-                Err(self.give_up(pending, RefusalReason::Deadline, RETRY_AFTER, String::new()))
+                self.cx.router().cancel(self.route_request.ticket);
+                self.cx.unregister_waiter(self.route_request.ticket);
+                Err(self.refuse(pending, RefusalReason::Deadline, RETRY_AFTER, String::new()))
             }
         }
     }
 
     /// Claims the idempotency key, if any; returns the answer of an earlier attempt if known.
-    async fn claim(&self, pending: Pending) -> Result<Claimed, Refusal> {
+    async fn claim(&self, pending: Pending) -> Result<ClaimResult, Refusal> {
         let Some(claimant) = &self.claimant else {
-            return Ok(Claimed::Won(pending));
+            return Ok(ClaimResult::Won(pending));
         };
-        match claimant.ask(self.ask.deadline).await {
-            Standing::Won => Ok(Claimed::Won(pending)),
-            Standing::Held(held) => {
+        match claimant.acquire(self.route_request.deadline).await {
+            ClaimState::Won => Ok(ClaimResult::Won(pending)),
+            ClaimState::Held(held) => {
                 claimant.release();
-                self.replay(&held).map(Claimed::Replay)
+                self.replay(&held).map(ClaimResult::Replay)
             }
-            Standing::Pending | Standing::Lost => {
+            ClaimState::Pending | ClaimState::NoQuorum => {
                 let detail =
                     "this attempt did not run; an earlier attempt with the same key may have run";
                 let detail = detail.to_owned();
-                Err(self.give_up(pending, RefusalReason::NoClaim, RETRY_AFTER, detail))
+                Err(self.refuse(pending, RefusalReason::NoClaim, RETRY_AFTER, detail))
             }
         }
     }
@@ -270,7 +271,7 @@
             return Err(unsent.refuse(RefusalReason::KeyReused, RETRY_AFTER));
         }
         match &held.answer {
-            Some(answer) => Ok(reply::kept(answer, &self.id)),
+            Some(answer) => Ok(reply::replayed(answer, &self.id)),
             None => Err(unsent.refuse_held(RefusalReason::HeldElsewhere, RETRY_AFTER)),
         }
     }
@@ -288,7 +289,7 @@
     }
 
     /// Refuses the request; releases its claim if nothing was sent.
-    pub fn give_up(
+    pub fn refuse(
         &self,
         pending: Pending,
         reason: RefusalReason,
--- a/crates/entry/src/health.rs
+++ b/crates/entry/src/health.rs
@@ -3,7 +3,7 @@
 use hyper::StatusCode;
 
 use crate::context::Context;
-use crate::reply::{Reply, line};
+use crate::reply::{Reply, plain_text};
 
 /// The path of the liveness endpoint: whether the process runs.
 const ALIVE: &str = "/-/alive";
@@ -13,10 +13,12 @@
 /// Answers a health request; returns `None` for any other path.
 pub fn answer(cx: &Context, path: &str) -> Option<Reply> {
     match path {
-        ALIVE => Some(line(StatusCode::OK, "alive\n")),
-        READY if cx.is_ready() => Some(line(StatusCode::OK, "ready\n")),
-        READY if cx.is_stopping() => Some(line(StatusCode::SERVICE_UNAVAILABLE, "stopping\n")),
-        READY => Some(line(StatusCode::SERVICE_UNAVAILABLE, "no proof of membership\n")),
+        ALIVE => Some(plain_text(StatusCode::OK, "alive\n")),
+        READY if cx.is_ready() => Some(plain_text(StatusCode::OK, "ready\n")),
+        READY if cx.is_stopping() => {
+            Some(plain_text(StatusCode::SERVICE_UNAVAILABLE, "stopping\n"))
+        }
+        READY => Some(plain_text(StatusCode::SERVICE_UNAVAILABLE, "no proof of membership\n")),
         _ => None,
     }
 }
--- a/crates/entry/src/parse.rs
+++ b/crates/entry/src/parse.rs
@@ -16,7 +16,7 @@
 /// Header with the request ID, in answers and in requests to backend servers.
 pub const REQUEST_ID: &str = "thistle-request-id";
 /// Header with the idempotency key.
-pub const KEY: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// Hop-by-hop headers, which are not forwarded (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [&str; 9] = [
@@ -62,17 +62,17 @@
 pub async fn parse(req: Request<Incoming>, max_body: usize) -> Result<CallerRequest, BadRequest> {
     let (parts, body) = req.into_parts();
     let (workspace, service, target) = split_path(&parts.uri)?;
-    let deadline = number(&parts.headers, DEADLINE)?.map(Duration::from_millis);
-    let repeatable = yes_or_no(&parts.headers)?;
-    let key = text(&parts.headers, KEY)?.map(str::to_owned);
+    let deadline = header_number(&parts.headers, DEADLINE)?.map(Duration::from_millis);
+    let repeatable = repeatable_header(&parts.headers)?;
+    let key = header_text(&parts.headers, IDEMPOTENCY_KEY)?.map(str::to_owned);
     if key.as_ref().is_some_and(|k| k.is_empty() || k.len() > MAX_KEY_LEN) {
-        return Err(bad(format!("Idempotency-Key: use 1 to {MAX_KEY_LEN} characters")));
+        return Err(bad_request(format!("Idempotency-Key: use 1 to {MAX_KEY_LEN} characters")));
     }
     let body = Limited::new(body, max_body).collect().await.map_err(|e| {
-        bad(format!("failed to read the body ({e}): send at most {max_body} bytes"))
+        bad_request(format!("failed to read the body ({e}): send at most {max_body} bytes"))
     })?;
     let mut headers = parts.headers;
-    strip(&mut headers);
+    strip_hop_by_hop(&mut headers);
     Ok(CallerRequest {
         workspace,
         service,
@@ -87,7 +87,7 @@
 }
 
 /// Removes hop-by-hop headers and `Content-Length`.
-pub fn strip(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(hyper::header::CONNECTION)
         .iter()
@@ -111,40 +111,44 @@
     let (workspace, service) = (parts.next(), parts.next());
     let (Some(""), Some("w"), Some(workspace), Some(service)) = (empty, w, workspace, service)
     else {
-        return Err(bad("the path lacks a workspace and service: use /w/WORKSPACE/SERVICE/..."));
+        return Err(bad_request(
+            "the path lacks a workspace and service: use /w/WORKSPACE/SERVICE/...",
+        ));
     };
     let rest = parts.next().map(|r| format!("/{r}")).unwrap_or_default();
     let query = uri.query().map(|q| format!("?{q}")).unwrap_or_default();
     Ok((workspace.to_owned(), service.to_owned(), format!("/{service}{rest}{query}")))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, BadRequest> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, BadRequest> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
-    let text =
-        value.to_str().map_err(|_| bad(format!("{name}: use printable ASCII characters")))?;
+    let text = value
+        .to_str()
+        .map_err(|_| bad_request(format!("{name}: use printable ASCII characters")))?;
     Ok(Some(text))
 }
 
-fn number(headers: &HeaderMap, name: &str) -> Result<Option<u64>, BadRequest> {
-    let Some(text) = text(headers, name)? else {
+fn header_number(headers: &HeaderMap, name: &str) -> Result<Option<u64>, BadRequest> {
+    let Some(text) = header_text(headers, name)? else {
         return Ok(None);
     };
-    let number =
-        text.parse().map_err(|_| bad(format!("{name}: use a whole number of milliseconds")))?;
+    let number = text
+        .parse()
+        .map_err(|_| bad_request(format!("{name}: use a whole number of milliseconds")))?;
     Ok(Some(number))
 }
 
-fn yes_or_no(headers: &HeaderMap) -> Result<Option<bool>, BadRequest> {
-    match text(headers, REPEATABLE)? {
+fn repeatable_header(headers: &HeaderMap) -> Result<Option<bool>, BadRequest> {
+    match header_text(headers, REPEATABLE)? {
         None => Ok(None),
         Some("yes") => Ok(Some(true)),
         Some("no") => Ok(Some(false)),
-        Some(_) => Err(bad(format!("{REPEATABLE}: use yes or no"))),
+        Some(_) => Err(bad_request(format!("{REPEATABLE}: use yes or no"))),
     }
 }
 
-fn bad(remedy: impl Into<String>) -> BadRequest {
+fn bad_request(remedy: impl Into<String>) -> BadRequest {
     BadRequest(remedy.into())
 }
--- a/crates/entry/src/sending.rs
+++ b/crates/entry/src/sending.rs
@@ -26,11 +26,11 @@
 const LEAVING: &str = "thistle-leaving";
 
 /// The outcome of one send.
-pub enum Sent {
+pub enum SendOutcome {
     /// A complete answer.
     Answered(Answer),
     /// The request may be retried, or refused with this reason and detail.
-    Again(Pending, RefusalReason, String),
+    Retry(Pending, RefusalReason, String),
     /// A complete answer with a server error, to a repeatable request.
     ServerError(Answer, MaybeSent),
     /// The request is refused.
@@ -39,17 +39,17 @@
 
 impl Forward {
     /// Sends the request to a VM and waits for the complete answer.
-    pub async fn send(&self, pending: Pending, in_flight: InFlight) -> Sent {
-        let Some((plan, gate)) = self.plan(in_flight.vm(), pending.sends()) else {
+    pub async fn send(&self, pending: Pending, in_flight: InFlight) -> SendOutcome {
+        let Some((plan, gate)) = self.exchange_plan(in_flight.vm(), pending.sends()) else {
             let detail = "the VM left before the request was sent".to_owned();
-            return Sent::Again(pending, RefusalReason::NoVm, detail);
+            return SendOutcome::Retry(pending, RefusalReason::NoVm, detail);
         };
         let req = self.backend_request();
-        let sent = pending.hand_over();
-        let left = self.ask.deadline.since(Instant::now());
+        let sent = pending.start_send();
+        let left = self.route_request.deadline.since(Instant::now());
         let exchange = self.cx.backends.exchange(&plan, req);
         let result = match tokio::time::timeout(left, exchange).await {
-            Ok(Ok(answer)) => self.check(answer),
+            Ok(Ok(answer)) => self.check_answer(answer),
             Ok(Err(e)) => Err(e),
             Err(_) => Err(ExchangeError {
                 reason: RefusalReason::Deadline,
@@ -57,12 +57,12 @@
             }),
         };
         match result {
-            Ok(answer) => self.on_answer(sent, answer, in_flight),
-            Err(e) => self.on_error(sent, &gate, e, in_flight),
+            Ok(answer) => self.handle_answer(sent, answer, in_flight),
+            Err(e) => self.handle_error(sent, &gate, e, in_flight),
         }
     }
 
-    fn plan(&self, key: VmKey, sends: u32) -> Option<(ExchangePlan, Arc<SendGate>)> {
+    fn exchange_plan(&self, key: VmKey, sends: u32) -> Option<(ExchangePlan, Arc<SendGate>)> {
         let router = self.cx.router();
         let vm = router.vm(key)?;
         decision_log::sent(&router, &self.id, &self.req, key, sends);
@@ -88,14 +88,14 @@
         if let Ok(id) = HeaderValue::from_str(&self.id) {
             req.headers_mut().insert(REQUEST_ID, id);
         }
-        let left = self.ask.deadline.since(Instant::now()).as_millis();
+        let left = self.route_request.deadline.since(Instant::now()).as_millis();
         let left = u64::try_from(left).unwrap_or(u64::MAX);
         req.headers_mut().insert(DEADLINE, HeaderValue::from(left));
         req
     }
 
     /// Checks that an answer belongs to this request.
-    fn check(&self, answer: Answer) -> Result<Answer, ExchangeError> {
+    fn check_answer(&self, answer: Answer) -> Result<Answer, ExchangeError> {
         let named = answer.parts.headers.get(REQUEST_ID);
         let is_ours = named.map(|id| id.as_bytes() == self.id.as_bytes());
         if is_ours.unwrap_or(!self.service.echoes_request_id) {
@@ -105,56 +105,56 @@
         Err(ExchangeError { reason: RefusalReason::BadAnswer, detail })
     }
 
-    fn on_answer(&self, sent: MaybeSent, answer: Answer, in_flight: InFlight) -> Sent {
+    fn handle_answer(&self, sent: MaybeSent, answer: Answer, in_flight: InFlight) -> SendOutcome {
         let header = |name| answer.parts.headers.get(name).and_then(|v| v.to_str().ok());
         if header(LEAVING) == Some("1") {
-            self.note_leaving(in_flight.vm());
+            self.record_leaving(in_flight.vm());
         }
         let status = answer.parts.status.as_u16();
         if let Some(statement) = BackendRefusal::from_answer(status, header(NOT_RUN)) {
-            in_flight.finish(SendResult::Bad);
+            in_flight.finish(SendResult::Failure);
             let restored = sent.refused_by_backend(&statement);
             let detail = "the backend server reported that it did not run the request".to_owned();
-            return Sent::Again(restored, RefusalReason::BackendRefused, detail);
+            return SendOutcome::Retry(restored, RefusalReason::BackendRefused, detail);
         }
         let is_error = answer.parts.status.is_server_error();
-        in_flight.finish(if is_error { SendResult::Bad } else { SendResult::Good });
-        if is_error && self.ask.repeatable {
-            return Sent::ServerError(answer, sent);
+        in_flight.finish(if is_error { SendResult::Failure } else { SendResult::Success });
+        if is_error && self.route_request.repeatable {
+            return SendOutcome::ServerError(answer, sent);
         }
-        Sent::Answered(answer)
+        SendOutcome::Answered(answer)
     }
 
-    fn on_error(
+    fn handle_error(
         &self,
         sent: MaybeSent,
         gate: &SendGate,
         e: ExchangeError,
         in_flight: InFlight,
-    ) -> Sent {
+    ) -> SendOutcome {
         let late = e.reason == RefusalReason::Deadline;
         in_flight.finish(match e.reason {
-            RefusalReason::Connect => SendResult::NoConnect,
+            RefusalReason::Connect => SendResult::ConnectFailed,
             // A caller's deadline below that of the service says nothing about the VM's health.
             RefusalReason::Deadline if self.has_short_deadline() => SendResult::Neutral,
-            _ => SendResult::Bad,
+            _ => SendResult::Failure,
         });
-        match sent.take_back(gate) {
+        match sent.confirm_unsent(gate) {
             Ok(restored) if late => {
-                Sent::Refused(self.give_up(restored, e.reason, RETRY_AFTER, e.detail))
+                SendOutcome::Refused(self.refuse(restored, e.reason, RETRY_AFTER, e.detail))
             }
             Ok(restored) => {
                 let lapsed = Instant::now() >= self.cx.router().proof_until();
                 let reason = if lapsed { RefusalReason::NoProof } else { RefusalReason::Connect };
-                Sent::Again(restored, reason, e.detail)
+                SendOutcome::Retry(restored, reason, e.detail)
             }
-            Err(sent) if self.ask.repeatable && !late => {
-                Sent::Again(sent.repeat(), e.reason, e.detail)
+            Err(sent) if self.route_request.repeatable && !late => {
+                SendOutcome::Retry(sent.into_repeated(), e.reason, e.detail)
             }
             Err(sent) => {
                 let mut refusal = sent.refuse(e.reason, RETRY_AFTER);
                 refusal.detail = e.detail;
-                Sent::Refused(refusal)
+                SendOutcome::Refused(refusal)
             }
         }
     }
@@ -164,7 +164,7 @@
         self.req.deadline.is_some_and(|d| d < own)
     }
 
-    fn note_leaving(&self, key: VmKey) {
+    fn record_leaving(&self, key: VmKey) {
         let name = self.cx.router().vm(key).map(|vm| vm.name.clone());
         let Some(name) = name else { return };
         let mut link = self.cx.link();
--- a/crates/entry/src/slots.rs
+++ b/crates/entry/src/slots.rs
@@ -16,38 +16,38 @@
 use crate::context::Context;
 
 /// The renewal interval while no requests wait.
-const RENEW_EVERY: Duration = Duration::from_millis(500);
+const RENEW_INTERVAL: Duration = Duration::from_millis(500);
 /// The renewal interval while requests wait.
-const SHORT_PAUSE: Duration = Duration::from_millis(5);
+const SHORT_RENEW_INTERVAL: Duration = Duration::from_millis(5);
 /// The timeout of a call to a home.
 const HOME_TIMEOUT: Duration = Duration::from_millis(250);
 /// The time during which a home that did not reply is skipped.
-const HOME_PAUSE: Duration = Duration::from_secs(1);
+const UNRESPONSIVE_HOME_DELAY: Duration = Duration::from_secs(1);
 
 /// Renews slot leases until the process ends.
 pub async fn run(cx: Arc<Context>) {
     let mut unresponsive: HashMap<SocketAddr, Instant> = HashMap::new();
     loop {
         let short = cx.router().is_short_of_slots();
-        let pause = if short { SHORT_PAUSE } else { RENEW_EVERY };
+        let pause = if short { SHORT_RENEW_INTERVAL } else { RENEW_INTERVAL };
         // The pause ends early when a request starts to wait.
-        let _ = tokio::time::timeout(pause, cx.slots_now.notified()).await;
-        round(&cx, &mut unresponsive).await;
+        let _ = tokio::time::timeout(pause, cx.renew_slots_now.notified()).await;
+        renew_all(&cx, &mut unresponsive).await;
     }
 }
 
 /// Sends one request to each home, all concurrently.
-async fn round(cx: &Arc<Context>, unresponsive: &mut HashMap<SocketAddr, Instant>) {
+async fn renew_all(cx: &Arc<Context>, unresponsive: &mut HashMap<SocketAddr, Instant>) {
     let now = Instant::now();
-    unresponsive.retain(|_, since| now.since(*since) < HOME_PAUSE);
+    unresponsive.retain(|_, since| now.since(*since) < UNRESPONSIVE_HOME_DELAY);
     let wants = cx.router().slot_wants(now);
     let (member, members) = {
         let link = cx.link();
         (link.member, link.members.clone())
     };
-    let by_home = group(wants, &members);
+    let by_home = group_by_home(wants, &members);
     let requests = by_home.into_iter().filter(|(addr, _)| !unresponsive.contains_key(addr));
-    let calls = requests.map(|(addr, wants)| ask(cx, addr, member, wants));
+    let calls = requests.map(|(addr, wants)| request_slots(cx, addr, member, wants));
     for (addr, answered) in join_all(calls).await {
         if !answered {
             unresponsive.insert(addr, now);
@@ -56,7 +56,10 @@
 }
 
 /// Groups slot requests by the home of their VM.
-fn group(wants: Vec<SlotWant>, members: &[ViewVoter]) -> HashMap<SocketAddr, Vec<SlotWant>> {
+fn group_by_home(
+    wants: Vec<SlotWant>,
+    members: &[ViewVoter],
+) -> HashMap<SocketAddr, Vec<SlotWant>> {
     let mut by_home: HashMap<SocketAddr, Vec<SlotWant>> = HashMap::new();
     for want in wants {
         let key = want.vm.as_str().as_bytes();
@@ -68,13 +71,13 @@
     by_home
 }
 
-async fn ask(
+async fn request_slots(
     cx: &Arc<Context>,
     addr: SocketAddr,
     member: MemberId,
     wants: Vec<SlotWant>,
 ) -> (SocketAddr, bool) {
-    let line = cx.line(addr);
+    let line = cx.peer_line(addr);
     let requested_at = Instant::now();
     let Ok(client) = line.client().await else {
         return (addr, false);
--- a/crates/entry/src/steward_link.rs
+++ b/crates/entry/src/steward_link.rs
@@ -13,13 +13,13 @@
 use crate::context::Context;
 
 /// The timeout of a call to the steward.
-const TIMEOUT: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// The delay after a failed call.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// The versions of this entry's view.
 #[derive(Default)]
-struct Position {
+struct ViewPosition {
     revision: Revision,
     hints: u64,
 }
@@ -27,7 +27,7 @@
 /// Polls the steward for view updates until the process ends.
 pub async fn run(cx: Arc<Context>) {
     let line = LinkLine::new(cx.settings.steward);
-    let mut position = Position::default();
+    let mut position = ViewPosition::default();
     loop {
         let pending_reply = call(&cx, &line, &position);
         // A report that is due, such as a completed drain, cancels the pending call and starts a new one.
@@ -36,13 +36,13 @@
             () = cx.report_now.notified() => continue,
         };
         match reply {
-            Some(reply) => take(&cx, reply, &mut position),
-            None => tokio::time::sleep(RETRY_PAUSE).await,
+            Some(reply) => apply_reply(&cx, reply, &mut position),
+            None => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
 }
 
-async fn call(cx: &Context, line: &LinkLine, position: &Position) -> Option<ViewReply> {
+async fn call(cx: &Context, line: &LinkLine, position: &ViewPosition) -> Option<ViewReply> {
     let leaving = cx.link().leaving.clone();
     let report =
         EntryReport { offset: cx.link().offset, ready: cx.is_ready(), acks: cx.router().acks() };
@@ -54,12 +54,12 @@
         leaving,
     };
     let client = line.client().await.ok()?;
-    let call = client.view(context(TIMEOUT), req).await;
+    let call = client.view(context(CALL_TIMEOUT), req).await;
     line.check(call).await.ok()
 }
 
 /// Applies a reply: first the view update, then the proof of membership that belongs to it.
-fn take(cx: &Arc<Context>, reply: ViewReply, position: &mut Position) {
+fn apply_reply(cx: &Arc<Context>, reply: ViewReply, position: &mut ViewPosition) {
     let mut router = cx.router();
     if let Some(update) = &reply.update {
         // A restarted steward may lag behind this entry's view, which must never go back.
@@ -87,7 +87,7 @@
         link.voter_addrs = update.voter_addrs;
         link.members = update.members;
         drop(link);
-        cx.slots_now.notify_one();
+        cx.renew_slots_now.notify_one();
     }
 }
 
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -9,7 +9,7 @@
 use thistle_request::exchange::{MaybeSent, Pending, Unsent};
 use thistle_request::gate::SendGate;
 use thistle_request::router::{
-    Ask, Avoid, ChoicePolicy, Decision, RetryPolicy, RouterConfig, VmKey, Wake,
+    ChoicePolicy, Decision, FailedVms, RetryPolicy, RouteRequest, RouterConfig, VmKey, Wake,
 };
 
 use crate::entry::{Entry, member, worker_of};
@@ -56,7 +56,7 @@
     pub end: Option<End>,
     pub runs: u32,
     pub useful_us: u64,
-    pub avoid: Avoid,
+    pub avoid: FailedVms,
 }
 
 /// The states of the request library.
@@ -104,7 +104,7 @@
             end: None,
             runs: 0,
             useful_us: 0,
-            avoid: Avoid::default(),
+            avoid: FailedVms::default(),
         };
         let mut agenda = Agenda::default();
         for (i, a) in trace.arrivals.iter().enumerate() {
@@ -164,15 +164,15 @@
         self.trace.setup.hop_us
     }
 
-    fn ask(&self, r: usize) -> Ask {
+    fn ask(&self, r: usize) -> RouteRequest {
         let a = &self.trace.arrivals[r];
-        Ask {
+        RouteRequest {
             ticket: Ticket(r as u64),
             pool: self.entries[a.entry].pool,
             tier: a.tier,
             deadline: Instant::from_micros(a.at_us + a.deadline_ms * 1_000),
             repeatable: a.repeatable,
-            avoid: self.requests[r].avoid,
+            failed_vms: self.requests[r].avoid,
         }
     }
 
@@ -218,7 +218,7 @@
             Pending::Repeated(_) => self.report.retries += 1,
         }
         let gate = SendGate::new(Instant::from_micros(u64::MAX));
-        self.requests[r].state = Some(State::Sent(pending.hand_over(), gate));
+        self.requests[r].state = Some(State::Sent(pending.start_send(), gate));
         self.agenda.add(at + self.hop(), Event::Reach(send));
     }
 
@@ -227,9 +227,9 @@
         let entry = self.trace.arrivals[send.request].entry;
         let now = Instant::from_micros(at);
         let result = match end {
-            SendEnd::Answered => SendResult::Good,
-            SendEnd::Error | SendEnd::Broken => SendResult::Bad,
-            SendEnd::NoConnect => SendResult::NoConnect,
+            SendEnd::Answered => SendResult::Success,
+            SendEnd::Error | SendEnd::Broken => SendResult::Failure,
+            SendEnd::NoConnect => SendResult::ConnectFailed,
         };
         let took = Duration::from_micros(at - send.at);
         let wakes = self.entries[entry].router.finish(send.vm, result, took, now);
@@ -239,13 +239,13 @@
             return;
         };
         let arrival = self.trace.arrivals[send.request];
-        match (end, sent.take_back(&gate)) {
+        match (end, sent.confirm_unsent(&gate)) {
             (SendEnd::Answered, _) => {
                 self.requests[send.request].useful_us = arrival.service_us;
                 self.requests[send.request].end = Some(End::Answered(at - arrival.at_us));
             }
             (_, Ok(back)) => self.again(send, back, at),
-            (_, Err(sent)) if arrival.repeatable => self.again(send, sent.repeat(), at),
+            (_, Err(sent)) if arrival.repeatable => self.again(send, sent.into_repeated(), at),
             (_, Err(sent)) => {
                 let refusal = sent.refuse(thistle_model::RefusalReason::Broken, Duration::ZERO);
                 self.close(send.request, refusal.outcome);
@@ -274,7 +274,7 @@
         let reason = thistle_model::RefusalReason::Deadline;
         let refusal = match self.requests[r].state.take() {
             Some(State::Pending(pending)) => pending.refuse(reason, Duration::ZERO),
-            Some(State::Sent(sent, gate)) => match sent.take_back(&gate) {
+            Some(State::Sent(sent, gate)) => match sent.confirm_unsent(&gate) {
                 Ok(pending) => pending.refuse(reason, Duration::ZERO),
                 Err(sent) => sent.refuse(reason, Duration::ZERO),
             },
--- a/crates/request/src/admit.rs
+++ b/crates/request/src/admit.rs
@@ -9,9 +9,9 @@
 /// The newest service time has a weight of `1 / SMOOTHING` in the moving mean.
 const SMOOTHING: f64 = 16.0;
 /// The number of mean deviations added to the mean for a conservative service time.
-const DEVIATIONS: f64 = 2.0;
+const DEVIATION_FACTOR: f64 = 2.0;
 /// The service time assumed before the first request completes.
-const FIRST_GUESS: Duration = Duration::from_millis(20);
+const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(20);
 
 /// When to refuse a request that would miss its deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 
 /// The result of adding a request to the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Push {
+pub enum PushResult {
     /// The request was queued.
     Queued,
     /// The request was queued in place of the one with this ticket, which must be refused.
@@ -51,8 +51,8 @@
     policy: AdmitPolicy,
     waiting: BTreeMap<(Tier, Ticket), Waiting>,
     max: usize,
-    service: f64,
-    deviation: f64,
+    mean_service_time: f64,
+    mean_deviation: f64,
 }
 
 impl Queue {
@@ -62,8 +62,8 @@
             policy,
             waiting: BTreeMap::new(),
             max,
-            service: FIRST_GUESS.as_secs_f64(),
-            deviation: 0.0,
+            mean_service_time: INITIAL_SERVICE_TIME.as_secs_f64(),
+            mean_deviation: 0.0,
         }
     }
 
@@ -79,20 +79,22 @@
 
     /// Returns the moving mean of the service times.
     pub fn service_time(&self) -> Duration {
-        Duration::from_secs_f64(self.service)
+        Duration::from_secs_f64(self.mean_service_time)
     }
 
     /// Records how long a VM took to answer a request.
-    pub fn on_service(&mut self, took: Duration) {
-        let off = took.as_secs_f64() - self.service;
-        self.service += off / SMOOTHING;
-        self.deviation += (off.abs() - self.deviation) / SMOOTHING;
+    pub fn record_service_time(&mut self, took: Duration) {
+        let off = took.as_secs_f64() - self.mean_service_time;
+        self.mean_service_time += off / SMOOTHING;
+        self.mean_deviation += (off.abs() - self.mean_deviation) / SMOOTHING;
     }
 
     /// Returns the expected wait of a new request of `tier` when `slots` slots serve the queue.
     pub fn expected_wait(&self, tier: Tier, slots: u32) -> Duration {
         let ahead = self.waiting.range(..=(tier, Ticket(u64::MAX))).count();
-        Duration::from_secs_f64(self.service * (ahead + 1) as f64 / f64::from(slots.max(1)))
+        Duration::from_secs_f64(
+            self.mean_service_time * (ahead + 1) as f64 / f64::from(slots.max(1)),
+        )
     }
 
     /// Queues a request, or refuses it immediately.
@@ -103,16 +105,16 @@
         deadline: Instant,
         slots: u32,
         now: Instant,
-    ) -> Push {
-        if now >= deadline || !self.meets(tier, deadline, slots, now) {
-            return Push::Refused;
+    ) -> PushResult {
+        if now >= deadline || !self.can_meet_deadline(tier, deadline, slots, now) {
+            return PushResult::Refused;
         }
         let displaced = match self.make_room(tier) {
             Ok(displaced) => displaced,
-            Err(Full) => return Push::Refused,
+            Err(Full) => return PushResult::Refused,
         };
         self.waiting.insert((tier, ticket), Waiting { deadline });
-        displaced.map_or(Push::Queued, Push::Displaced)
+        displaced.map_or(PushResult::Queued, PushResult::Displaced)
     }
 
     /// Removes a request from the queue.
@@ -124,7 +126,7 @@
     /// that cannot are moved to `refused`.
     pub fn pop(&mut self, now: Instant, refused: &mut Vec<Ticket>) -> Option<Ticket> {
         while let Some(((_, ticket), w)) = self.waiting.pop_first() {
-            if self.is_in_time(w.deadline, now) {
+            if self.can_finish_in_time(w.deadline, now) {
                 return Some(ticket);
             }
             refused.push(ticket);
@@ -134,7 +136,7 @@
 
     /// Moves all requests that can no longer meet their deadline to `refused`.
     pub fn drop_late(&mut self, now: Instant, refused: &mut Vec<Ticket>) {
-        let required = self.needed();
+        let required = self.required_time();
         self.waiting.retain(|&(_, ticket), w| {
             let in_time = now + required < w.deadline;
             if !in_time {
@@ -147,26 +149,26 @@
     /// Returns a service time that most requests stay below.
     ///
     /// Service times vary widely around their mean, and a run that ends after its deadline is wasted.
-    fn ample_time(&self) -> Duration {
-        Duration::from_secs_f64(self.service + DEVIATIONS * self.deviation)
+    fn conservative_service_time(&self) -> Duration {
+        Duration::from_secs_f64(self.mean_service_time + DEVIATION_FACTOR * self.mean_deviation)
     }
 
-    fn needed(&self) -> Duration {
+    fn required_time(&self) -> Duration {
         match self.policy {
             AdmitPolicy::Late => Duration::ZERO,
-            AdmitPolicy::Deadline => self.ample_time(),
+            AdmitPolicy::Deadline => self.conservative_service_time(),
         }
     }
 
-    fn is_in_time(&self, deadline: Instant, now: Instant) -> bool {
-        now + self.needed() < deadline
+    fn can_finish_in_time(&self, deadline: Instant, now: Instant) -> bool {
+        now + self.required_time() < deadline
     }
 
-    fn meets(&self, tier: Tier, deadline: Instant, slots: u32, now: Instant) -> bool {
+    fn can_meet_deadline(&self, tier: Tier, deadline: Instant, slots: u32, now: Instant) -> bool {
         match self.policy {
             AdmitPolicy::Late => true,
             AdmitPolicy::Deadline => {
-                now + self.expected_wait(tier, slots) + self.ample_time() < deadline
+                now + self.expected_wait(tier, slots) + self.conservative_service_time() < deadline
             }
         }
     }
--- a/crates/request/src/claim.rs
+++ b/crates/request/src/claim.rs
@@ -71,19 +71,19 @@
 /// The claims on one key. There is more than one only after a transfer between voters that merged
 /// the claim of a successful attempt with those of unsuccessful attempts.
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldClaims {
     claims: SmallVec<[Claim; 1]>,
-    since: Instant,
+    claimed_at: Instant,
 }
 
-impl Held {
+impl HeldClaims {
     /// Returns the claim of another attempt, preferably one with an answer.
-    fn other_than(&self, attempt: AttemptId) -> Option<&Claim> {
+    fn claim_of_other(&self, attempt: AttemptId) -> Option<&Claim> {
         let others = self.claims.iter().filter(|c| c.attempt != attempt);
         others.max_by_key(|c| c.answer.is_some())
     }
 
-    fn of(&mut self, attempt: AttemptId) -> Option<&mut Claim> {
+    fn claim_of(&mut self, attempt: AttemptId) -> Option<&mut Claim> {
         self.claims.iter_mut().find(|c| c.attempt == attempt)
     }
 }
@@ -91,8 +91,8 @@
 /// The claims held by one voter.
 #[derive(Clone, Debug)]
 pub struct ClaimTable {
-    claims: BTreeMap<ClaimKey, Held>,
-    ages: VecDeque<(Instant, ClaimKey)>,
+    claims: BTreeMap<ClaimKey, HeldClaims>,
+    by_age: VecDeque<(Instant, ClaimKey)>,
     keep: Duration,
     max: usize,
     body_bytes: usize,
@@ -105,7 +105,7 @@
     pub fn new(keep: Duration, max: usize, max_body_bytes: usize) -> Self {
         Self {
             claims: BTreeMap::new(),
-            ages: VecDeque::new(),
+            by_age: VecDeque::new(),
             keep,
             max,
             body_bytes: 0,
@@ -135,7 +135,7 @@
     ) -> ClaimReply {
         self.expire(now);
         let known = self.claims.get(&key);
-        if let Some(other) = known.and_then(|held| held.other_than(wanted.attempt)) {
+        if let Some(other) = known.and_then(|held| held.claim_of_other(wanted.attempt)) {
             return ClaimReply::Held(other.clone());
         }
         if attempt_revision != voter_revision {
@@ -163,7 +163,7 @@
     pub fn settle(&mut self, key: ClaimKey, attempt: AttemptId, answer: KeptAnswer) {
         let room = self.max_body_bytes.saturating_sub(self.body_bytes);
         let fits = answer.body.len() <= MAX_KEPT_BODY.min(room);
-        let claim = self.claims.get_mut(&key).and_then(|held| held.of(attempt));
+        let claim = self.claims.get_mut(&key).and_then(|held| held.claim_of(attempt));
         if let Some(claim) = claim.filter(|c| c.answer.is_none() && fits) {
             self.body_bytes += answer.body.len();
             claim.answer = Some(Box::new(answer));
@@ -174,7 +174,7 @@
     pub fn page(&self, after: Option<ClaimKey>) -> Vec<KeyedClaim> {
         let from = after.map_or(std::ops::Bound::Unbounded, std::ops::Bound::Excluded);
         let rest = self.claims.range((from, std::ops::Bound::Unbounded)).take(PAGE_CLAIMS);
-        let keyed = |(&key, held): (&ClaimKey, &Held)| {
+        let keyed = |(&key, held): (&ClaimKey, &HeldClaims)| {
             let claims = held.claims.clone().into_iter();
             claims.map(move |claim| KeyedClaim { key, claim })
         };
@@ -195,12 +195,12 @@
     }
 
     fn insert(&mut self, key: ClaimKey, claim: Claim, now: Instant) {
-        let ages = &mut self.ages;
+        let ages = &mut self.by_age;
         let held = self.claims.entry(key).or_insert_with(|| {
             ages.push_back((now, key));
-            Held { claims: SmallVec::new(), since: now }
+            HeldClaims { claims: SmallVec::new(), claimed_at: now }
         });
-        if held.of(claim.attempt).is_none() {
+        if held.claim_of(claim.attempt).is_none() {
             held.claims.push(claim);
         }
     }
@@ -214,12 +214,12 @@
     /// Removes claims older than `keep`; the age of a key that was released and claimed again counts
     /// from the later claim.
     fn expire(&mut self, now: Instant) {
-        while let Some(&(since, key)) = self.ages.front() {
+        while let Some(&(since, key)) = self.by_age.front() {
             if now.since(since) < self.keep {
                 return;
             }
-            self.ages.pop_front();
-            if self.claims.get(&key).is_some_and(|h| h.since == since) {
+            self.by_age.pop_front();
+            if self.claims.get(&key).is_some_and(|h| h.claimed_at == since) {
                 self.remove(key);
             }
         }
@@ -228,7 +228,7 @@
 
 /// The state of an attempt's claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ClaimState {
     /// More replies are needed.
     Pending,
     /// The claim is granted; the attempt may send.
@@ -236,7 +236,7 @@
     /// Another attempt holds the key; its claim includes the answer if known.
     Held(Claim),
     /// No quorum can be reached.
-    Lost,
+    NoQuorum,
 }
 
 /// Counts the voters' replies to one attempt under one revision of the voters.
@@ -255,7 +255,7 @@
     }
 
     /// Records a voter's reply; `None` means that the voter did not reply.
-    pub fn on_reply(&mut self, from: MemberId, reply: Option<ClaimReply>) {
+    pub fn record_reply(&mut self, from: MemberId, reply: Option<ClaimReply>) {
         match reply {
             Some(ClaimReply::Accepted(revision)) if revision == self.voters.revision => {
                 self.accepted.push(from);
@@ -272,21 +272,21 @@
     }
 
     /// Returns the state of the claim.
-    pub fn standing(&self) -> Standing {
+    pub fn state(&self) -> ClaimState {
         if !self.voters.current.is_empty() && self.voters.is_quorum(&self.accepted) {
-            return Standing::Won;
+            return ClaimState::Won;
         }
         if let Some(held) = self.held.as_ref().filter(|h| h.answer.is_some()) {
-            return Standing::Held(held.clone());
+            return ClaimState::Held(held.clone());
         }
         let refused = |id: &MemberId| self.refused.contains(id);
         let possible: Vec<_> = self.voters.all().into_iter().filter(|id| !refused(id)).collect();
         if !self.voters.current.is_empty() && self.voters.is_quorum(&possible) {
-            return Standing::Pending;
+            return ClaimState::Pending;
         }
         match &self.held {
-            Some(held) => Standing::Held(held.clone()),
-            None => Standing::Lost,
+            Some(held) => ClaimState::Held(held.clone()),
+            None => ClaimState::NoQuorum,
         }
     }
 }
--- a/crates/request/src/exchange.rs
+++ b/crates/request/src/exchange.rs
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub struct MaybeSent {
     sends: u32,
-    earlier: bool,
+    earlier_may_have_run: bool,
 }
 
 /// A backend server's explicit statement that it did not run the request.
@@ -82,9 +82,9 @@
 
 impl MaybeSent {
     /// Restores the state before the send if the gate shows that no byte was written.
-    pub fn take_back(self, gate: &SendGate) -> Result<Pending, Self> {
+    pub fn confirm_unsent(self, gate: &SendGate) -> Result<Pending, Self> {
         match gate.close() {
-            Some(GateClosed { .. }) => Ok(self.as_before()),
+            Some(GateClosed { .. }) => Ok(self.previous_state()),
             None => Err(self),
         }
     }
@@ -92,13 +92,13 @@
     /// Restores the state before the send, as the backend server states that it did not run the
     /// request.
     pub fn refused_by_backend(self, _refusal: &BackendRefusal) -> Pending {
-        self.as_before()
+        self.previous_state()
     }
 
     /// Prepares a repeatable request for another send.
     ///
     /// The result can no longer be refused as not run.
-    pub const fn repeat(self) -> Pending {
+    pub const fn into_repeated(self) -> Pending {
         Pending::Repeated(Repeated { sends: self.sends })
     }
 
@@ -108,8 +108,8 @@
     }
 
     /// Returns the state before the last send, which did not run.
-    const fn as_before(&self) -> Pending {
-        if self.earlier {
+    const fn previous_state(&self) -> Pending {
+        if self.earlier_may_have_run {
             return Pending::Repeated(Repeated { sends: self.sends });
         }
         Pending::Unsent(Unsent { sends: self.sends })
@@ -141,10 +141,10 @@
     }
 
     /// Marks the start of a send; from here on bytes may be written to the connection.
-    pub const fn hand_over(self) -> MaybeSent {
+    pub const fn start_send(self) -> MaybeSent {
         match self {
-            Self::Unsent(r) => MaybeSent { sends: r.sends + 1, earlier: false },
-            Self::Repeated(r) => MaybeSent { sends: r.sends + 1, earlier: true },
+            Self::Unsent(r) => MaybeSent { sends: r.sends + 1, earlier_may_have_run: false },
+            Self::Repeated(r) => MaybeSent { sends: r.sends + 1, earlier_may_have_run: true },
         }
     }
 
--- a/crates/request/src/gate.rs
+++ b/crates/request/src/gate.rs
@@ -4,7 +4,7 @@
 
 use thistle_model::clock::Instant;
 
-const ARMED: u8 = 0;
+const OPEN: u8 = 0;
 const WRITTEN: u8 = 1;
 const CLOSED: u8 = 2;
 
@@ -26,10 +26,7 @@
     /// Creates a gate that a request may pass until `proof_until`, when the entry's proof of
     /// membership expires.
     pub fn new(proof_until: Instant) -> Self {
-        Self {
-            state: AtomicU8::new(ARMED),
-            proof_until_us: AtomicU64::new(proof_until.as_micros()),
-        }
+        Self { state: AtomicU8::new(OPEN), proof_until_us: AtomicU64::new(proof_until.as_micros()) }
     }
 
     /// Returns whether bytes may be written; the caller must check right before each write.
@@ -44,7 +41,7 @@
             return false;
         }
         let swapped =
-            self.state.compare_exchange(ARMED, WRITTEN, Ordering::AcqRel, Ordering::Acquire);
+            self.state.compare_exchange(OPEN, WRITTEN, Ordering::AcqRel, Ordering::Acquire);
         matches!(swapped, Ok(_) | Err(WRITTEN))
     }
 
@@ -56,7 +53,7 @@
     /// Closes the gate; returns the proof if no write was permitted before.
     pub fn close(&self) -> Option<GateClosed> {
         let swapped =
-            self.state.compare_exchange(ARMED, CLOSED, Ordering::AcqRel, Ordering::Acquire);
+            self.state.compare_exchange(OPEN, CLOSED, Ordering::AcqRel, Ordering::Acquire);
         match swapped {
             Ok(_) | Err(CLOSED) => Some(GateClosed(())),
             Err(_) => None,
--- a/crates/request/src/key.rs
+++ b/crates/request/src/key.rs
@@ -7,7 +7,7 @@
 /// The maximum length of an idempotency key, in bytes.
 pub const MAX_KEY_LEN: usize = 128;
 /// How far a key's timestamp may be ahead of this entry's clock.
-const MAX_AHEAD_MS: u64 = 60_000;
+const MAX_CLOCK_SKEW_MS: u64 = 60_000;
 const UUID_LEN: usize = 36;
 const UUID_VERSION_AT: usize = 14;
 
@@ -54,17 +54,17 @@
     /// A claim on the key may have expired or been lost, so an earlier attempt may have run.
     TooOld,
     /// The key's timestamp is in the future, so the caller's clock is wrong.
-    Ahead,
+    InFuture,
 }
 
 /// Classifies the age of a key.
 ///
 /// A key without a timestamp is fresh unless claims were lost within `keep` before `now_ms`.
 /// Callers must not reuse such a key later than `keep` after the first attempt.
-pub fn judge_age(key: &str, now_ms: u64, keep: Duration, claims_from_ms: u64) -> KeyAge {
+pub fn classify_age(key: &str, now_ms: u64, keep: Duration, claims_from_ms: u64) -> KeyAge {
     let keep_ms = u64::try_from(keep.as_millis()).unwrap_or(u64::MAX);
     match created_ms(key) {
-        Some(t) if t > now_ms + MAX_AHEAD_MS => KeyAge::Ahead,
+        Some(t) if t > now_ms + MAX_CLOCK_SKEW_MS => KeyAge::InFuture,
         Some(t) if t + keep_ms < now_ms || t < claims_from_ms => KeyAge::TooOld,
         None if claims_from_ms > 0 && now_ms < claims_from_ms + keep_ms => KeyAge::TooOld,
         _ => KeyAge::Fresh,
--- a/crates/request/src/router/choose.rs
+++ b/crates/request/src/router/choose.rs
@@ -3,18 +3,18 @@
 use rand::Rng;
 use thistle_model::clock::Instant;
 
-use super::{Ask, ChoicePolicy, PoolKey, Router, VmKey, VmLoad};
-use crate::breaker::{SendResult, Standing};
+use super::{ChoicePolicy, PoolKey, RouteRequest, Router, VmKey, VmLoad};
+use crate::breaker::{Availability, SendResult};
 
 /// The mean failure share of a pool's other VMs from which no VM is excluded: at that level the
 /// requests are at fault, not the VM.
-const POOL_FAILS: f64 = 0.3;
+const MAX_POOL_FAILURE_SHARE: f64 = 0.3;
 /// The maximum share of a pool's VMs that connection failures may exclude, in percent.
 const MAX_UNREACHABLE_PERCENT: u32 = 60;
 
 impl Router {
     /// Returns the VM for a request, or `None` if no VM can accept it now.
-    pub(super) fn choose(&mut self, request: &Ask, now: Instant) -> Option<VmKey> {
+    pub(super) fn choose(&mut self, request: &RouteRequest, now: Instant) -> Option<VmKey> {
         let pool = self.pools.get(request.pool)?;
         if self.cfg.choice == ChoicePolicy::Random {
             return self.choose_random(request.pool);
@@ -30,15 +30,15 @@
             if !self.has_room(vm, now) {
                 continue;
             }
-            match vm.breaker.standing(now) {
-                Standing::Aside => continue,
-                Standing::Trial => {
+            match vm.breaker.availability(now) {
+                Availability::Excluded => continue,
+                Availability::Trial => {
                     trial = trial.or(Some(key));
                     continue;
                 }
-                Standing::Good => {}
+                Availability::Available => {}
             }
-            if request.avoid.contains(key) {
+            if request.failed_vms.contains(key) {
                 failed_before = Some(key);
                 continue;
             }
@@ -74,7 +74,7 @@
     }
 
     /// Returns whether the pool has a VM that accepts new requests, with or without room.
-    pub(super) fn has_vm(&self, key: PoolKey) -> bool {
+    pub(super) fn has_sendable_vm(&self, key: PoolKey) -> bool {
         let pool = self.pools.get(key);
         pool.is_some_and(|p| p.vms.iter().any(|&k| self.vms[k].is_sendable()))
     }
@@ -93,27 +93,28 @@
     }
 
     /// Returns whether this VM may be excluded, given the other VMs of its pool.
-    pub(super) fn may_set_aside(&self, key: VmKey, result: SendResult) -> bool {
+    pub(super) fn may_exclude(&self, key: VmKey, result: SendResult) -> bool {
         let Some(pool) = self.pools.get(self.vms[key].pool) else {
             return false;
         };
         let total = u32::try_from(pool.vms.len()).unwrap_or(u32::MAX);
         let others = || pool.vms.iter().filter(|&&k| k != key).map(|&k| &self.vms[k].breaker);
-        let excluded = u32::try_from(others().filter(|b| b.is_aside()).count()).unwrap_or(u32::MAX);
+        let excluded =
+            u32::try_from(others().filter(|b| b.is_excluded()).count()).unwrap_or(u32::MAX);
         let percent = match result {
-            SendResult::NoConnect => MAX_UNREACHABLE_PERCENT,
-            _ => self.cfg.max_aside_percent,
+            SendResult::ConnectFailed => MAX_UNREACHABLE_PERCENT,
+            _ => self.cfg.max_excluded_percent,
         };
         let bound = (total * percent / 100).max(1).min(total.saturating_sub(1));
         if excluded >= bound {
             return false;
         }
-        if result == SendResult::NoConnect {
+        if result == SendResult::ConnectFailed {
             return true;
         }
-        let serving = others().filter(|b| !b.is_aside());
-        let (sum, n) = serving.fold((0.0, 0u32), |(s, n), b| (s + b.bad_share(), n + 1));
-        n > 0 && sum / f64::from(n) < POOL_FAILS
+        let serving = others().filter(|b| !b.is_excluded());
+        let (sum, n) = serving.fold((0.0, 0u32), |(s, n), b| (s + b.failure_share(), n + 1));
+        n > 0 && sum / f64::from(n) < MAX_POOL_FAILURE_SHARE
     }
 }
 
--- a/crates/request/src/router/lease.rs
+++ b/crates/request/src/router/lease.rs
@@ -4,13 +4,13 @@
 use thistle_model::rendezvous::weight;
 
 use super::{PoolKey, Router, VmKey};
-use crate::breaker::Standing;
+use crate::breaker::Availability;
 use crate::slot_home::{SLOT_LEASE, SlotGrant, SlotWant};
 
 /// The minimum number of idle slots of a pool that an entry keeps.
-const MIN_SPARE: u32 = 2;
+const MIN_IDLE_SLOTS: u32 = 2;
 /// The number of idle slots kept is the number of slots in use divided by this, if larger.
-const SPARE_PART: u32 = 4;
+const IDLE_DIVISOR: u32 = 4;
 
 impl Router {
     /// Returns the slot requests to the homes of all VMs.
@@ -19,7 +19,7 @@
     /// entries never use the same slot.
     pub fn slot_wants(&mut self, now: Instant) -> Vec<SlotWant> {
         let pools: Vec<_> = self.pools.keys().collect();
-        pools.into_iter().flat_map(|key| self.pool_wants(key, now)).collect()
+        pools.into_iter().flat_map(|key| self.pool_slot_wants(key, now)).collect()
     }
 
     /// Returns whether requests wait in any pool, so that slots should be requested immediately.
@@ -37,23 +37,23 @@
         vm.free_hint = grant.free;
     }
 
-    fn pool_wants(&mut self, pool: PoolKey, now: Instant) -> Vec<SlotWant> {
-        let order = self.order_of(pool, now);
+    fn pool_slot_wants(&mut self, pool: PoolKey, now: Instant) -> Vec<SlotWant> {
+        let order = self.usable_vms(pool, now);
         let mut targets: Vec<u16> = order.iter().map(|&key| self.vms[key].in_flight).collect();
         let used: u32 = targets.iter().map(|&w| u32::from(w)).sum();
         let waiting = u32::try_from(self.pools[pool].queue.len()).unwrap_or(u32::MAX);
-        let mut extra = waiting.saturating_add(MIN_SPARE.max(used / SPARE_PART));
+        let mut extra = waiting.saturating_add(MIN_IDLE_SLOTS.max(used / IDLE_DIVISOR));
         self.keep_leased(&order, &mut targets, &mut extra, now);
-        self.ask_more(&order, &mut targets, &mut extra);
-        let wants = order.iter().zip(targets).map(|(&key, want)| self.want(key, want, now));
+        self.request_more(&order, &mut targets, &mut extra);
+        let wants = order.iter().zip(targets).map(|(&key, want)| self.slot_want(key, want, now));
         wants.collect::<Vec<_>>().into_iter().flatten().collect()
     }
 
     /// Returns the pool's usable VMs in an order specific to this entry, VMs with free slots first.
-    fn order_of(&self, pool: PoolKey, now: Instant) -> Vec<VmKey> {
+    fn usable_vms(&self, pool: PoolKey, now: Instant) -> Vec<VmKey> {
         let usable = |key: &VmKey| {
             let vm = &self.vms[*key];
-            vm.is_sendable() && vm.breaker.standing(now) != Standing::Aside
+            vm.is_sendable() && vm.breaker.availability(now) != Availability::Excluded
         };
         let mut order: Vec<_> = self.pools[pool].vms.iter().copied().filter(usable).collect();
         order.sort_by_cached_key(|&key| {
@@ -73,7 +73,7 @@
     }
 
     /// Distributes the remaining `extra` slots over the VMs, one slot per VM and round.
-    fn ask_more(&self, order: &[VmKey], targets: &mut [u16], extra: &mut u32) {
+    fn request_more(&self, order: &[VmKey], targets: &mut [u16], extra: &mut u32) {
         while *extra > 0 {
             let before = *extra;
             for (target, &key) in targets.iter_mut().zip(order) {
@@ -88,7 +88,7 @@
         }
     }
 
-    fn want(&mut self, key: VmKey, want: u16, now: Instant) -> Option<SlotWant> {
+    fn slot_want(&mut self, key: VmKey, want: u16, now: Instant) -> Option<SlotWant> {
         let vm = &mut self.vms[key];
         let unexpired = if now < vm.lease_until { vm.leased } else { 0 };
         vm.leased = unexpired.min(want);
--- a/crates/request/src/router/mod.rs
+++ b/crates/request/src/router/mod.rs
@@ -17,8 +17,8 @@
 pub use load::{PoolKey, PoolLoad, VmKey, VmLoad};
 pub use view::DrainAck;
 
-use crate::admit::{AdmitPolicy, Push, Ticket};
-use crate::breaker::{SendResult, Standing};
+use crate::admit::{AdmitPolicy, PushResult, Ticket};
+use crate::breaker::{Availability, SendResult};
 use crate::exchange::Pending;
 use crate::retry::RetryBudget;
 
@@ -54,7 +54,7 @@
     /// The maximum number of requests that wait in one pool.
     pub max_queue: usize,
     /// The maximum share of a pool's VMs that errors may exclude, in percent.
-    pub max_aside_percent: u32,
+    pub max_excluded_percent: u32,
     /// The maximum number of sends of one request.
     pub max_sends: u32,
     /// A seed specific to this entry, for its random choices and its order of VMs.
@@ -68,7 +68,7 @@
             admit: AdmitPolicy::Deadline,
             retry: RetryPolicy::Budget(8),
             max_queue: 1_024,
-            max_aside_percent: 30,
+            max_excluded_percent: 30,
             max_sends: MAX_SENDS,
             seed: 1,
         }
@@ -84,7 +84,7 @@
 
 /// The properties of a request that the router needs.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct RouteRequest {
     /// The ticket of the request.
     pub ticket: Ticket,
     /// The pool.
@@ -96,14 +96,14 @@
     /// Whether the request may be repeated, so that it may serve as a VM's trial request.
     pub repeatable: bool,
     /// The VMs on which the request failed before.
-    pub avoid: Avoid,
+    pub failed_vms: FailedVms,
 }
 
 /// The VMs on which the last few sends of a request failed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Avoid([Option<VmKey>; MAX_SENDS as usize]);
+pub struct FailedVms([Option<VmKey>; MAX_SENDS as usize]);
 
-impl Avoid {
+impl FailedVms {
     /// Adds a VM.
     pub fn add(&mut self, vm: VmKey) {
         self.0.rotate_right(1);
@@ -144,7 +144,7 @@
     pool_keys: HashMap<PoolName, PoolKey>,
     vms: SlotMap<VmKey, VmLoad>,
     vm_keys: HashMap<VmName, VmKey>,
-    asks: HashMap<Ticket, Ask>,
+    waiting: HashMap<Ticket, RouteRequest>,
     budget: RetryBudget,
     rng: SmallRng,
     proof_until: Instant,
@@ -164,7 +164,7 @@
             pool_keys: HashMap::new(),
             vms: SlotMap::with_key(),
             vm_keys: HashMap::new(),
-            asks: HashMap::new(),
+            waiting: HashMap::new(),
             budget,
             rng,
             proof_until: Instant::default(),
@@ -210,31 +210,36 @@
     /// Returns the number of requests that are waiting or in flight.
     pub fn in_flight(&self) -> usize {
         let sent: usize = self.vms.values().map(|vm| usize::from(vm.in_flight)).sum();
-        sent + self.asks.len()
+        sent + self.waiting.len()
     }
 
     /// Decides on a new request.
-    pub fn submit(&mut self, request: Ask, now: Instant) -> Decision {
-        self.budget.on_send();
-        self.place(request, now)
+    pub fn submit(&mut self, request: RouteRequest, now: Instant) -> Decision {
+        self.budget.record_first_send();
+        self.route(request, now)
     }
 
     /// Decides on a request whose send failed; returns `None` if it may not be sent again.
     ///
     /// Only a request that may have run takes from the retry budget: a retry of one that did not run
     /// adds no load.
-    pub fn resubmit(&mut self, request: Ask, state: &Pending, now: Instant) -> Option<Decision> {
+    pub fn resubmit(
+        &mut self,
+        request: RouteRequest,
+        state: &Pending,
+        now: Instant,
+    ) -> Option<Decision> {
         if state.sends() >= self.cfg.max_sends || now >= request.deadline {
             return None;
         }
         let allowed = match (self.cfg.retry, state) {
             (RetryPolicy::Always, _) | (_, Pending::Unsent(_)) => true,
-            (RetryPolicy::Budget(_), Pending::Repeated(_)) => self.budget.take(now),
+            (RetryPolicy::Budget(_), Pending::Repeated(_)) => self.budget.try_take(now),
         };
-        allowed.then(|| self.place(request, now))
+        allowed.then(|| self.route(request, now))
     }
 
-    fn place(&mut self, request: Ask, now: Instant) -> Decision {
+    fn route(&mut self, request: RouteRequest, now: Instant) -> Decision {
         if now >= request.deadline {
             return Decision::Refuse(RefusalReason::Deadline, MIN_RETRY_AFTER);
         }
@@ -245,15 +250,15 @@
         if queued == 0
             && let Some(vm) = self.choose(&request, now)
         {
-            self.begin(vm, now);
+            self.start_send(vm, now);
             return Decision::Send(vm);
         }
         self.enqueue(request, now)
     }
 
-    fn enqueue(&mut self, request: Ask, now: Instant) -> Decision {
+    fn enqueue(&mut self, request: RouteRequest, now: Instant) -> Decision {
         let slots = self.slots_for(request.pool, now);
-        let can_serve = self.has_vm(request.pool);
+        let can_serve = self.has_sendable_vm(request.pool);
         let Some(pool) = self.pools.get_mut(request.pool) else {
             return Decision::Refuse(RefusalReason::NoSuchService, MIN_RETRY_AFTER);
         };
@@ -262,17 +267,17 @@
         }
         let wait = pool.queue.expected_wait(request.tier, slots).max(MIN_RETRY_AFTER);
         match pool.queue.push(request.ticket, request.tier, request.deadline, slots, now) {
-            Push::Refused => return Decision::Refuse(RefusalReason::Overload, wait),
-            Push::Queued => {}
-            Push::Displaced(ticket) => pool.displaced.push(ticket),
+            PushResult::Refused => return Decision::Refuse(RefusalReason::Overload, wait),
+            PushResult::Queued => {}
+            PushResult::Displaced(ticket) => pool.displaced.push(ticket),
         }
-        self.asks.insert(request.ticket, request);
+        self.waiting.insert(request.ticket, request);
         Decision::Wait
     }
 
     /// Removes a waiting request whose caller no longer waits.
     pub fn cancel(&mut self, ticket: Ticket) {
-        let Some(request) = self.asks.remove(&ticket) else {
+        let Some(request) = self.waiting.remove(&ticket) else {
             return;
         };
         if let Some(pool) = self.pools.get_mut(request.pool) {
@@ -292,16 +297,16 @@
             return Vec::new();
         };
         let pool = vm.pool;
-        let may_set_aside = self.may_set_aside(key, result);
+        let may_exclude = self.may_exclude(key, result);
         let vm = &mut self.vms[key];
         vm.in_flight = vm.in_flight.saturating_sub(1);
-        vm.breaker.on_result(result, may_set_aside, now);
-        if result == SendResult::Good
+        vm.breaker.record_result(result, may_exclude, now);
+        if result == SendResult::Success
             && let Some(pool) = self.pools.get_mut(pool)
         {
-            pool.queue.on_service(took);
+            pool.queue.record_service_time(took);
         }
-        self.forget_idle(key);
+        self.remove_unused(key);
         self.dispatch(pool, now)
     }
 
@@ -323,7 +328,7 @@
             wakes.push(wake);
         }
         for ticket in late {
-            self.asks.remove(&ticket);
+            self.waiting.remove(&ticket);
             let retry_after = self.retry_after(key, now);
             let decision = Decision::Refuse(RefusalReason::Overload, retry_after);
             wakes.push(Wake { ticket, decision });
@@ -336,18 +341,18 @@
         if pool.queue.is_empty() || now >= self.proof_until {
             return None;
         }
-        let any_request = Ask {
+        let any_request = RouteRequest {
             ticket: Ticket(0),
             pool: key,
             tier: Tier::Bronze,
             deadline: now,
             repeatable: false,
-            avoid: Avoid::default(),
+            failed_vms: FailedVms::default(),
         };
         let vm = self.choose(&any_request, now)?;
         let ticket = self.pools.get_mut(key)?.queue.pop(now, late)?;
-        self.asks.remove(&ticket);
-        self.begin(vm, now);
+        self.waiting.remove(&ticket);
+        self.start_send(vm, now);
         Some(Wake { ticket, decision: Decision::Send(vm) })
     }
 
@@ -357,10 +362,10 @@
         wait.unwrap_or_default().max(MIN_RETRY_AFTER)
     }
 
-    fn begin(&mut self, key: VmKey, now: Instant) {
+    fn start_send(&mut self, key: VmKey, now: Instant) {
         let vm = &mut self.vms[key];
         vm.in_flight += 1;
-        if vm.breaker.standing(now) == Standing::Trial {
+        if vm.breaker.availability(now) == Availability::Trial {
             vm.breaker.begin_trial();
         }
     }
--- a/crates/request/src/router/view.rs
+++ b/crates/request/src/router/view.rs
@@ -26,7 +26,7 @@
         }
         self.set_leaving(&update.leaving);
         let idle: Vec<_> = self.vms.keys().collect();
-        idle.into_iter().for_each(|key| self.forget_idle(key));
+        idle.into_iter().for_each(|key| self.remove_unused(key));
     }
 
     /// Sets the VMs that are known to be leaving before the log records it.
@@ -45,17 +45,17 @@
     }
 
     fn apply_pool(&mut self, view: &ViewPool) {
-        let key = self.pool_for(view);
+        let key = self.upsert_pool(view);
         self.clear_pool(key);
         for vm in &view.vms {
-            self.put_vm(key, vm);
+            self.upsert_vm(key, vm);
         }
         for drain in &view.drains {
-            self.put_drain(key, &drain.name, drain.revision);
+            self.record_drain(key, &drain.name, drain.revision);
         }
     }
 
-    fn pool_for(&mut self, view: &ViewPool) -> PoolKey {
+    fn upsert_pool(&mut self, view: &ViewPool) -> PoolKey {
         if let Some(&key) = self.pool_keys.get(&view.name) {
             let pool = &mut self.pools[key];
             pool.tier = view.tier;
@@ -85,7 +85,7 @@
         }
     }
 
-    fn put_vm(&mut self, pool: PoolKey, view: &ViewVm) {
+    fn upsert_vm(&mut self, pool: PoolKey, view: &ViewVm) {
         let key = match self.vm_keys.get(&view.name) {
             Some(&key) => key,
             None => self.insert_vm(VmLoad::new(view.name.clone(), view.facts.clone(), pool)),
@@ -103,11 +103,11 @@
 
     /// Records a drain. A VM that this entry never knew is added, as its drain can be acknowledged
     /// too: no requests are in flight there.
-    fn put_drain(&mut self, pool: PoolKey, name: &VmName, revision: Revision) {
+    fn record_drain(&mut self, pool: PoolKey, name: &VmName, revision: Revision) {
         let key = match self.vm_keys.get(name) {
             Some(&key) => key,
             None => {
-                let facts = unknown_facts();
+                let facts = placeholder_facts();
                 self.insert_vm(VmLoad::new(name.clone(), facts, pool))
             }
         };
@@ -126,7 +126,7 @@
     }
 
     /// Removes a VM that is in no pool and has no requests in flight.
-    pub(super) fn forget_idle(&mut self, key: VmKey) {
+    pub(super) fn remove_unused(&mut self, key: VmKey) {
         let Some(vm) = self.vms.get(key) else { return };
         let listed = self.pools.get(vm.pool).is_some_and(|p| p.vms.contains(&key));
         if vm.in_flight > 0 || listed {
@@ -139,7 +139,7 @@
 }
 
 /// Returns placeholder facts for a VM known only from its drain; no requests are sent to the VM.
-fn unknown_facts() -> thistle_model::VmFacts {
+fn placeholder_facts() -> thistle_model::VmFacts {
     let hall = thistle_model::HallName::new("unknown").expect("a constant name is valid");
     let rack = thistle_model::RackName::new("unknown").expect("a constant name is valid");
     let addr = std::net::SocketAddr::from(([0, 0, 0, 0], 0));
--- a/crates/request/src/slot_home.rs
+++ b/crates/request/src/slot_home.rs
@@ -89,7 +89,7 @@
     ) -> Option<SlotGrant> {
         let vm = self.vms.get_mut(&want.vm)?;
         vm.leases.retain(|_, l| l.expires > now);
-        let free = slots.saturating_sub(vm.taken_by_others(from));
+        let free = slots.saturating_sub(vm.held_by_others(from));
         let share = vm.fair_share(from, want.want, slots).min(free);
         let target = if now < vm.open_at { 0 } else { share };
         let granted = target.max(want.held.min(free));
@@ -99,7 +99,7 @@
 }
 
 impl HomedVm {
-    fn taken_by_others(&self, from: MemberId) -> u16 {
+    fn held_by_others(&self, from: MemberId) -> u16 {
         let others = self.leases.iter().filter(|(id, _)| **id != from);
         others.map(|(_, l)| l.slots).sum()
     }
--- a/crates/request/tests/claims.rs
+++ b/crates/request/tests/claims.rs
@@ -14,9 +14,9 @@
     Change, HallName, MemberFacts, MemberId, Name, Offset, Record, RecordId, Revision,
 };
 use thistle_request::claim::{
-    AttemptId, Claim, ClaimReply, ClaimTable, KeptAnswer, KeyedClaim, Standing, Tally,
+    AttemptId, Claim, ClaimReply, ClaimState, ClaimTable, KeptAnswer, KeyedClaim, Tally,
 };
-use thistle_request::key::{ClaimKey, KeyAge, judge_age};
+use thistle_request::key::{ClaimKey, KeyAge, classify_age};
 
 const NODES: usize = 7;
 const FIRST_VOTERS: usize = 3;
@@ -195,14 +195,14 @@
             return;
         }
         let (from, reply) = attempt.replies.swap_remove(pick % attempt.replies.len());
-        attempt.tally.on_reply(id(from), reply.filter(|_| !lost));
-        match attempt.tally.standing() {
-            Standing::Pending => {}
-            Standing::Won => {
+        attempt.tally.record_reply(id(from), reply.filter(|_| !lost));
+        match attempt.tally.state() {
+            ClaimState::Pending => {}
+            ClaimState::Won => {
                 attempt.ended = true;
                 *self.runs.entry(attempt.key).or_default() += 1;
             }
-            Standing::Held(_) | Standing::Lost => {
+            ClaimState::Held(_) | ClaimState::NoQuorum => {
                 attempt.ended = true;
                 let key = ClaimKey(u128::from(attempt.key));
                 let claim = attempt.claim.attempt;
@@ -356,12 +356,12 @@
     let created = 1_793_520_000_000u64;
     let hex = format!("{created:012x}");
     let key = format!("{}-{}-7000-8000-000000000000", &hex[..8], &hex[8..]);
-    expect_that!(judge_age(&key, created + 1_000, KEEP, 0), eq(KeyAge::Fresh));
-    expect_that!(judge_age(&key, created + 3_601_000, KEEP, 0), eq(KeyAge::TooOld));
-    expect_that!(judge_age(&key, created + 1_000, KEEP, created + 500), eq(KeyAge::TooOld));
-    expect_that!(judge_age(&key, created - 120_000, KEEP, 0), eq(KeyAge::Ahead));
-    expect_that!(judge_age("opaque", created, KEEP, 0), eq(KeyAge::Fresh));
-    expect_that!(judge_age("opaque", created, KEEP, created - 1), eq(KeyAge::TooOld));
+    expect_that!(classify_age(&key, created + 1_000, KEEP, 0), eq(KeyAge::Fresh));
+    expect_that!(classify_age(&key, created + 3_601_000, KEEP, 0), eq(KeyAge::TooOld));
+    expect_that!(classify_age(&key, created + 1_000, KEEP, created + 500), eq(KeyAge::TooOld));
+    expect_that!(classify_age(&key, created - 120_000, KEEP, 0), eq(KeyAge::InFuture));
+    expect_that!(classify_age("opaque", created, KEEP, 0), eq(KeyAge::Fresh));
+    expect_that!(classify_age("opaque", created, KEEP, created - 1), eq(KeyAge::TooOld));
 }
 
 /// Guards against a merge that keeps only the first claim on a key: the claim of a failed attempt
--- a/crates/request/tests/gate.rs
+++ b/crates/request/tests/gate.rs
@@ -70,7 +70,7 @@
     WriteFailedBeforeAnyByte,
     WriteFailedAfterSome,
     Reset,
-    Silence,
+    NoResponse,
     BackendRefused,
 }
 
@@ -81,14 +81,14 @@
         Self::WriteFailedBeforeAnyByte,
         Self::WriteFailedAfterSome,
         Self::Reset,
-        Self::Silence,
+        Self::NoResponse,
         Self::BackendRefused,
     ];
 
     fn bytes_went_out(self) -> bool {
         matches!(
             self,
-            Self::WriteFailedAfterSome | Self::Reset | Self::Silence | Self::BackendRefused
+            Self::WriteFailedAfterSome | Self::Reset | Self::NoResponse | Self::BackendRefused
         )
     }
 
@@ -114,7 +114,7 @@
         let mut may_have_run = false;
         for end in ends.into_iter().map(|i| End::ALL[i]) {
             let gate = SendGate::new(NEVER);
-            let sent = pending.hand_over();
+            let sent = pending.start_send();
             if end.bytes_went_out() {
                 gate.pass(Instant::default());
             }
@@ -124,9 +124,9 @@
                 pending = sent.refused_by_backend(&statement);
                 continue;
             }
-            pending = match sent.take_back(&gate) {
+            pending = match sent.confirm_unsent(&gate) {
                 Ok(pending) => pending,
-                Err(sent) => sent.repeat(),
+                Err(sent) => sent.into_repeated(),
             };
         }
         let refusal = pending.refuse(RefusalReason::Broken, Duration::ZERO);
--- a/crates/request/tests/router.rs
+++ b/crates/request/tests/router.rs
@@ -11,7 +11,9 @@
 };
 use thistle_request::admit::Ticket;
 use thistle_request::breaker::SendResult;
-use thistle_request::router::{Ask, Avoid, Decision, Router, RouterConfig, VmKey, Wake};
+use thistle_request::router::{
+    Decision, FailedVms, RouteRequest, Router, RouterConfig, VmKey, Wake,
+};
 use thistle_request::slot_home::SlotGrant;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -68,9 +70,16 @@
     router.apply_grant(&SlotGrant { vm: vm(i), slots, share: slots, free: 0 }, asked);
 }
 
-fn ask(router: &Router, ticket: u64, tier: Tier, deadline: Instant) -> Ask {
+fn ask(router: &Router, ticket: u64, tier: Tier, deadline: Instant) -> RouteRequest {
     let pool = router.pool_key("pool").unwrap();
-    Ask { ticket: Ticket(ticket), pool, tier, deadline, repeatable: true, avoid: Avoid::default() }
+    RouteRequest {
+        ticket: Ticket(ticket),
+        pool,
+        tier,
+        deadline,
+        repeatable: true,
+        failed_vms: FailedVms::default(),
+    }
 }
 
 fn submit(router: &mut Router, ticket: u64, tier: Tier, deadline_ms: u64) -> Decision {
@@ -120,7 +129,7 @@
     let first = sent_to(submit(&mut router, 1, Tier::Gold, 1_000));
     // The mean service time becomes 200 ms; a second request then occupies the only slot.
     for n in 0..100 {
-        router.finish(first, SendResult::Good, SECOND / 5, at(0));
+        router.finish(first, SendResult::Success, SECOND / 5, at(0));
         sent_to(submit(&mut router, 2 + n, Tier::Gold, 1_000));
     }
     let decision = submit(&mut router, 500, Tier::Gold, 300);
@@ -161,7 +170,7 @@
     expect_that!(router.acks(), is_empty());
     let next = submit(&mut router, 2, Tier::Gold, 1_000);
     expect_that!(next, matches_pattern!(Decision::Refuse(eq(RefusalReason::NoVm), anything())));
-    router.finish(key, SendResult::Good, SECOND / 100, at(10));
+    router.finish(key, SendResult::Success, SECOND / 100, at(10));
     let acks: Vec<_> = router.acks().into_iter().map(|a| (a.vm, a.revision)).collect();
     expect_that!(acks, elements_are![eq(&(vm(0), Revision(9)))]);
 }
@@ -180,16 +189,16 @@
 fn failing_vm_is_excluded_and_readmitted_after_a_trial() {
     let mut router = router(4, 8, 10);
     let bad = sent_to(submit(&mut router, 0, Tier::Gold, 1_000));
-    router.finish(bad, SendResult::NoConnect, Duration::ZERO, at(0));
+    router.finish(bad, SendResult::ConnectFailed, Duration::ZERO, at(0));
     for n in 1..20 {
         let key = sent_to(submit(&mut router, n, Tier::Gold, 1_000));
         expect_that!(key, not(eq(bad)));
-        router.finish(key, SendResult::Good, SECOND / 100, at(0));
+        router.finish(key, SendResult::Success, SECOND / 100, at(0));
     }
     let later = ask(&router, 50, Tier::Gold, at(5_000));
     expect_that!(router.submit(later, at(1_500)), eq(Decision::Send(bad)));
     let meanwhile = ask(&router, 51, Tier::Gold, at(5_000));
     expect_that!(router.submit(meanwhile, at(1_500)), not(eq(Decision::Send(bad))));
-    router.finish(bad, SendResult::Good, SECOND / 100, at(1_600));
-    expect_that!(router.vm(bad).unwrap().breaker.is_aside(), eq(false));
+    router.finish(bad, SendResult::Success, SECOND / 100, at(1_600));
+    expect_that!(router.vm(bad).unwrap().breaker.is_excluded(), eq(false));
 }
