--- a/crates/entry/src/backend.rs
+++ b/crates/entry/src/backend.rs
@@ -1,4 +1,5 @@
-//! HTTP exchanges with backend servers: one request and its complete answer per connection at a time.
+//! HTTP exchanges with backend servers: one request and its complete answer per connection at a
+//! time.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -95,8 +96,8 @@
         Ok(answer)
     }
 
-    /// Sends a request on an idle connection, or on a new one if the idle connection turns out to be
-    /// closed and returns the request unsent.
+    /// Sends a request on an idle connection, or on a new one if the idle connection turns out to
+    /// be closed and returns the request unsent.
     async fn send_on_idle(
         &self,
         plan: &ExchangePlan,
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -55,7 +55,8 @@
         .header_read_timeout(HEADER_TIMEOUT)
         .max_buf_size(max_headers)
         .serve_connection(TokioIo::new(stream), respond);
-    // A caller that disconnects is not an error; requests that are not repeatable run to completion.
+    // A caller that disconnects is not an error; requests that are not repeatable run to
+    // completion.
     let _ = conn.await;
 }
 
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -18,7 +18,7 @@
 
 use crate::backend::Backends;
 
-/// The members and voters as last reported by the steward.
+/// The state of the link to the steward: what the steward last reported, and what to report to it.
 #[derive(Debug)]
 pub struct LinkState {
     /// The member on whose behalf this entry acts.
@@ -152,14 +152,14 @@
     /// Sends the router's decisions to the requests that wait for them.
     pub fn wake(self: &Arc<Self>, wakes: Vec<Wake>) {
         for wake in wakes {
-            let woken = match wake.decision {
+            let wait_result = match wake.decision {
                 Decision::Send(vm) => WaitResult::Send(InFlight::new(self.clone(), vm)),
                 Decision::Refuse(reason, after) => WaitResult::Refuse(reason, after),
                 Decision::Wait => continue,
             };
             let waiter = lock(&self.waiters).remove(&wake.ticket);
             // If the caller has disconnected, the guard is dropped, which frees the slot.
-            let _ = waiter.map(|tx| tx.send(woken));
+            let _ = waiter.map(|tx| tx.send(wait_result));
         }
     }
 }
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -95,14 +95,14 @@
         }
         return Err(unsent.refuse(RefusalReason::NoSuchService, RETRY_AFTER));
     };
-    let longest = Duration::from_millis(u64::from(service.deadline_ms));
-    let deadline = now + req.deadline.unwrap_or(longest);
+    let default_deadline = Duration::from_millis(u64::from(service.deadline_ms));
+    let deadline = now + req.deadline.unwrap_or(default_deadline);
     let repeatable = is_repeatable(&req, &service);
     let tier = service.tier.unwrap_or(tier);
-    let ask =
+    let route_request =
         RouteRequest { ticket, pool, tier, deadline, repeatable, failed_vms: FailedVms::default() };
     let claimant = new_claimant(cx, &req, repeatable, unsent)?;
-    Ok(Forward { cx: cx.clone(), id: id.to_owned(), req, service, route_request: ask, claimant })
+    Ok(Forward { cx: cx.clone(), id: id.to_owned(), req, service, route_request, claimant })
 }
 
 fn find_service(cx: &Context, req: &CallerRequest) -> Option<(PoolKey, Tier, Service)> {
@@ -116,11 +116,11 @@
 /// Returns whether a request may be run twice, as set by the caller, else by the service, else by
 /// whether the method is idempotent (RFC 9110, section 9.2.2).
 fn is_repeatable(req: &CallerRequest, service: &Service) -> bool {
-    let by_method = matches!(
+    let idempotent_method = matches!(
         req.method,
         Method::GET | Method::HEAD | Method::OPTIONS | Method::PUT | Method::DELETE
     );
-    req.repeatable.unwrap_or(service.repeatable || by_method)
+    req.repeatable.unwrap_or(service.repeatable || idempotent_method)
 }
 
 /// Creates the claim that a request needs, if any; refuses keys so old that their claim may have
@@ -162,7 +162,8 @@
 impl Forward {
     async fn run(mut self) -> Result<Reply, Refusal> {
         let pending = Pending::Unsent(Unsent::new());
-        let (decision, waiter) = self.decide(|router, ask, now| Some(router.submit(ask, now)));
+        let (decision, waiter) =
+            self.decide(|router, request, now| Some(router.submit(request, now)));
         let (pending, mut in_flight) = self.wait_for_vm(pending, decision, waiter).await?;
         let mut pending = match self.claim(pending).await? {
             ClaimResult::Won(pending) => pending,
@@ -178,7 +179,7 @@
             };
             self.route_request.failed_vms.add(vm);
             let (decision, waiter) =
-                self.decide(|router, ask, now| router.resubmit(ask, &restored, now));
+                self.decide(|router, request, now| router.resubmit(request, &restored, now));
             if decision.is_none() {
                 return match last {
                     Ok(answer) => Ok(self.answered(answer)),
@@ -192,8 +193,8 @@
         }
     }
 
-    /// Gets the router's decision. A request that must wait is registered under the same lock, so that
-    /// no wake is missed.
+    /// Gets the router's decision. A request that must wait is registered under the same lock, so
+    /// that no wake is missed.
     fn decide(
         &self,
         decide: impl FnOnce(&mut Router, RouteRequest, Instant) -> Option<Decision>,
@@ -230,8 +231,8 @@
         waiter: oneshot::Receiver<WaitResult>,
     ) -> Result<(Pending, InFlight), Refusal> {
         self.cx.renew_slots_now.notify_one();
-        let left = self.route_request.deadline.since(Instant::now());
-        match tokio::time::timeout(left, waiter).await {
+        let remaining = self.route_request.deadline.since(Instant::now());
+        match tokio::time::timeout(remaining, waiter).await {
             Ok(Ok(WaitResult::Send(in_flight))) => Ok((pending, in_flight)),
             Ok(Ok(WaitResult::Refuse(reason, after))) => {
                 Err(self.refuse(pending, reason, after, String::new()))
--- a/crates/entry/src/sending.rs
+++ b/crates/entry/src/sending.rs
@@ -46,9 +46,9 @@
         };
         let req = self.backend_request();
         let sent = pending.start_send();
-        let left = self.route_request.deadline.since(Instant::now());
+        let remaining = self.route_request.deadline.since(Instant::now());
         let exchange = self.cx.backends.exchange(&plan, req);
-        let result = match tokio::time::timeout(left, exchange).await {
+        let result = match tokio::time::timeout(remaining, exchange).await {
             Ok(Ok(answer)) => self.check_answer(answer),
             Ok(Err(e)) => Err(e),
             Err(_) => Err(ExchangeError {
@@ -88,16 +88,16 @@
         if let Ok(id) = HeaderValue::from_str(&self.id) {
             req.headers_mut().insert(REQUEST_ID, id);
         }
-        let left = self.route_request.deadline.since(Instant::now()).as_millis();
-        let left = u64::try_from(left).unwrap_or(u64::MAX);
-        req.headers_mut().insert(DEADLINE, HeaderValue::from(left));
+        let remaining = self.route_request.deadline.since(Instant::now()).as_millis();
+        let remaining = u64::try_from(remaining).unwrap_or(u64::MAX);
+        req.headers_mut().insert(DEADLINE, HeaderValue::from(remaining));
         req
     }
 
     /// Checks that an answer belongs to this request.
     fn check_answer(&self, answer: Answer) -> Result<Answer, ExchangeError> {
-        let named = answer.parts.headers.get(REQUEST_ID);
-        let is_ours = named.map(|id| id.as_bytes() == self.id.as_bytes());
+        let echoed_id = answer.parts.headers.get(REQUEST_ID);
+        let is_ours = echoed_id.map(|id| id.as_bytes() == self.id.as_bytes());
         if is_ours.unwrap_or(!self.service.echoes_request_id) {
             return Ok(answer);
         }
@@ -132,7 +132,7 @@
         e: ExchangeError,
         in_flight: InFlight,
     ) -> SendOutcome {
-        let late = e.reason == RefusalReason::Deadline;
+        let timed_out = e.reason == RefusalReason::Deadline;
         in_flight.finish(match e.reason {
             RefusalReason::Connect => SendResult::ConnectFailed,
             // A caller's deadline below that of the service says nothing about the VM's health.
@@ -140,15 +140,16 @@
             _ => SendResult::Failure,
         });
         match sent.confirm_unsent(gate) {
-            Ok(restored) if late => {
+            Ok(restored) if timed_out => {
                 SendOutcome::Refused(self.refuse(restored, e.reason, RETRY_AFTER, e.detail))
             }
             Ok(restored) => {
-                let lapsed = Instant::now() >= self.cx.router().proof_until();
-                let reason = if lapsed { RefusalReason::NoProof } else { RefusalReason::Connect };
+                let proof_expired = Instant::now() >= self.cx.router().proof_until();
+                let reason =
+                    if proof_expired { RefusalReason::NoProof } else { RefusalReason::Connect };
                 SendOutcome::Retry(restored, reason, e.detail)
             }
-            Err(sent) if self.route_request.repeatable && !late => {
+            Err(sent) if self.route_request.repeatable && !timed_out => {
                 SendOutcome::Retry(sent.into_repeated(), e.reason, e.detail)
             }
             Err(sent) => {
@@ -160,8 +161,8 @@
     }
 
     fn has_short_deadline(&self) -> bool {
-        let own = Duration::from_millis(u64::from(self.service.deadline_ms));
-        self.req.deadline.is_some_and(|d| d < own)
+        let service_deadline = Duration::from_millis(u64::from(self.service.deadline_ms));
+        self.req.deadline.is_some_and(|d| d < service_deadline)
     }
 
     fn record_leaving(&self, key: VmKey) {
--- a/crates/entry/src/slots.rs
+++ b/crates/entry/src/slots.rs
@@ -28,10 +28,10 @@
 pub async fn run(cx: Arc<Context>) {
     let mut unresponsive: HashMap<SocketAddr, Instant> = HashMap::new();
     loop {
-        let short = cx.router().is_short_of_slots();
-        let pause = if short { SHORT_RENEW_INTERVAL } else { RENEW_INTERVAL };
-        // The pause ends early when a request starts to wait.
-        let _ = tokio::time::timeout(pause, cx.renew_slots_now.notified()).await;
+        let is_short = cx.router().is_short_of_slots();
+        let interval = if is_short { SHORT_RENEW_INTERVAL } else { RENEW_INTERVAL };
+        // The wait ends early when a request starts to wait.
+        let _ = tokio::time::timeout(interval, cx.renew_slots_now.notified()).await;
         renew_all(&cx, &mut unresponsive).await;
     }
 }
--- a/crates/entry/src/steward_link.rs
+++ b/crates/entry/src/steward_link.rs
@@ -30,7 +30,8 @@
     let mut position = ViewPosition::default();
     loop {
         let pending_reply = call(&cx, &line, &position);
-        // A report that is due, such as a completed drain, cancels the pending call and starts a new one.
+        // A report that is due, such as a completed drain, cancels the pending call and starts a
+        // new one.
         let reply = tokio::select! {
             reply = pending_reply => reply,
             () = cx.report_now.notified() => continue,
--- a/crates/request/src/admit.rs
+++ b/crates/request/src/admit.rs
@@ -1,4 +1,5 @@
-//! Admission control: a queue ordered by tier that refuses requests that cannot meet their deadline.
+//! Admission control: a queue ordered by tier that refuses requests that cannot meet their
+//! deadline.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -84,9 +85,9 @@
 
     /// Records how long a VM took to answer a request.
     pub fn record_service_time(&mut self, took: Duration) {
-        let off = took.as_secs_f64() - self.mean_service_time;
-        self.mean_service_time += off / SMOOTHING;
-        self.mean_deviation += (off.abs() - self.mean_deviation) / SMOOTHING;
+        let deviation = took.as_secs_f64() - self.mean_service_time;
+        self.mean_service_time += deviation / SMOOTHING;
+        self.mean_deviation += (deviation.abs() - self.mean_deviation) / SMOOTHING;
     }
 
     /// Returns the expected wait of a new request of `tier` when `slots` slots serve the queue.
@@ -109,12 +110,12 @@
         if now >= deadline || !self.can_meet_deadline(tier, deadline, slots, now) {
             return PushResult::Refused;
         }
-        let displaced = match self.make_room(tier) {
-            Ok(displaced) => displaced,
+        let evicted = match self.make_room(tier) {
+            Ok(evicted) => evicted,
             Err(Full) => return PushResult::Refused,
         };
         self.waiting.insert((tier, ticket), Waiting { deadline });
-        displaced.map_or(PushResult::Queued, PushResult::Displaced)
+        evicted.map_or(PushResult::Queued, PushResult::Displaced)
     }
 
     /// Removes a request from the queue.
@@ -148,7 +149,8 @@
 
     /// Returns a service time that most requests stay below.
     ///
-    /// Service times vary widely around their mean, and a run that ends after its deadline is wasted.
+    /// Service times vary widely around their mean, and a run that ends after its deadline is
+    /// wasted.
     fn conservative_service_time(&self) -> Duration {
         Duration::from_secs_f64(self.mean_service_time + DEVIATION_FACTOR * self.mean_deviation)
     }
--- a/crates/request/src/breaker.rs
+++ b/crates/request/src/breaker.rs
@@ -81,7 +81,7 @@
         self.trial_in_flight = true;
     }
 
-    /// Records a result; `may_set_aside` is false if too many VMs of the pool are already excluded
+    /// Records a result; `may_exclude` is false if too many VMs of the pool are already excluded
     /// or the whole pool fails in the same way.
     pub fn record_result(&mut self, result: SendResult, may_exclude: bool, now: Instant) {
         let failed = match result {
@@ -108,8 +108,8 @@
     }
 
     fn is_failing(&self) -> bool {
-        let judged = self.results >= MIN_RESULTS && self.failure_share >= MAX_FAILURE_SHARE;
-        judged
+        let share_too_high = self.results >= MIN_RESULTS && self.failure_share >= MAX_FAILURE_SHARE;
+        share_too_high
             || self.failures_in_row >= MAX_FAILURES_IN_ROW
             || self.connect_failures >= MAX_CONNECT_FAILURES
     }
@@ -123,8 +123,8 @@
         *self = Self::default();
     }
 
-    fn exclude(&mut self, pause: Duration, now: Instant) {
-        self.exclusion_time = pause;
-        self.excluded_until = Some(now + pause);
+    fn exclude(&mut self, duration: Duration, now: Instant) {
+        self.exclusion_time = duration;
+        self.excluded_until = Some(now + duration);
     }
 }
--- a/crates/request/src/claim.rs
+++ b/crates/request/src/claim.rs
@@ -1,8 +1,9 @@
 //! Claims on idempotency keys, which let at most one attempt send a request that is not repeatable.
 //!
-//! Voters hold the claims. An attempt may send only after a quorum of the voters of one revision has
-//! accepted its claim. Quorums of successive revisions intersect (see the voters in the fold), and a
-//! new set of voters copies the claims of a quorum of the old set before the new set is committed.
+//! Voters hold the claims. An attempt may send only after a quorum of the voters of one revision
+//! has accepted its claim. Quorums of successive revisions intersect (see the voters in the fold),
+//! and a new set of voters copies the claims of a quorum of the old set before the new set is
+//! committed.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -100,8 +101,8 @@
 }
 
 impl ClaimTable {
-    /// Creates a table that keeps at most `max` keys, each for `keep`, with answer bodies of at most
-    /// `max_body_bytes` in total.
+    /// Creates a table that keeps at most `max` keys, each for `keep`, with answer bodies of at
+    /// most `max_body_bytes` in total.
     pub fn new(keep: Duration, max: usize, max_body_bytes: usize) -> Self {
         Self {
             claims: BTreeMap::new(),
@@ -211,8 +212,8 @@
         self.body_bytes -= answers.map(|a| a.body.len()).sum::<usize>();
     }
 
-    /// Removes claims older than `keep`; the age of a key that was released and claimed again counts
-    /// from the later claim.
+    /// Removes claims older than `keep`; the age of a key that was released and claimed again
+    /// counts from the later claim.
     fn expire(&mut self, now: Instant) {
         while let Some(&(since, key)) = self.by_age.front() {
             if now.since(since) < self.keep {
--- a/crates/request/src/router/lease.rs
+++ b/crates/request/src/router/lease.rs
@@ -9,7 +9,7 @@
 
 /// The minimum number of idle slots of a pool that an entry keeps.
 const MIN_IDLE_SLOTS: u32 = 2;
-/// The number of idle slots kept is the number of slots in use divided by this, if larger.
+/// An entry keeps 1 idle slot per this many slots in use, if that exceeds [`MIN_IDLE_SLOTS`].
 const IDLE_DIVISOR: u32 = 4;
 
 impl Router {
@@ -27,13 +27,13 @@
         self.pools.values().any(|p| !p.queue.is_empty())
     }
 
-    /// Applies a grant that was requested at `asked_at`.
-    pub fn apply_grant(&mut self, grant: &SlotGrant, asked_at: Instant) {
+    /// Applies a grant that was requested at `requested_at`.
+    pub fn apply_grant(&mut self, grant: &SlotGrant, requested_at: Instant) {
         let Some(vm) = self.vm_keys.get(&grant.vm).and_then(|&key| self.vms.get_mut(key)) else {
             return;
         };
         vm.leased = grant.share.max(vm.in_flight).min(grant.slots);
-        vm.lease_until = asked_at + SLOT_LEASE;
+        vm.lease_until = requested_at + SLOT_LEASE;
         vm.free_hint = grant.free;
     }
 
--- a/crates/request/src/router/mod.rs
+++ b/crates/request/src/router/mod.rs
@@ -221,8 +221,8 @@
 
     /// Decides on a request whose send failed; returns `None` if it may not be sent again.
     ///
-    /// Only a request that may have run takes from the retry budget: a retry of one that did not run
-    /// adds no load.
+    /// Only a request that may have run takes from the retry budget: a retry of one that did not
+    /// run adds no load.
     pub fn resubmit(
         &mut self,
         request: RouteRequest,
@@ -310,7 +310,8 @@
         self.dispatch(pool, now)
     }
 
-    /// Returns decisions on waiting requests that are due as time has passed or leases were granted.
+    /// Returns decisions on waiting requests that are due as time has passed or leases were
+    /// granted.
     pub fn poll(&mut self, now: Instant) -> Vec<Wake> {
         let busy = |(_, p): &(PoolKey, &PoolLoad)| !p.queue.is_empty() || !p.displaced.is_empty();
         let keys: Vec<_> = self.pools.iter().filter(busy).map(|(k, _)| k).collect();
--- a/crates/request/src/slot_home.rs
+++ b/crates/request/src/slot_home.rs
@@ -65,8 +65,8 @@
 
     /// Becomes or stays the home of a VM.
     ///
-    /// Before `open_at`, when the leases of the previous home have expired, the home only renews the
-    /// slots that entries report as held; it grants more slots only from then on.
+    /// `open_at` is the time when the leases of the previous home have expired. Until then the home
+    /// only renews the slots that entries report as held and grants no more.
     pub fn adopt(&mut self, vm: &VmName, open_at: Instant) {
         if !self.vms.contains_key(vm) {
             self.vms.insert(vm.clone(), HomedVm { leases: HashMap::new(), open_at });
@@ -78,8 +78,8 @@
         self.vms.retain(|vm, _| keep(vm));
     }
 
-    /// Handles a request of an entry for slots of a VM that has `slots` slots; returns `None` if this
-    /// is not the VM's home.
+    /// Handles a request of an entry for slots of a VM that has `slots` slots; returns `None` if
+    /// this is not the VM's home.
     pub fn grant(
         &mut self,
         from: MemberId,
--- a/crates/request/tests/claims.rs
+++ b/crates/request/tests/claims.rs
@@ -1,5 +1,5 @@
-//! At-most-once execution across entries, tested with random sequences of attempts, lost and delayed
-//! messages, lagging members, crashes, and changes of the voters during claims.
+//! At-most-once execution across entries, tested with random sequences of attempts, lost and
+//! delayed messages, lagging members, crashes, and changes of the voters during claims.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -177,13 +177,13 @@
             attempt.replies.push((to, None));
             return;
         }
-        let present = node.state.voters.revision;
+        let voter_revision = node.state.voters.revision;
         let reply = if node.state.voters.contains(id(to)) {
             let key = ClaimKey(u128::from(attempt.key));
             let now = Instant::from_micros(1);
-            node.claims.claim(key, &attempt.claim, attempt.revision, present, now)
+            node.claims.claim(key, &attempt.claim, attempt.revision, voter_revision, now)
         } else {
-            ClaimReply::WrongRevision(present)
+            ClaimReply::WrongRevision(voter_revision)
         };
         attempt.replies.push((to, Some(reply)));
     }
--- a/crates/request/tests/gate.rs
+++ b/crates/request/tests/gate.rs
@@ -85,7 +85,7 @@
         Self::BackendRefused,
     ];
 
-    fn bytes_went_out(self) -> bool {
+    fn wrote_bytes(self) -> bool {
         matches!(
             self,
             Self::WriteFailedAfterSome | Self::Reset | Self::NoResponse | Self::BackendRefused
@@ -94,7 +94,7 @@
 
     /// Returns whether the backend server may have run the request.
     fn may_have_run(self) -> bool {
-        self.bytes_went_out() && !matches!(self, Self::BackendRefused)
+        self.wrote_bytes() && !matches!(self, Self::BackendRefused)
     }
 }
 
@@ -115,7 +115,7 @@
         for end in ends.into_iter().map(|i| End::ALL[i]) {
             let gate = SendGate::new(NEVER);
             let sent = pending.start_send();
-            if end.bytes_went_out() {
+            if end.wrote_bytes() {
                 gate.pass(Instant::default());
             }
             may_have_run |= end.may_have_run();
--- a/crates/request/tests/router.rs
+++ b/crates/request/tests/router.rs
@@ -66,11 +66,11 @@
     router
 }
 
-fn lease(router: &mut Router, i: usize, slots: u16, asked: Instant) {
-    router.apply_grant(&SlotGrant { vm: vm(i), slots, share: slots, free: 0 }, asked);
+fn lease(router: &mut Router, i: usize, slots: u16, requested_at: Instant) {
+    router.apply_grant(&SlotGrant { vm: vm(i), slots, share: slots, free: 0 }, requested_at);
 }
 
-fn ask(router: &Router, ticket: u64, tier: Tier, deadline: Instant) -> RouteRequest {
+fn request(router: &Router, ticket: u64, tier: Tier, deadline: Instant) -> RouteRequest {
     let pool = router.pool_key("pool").unwrap();
     RouteRequest {
         ticket: Ticket(ticket),
@@ -83,8 +83,8 @@
 }
 
 fn submit(router: &mut Router, ticket: u64, tier: Tier, deadline_ms: u64) -> Decision {
-    let ask = ask(router, ticket, tier, at(deadline_ms));
-    router.submit(ask, at(0))
+    let request = request(router, ticket, tier, at(deadline_ms));
+    router.submit(request, at(0))
 }
 
 fn sent_to(decision: Decision) -> VmKey {
@@ -108,15 +108,15 @@
 #[gtest]
 fn nothing_is_sent_after_the_lease_expired() {
     let mut router = router(1, 4, 10);
-    let ask = ask(&router, 1, Tier::Gold, at(10_000));
-    expect_that!(router.submit(ask, at(2_000)), eq(Decision::Wait));
+    let request = request(&router, 1, Tier::Gold, at(10_000));
+    expect_that!(router.submit(request, at(2_000)), eq(Decision::Wait));
 }
 
 #[gtest]
 fn request_is_refused_immediately_after_the_proof_expired() {
     let mut router = router(1, 4, 10);
-    let ask = ask(&router, 1, Tier::Gold, at(4_000_000));
-    let decision = router.submit(ask, at(3_600_000));
+    let request = request(&router, 1, Tier::Gold, at(4_000_000));
+    let decision = router.submit(request, at(3_600_000));
     expect_that!(
         decision,
         matches_pattern!(Decision::Refuse(eq(RefusalReason::NoProof), anything()))
@@ -195,9 +195,9 @@
         expect_that!(key, not(eq(bad)));
         router.finish(key, SendResult::Success, SECOND / 100, at(0));
     }
-    let later = ask(&router, 50, Tier::Gold, at(5_000));
+    let later = request(&router, 50, Tier::Gold, at(5_000));
     expect_that!(router.submit(later, at(1_500)), eq(Decision::Send(bad)));
-    let meanwhile = ask(&router, 51, Tier::Gold, at(5_000));
+    let meanwhile = request(&router, 51, Tier::Gold, at(5_000));
     expect_that!(router.submit(meanwhile, at(1_500)), not(eq(Decision::Send(bad))));
     router.finish(bad, SendResult::Success, SECOND / 100, at(1_600));
     expect_that!(router.vm(bad).unwrap().breaker.is_excluded(), eq(false));
