--- a/crates/entry/src/backend.rs
+++ b/crates/entry/src/backend.rs
@@ -60,7 +60,7 @@
     pub max_headers: usize,
 }
 
-struct Conn {
+struct Connection {
     sender: SendRequest<BackendBody>,
     gate: GateSlot,
 }
@@ -68,7 +68,7 @@
 /// A pool of idle connections by backend server.
 #[derive(Default)]
 pub struct Backends {
-    idle: Mutex<HashMap<SocketAddr, Vec<Conn>>>,
+    idle: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
 }
 
 impl Backends {
@@ -101,9 +101,9 @@
     async fn send_on_idle(
         &self,
         plan: &ExchangePlan,
-        mut conn: Conn,
+        mut conn: Connection,
         req: Request<BackendBody>,
-    ) -> Result<(Conn, Response<Incoming>), ExchangeError> {
+    ) -> Result<(Connection, Response<Incoming>), ExchangeError> {
         conn.gate.set(plan.gate.clone());
         match conn.sender.try_send_request(req).await {
             Ok(answer) => Ok((conn, answer)),
@@ -119,7 +119,7 @@
         self.lock().retain(|addr, _| keep(addr));
     }
 
-    fn take_idle(&self, plan: &ExchangePlan) -> Option<Conn> {
+    fn take_idle(&self, plan: &ExchangePlan) -> Option<Connection> {
         if !plan.reuse {
             return None;
         }
@@ -133,7 +133,7 @@
         None
     }
 
-    fn put_idle(&self, addr: SocketAddr, conn: Conn) {
+    fn put_idle(&self, addr: SocketAddr, conn: Connection) {
         let mut idle = self.lock();
         let conns = idle.entry(addr).or_default();
         if conns.len() < MAX_IDLE {
@@ -141,7 +141,7 @@
         }
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Vec<Conn>>> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Vec<Connection>>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -149,14 +149,14 @@
 async fn send_on_new(
     plan: &ExchangePlan,
     req: Request<BackendBody>,
-) -> Result<(Conn, Response<Incoming>), ExchangeError> {
+) -> Result<(Connection, Response<Incoming>), ExchangeError> {
     let mut conn = connect(plan).await?;
     conn.gate.set(plan.gate.clone());
     let answer = conn.sender.send_request(req).await.map_err(|e| exchange_error(&e))?;
     Ok((conn, answer))
 }
 
-async fn connect(plan: &ExchangePlan) -> Result<Conn, ExchangeError> {
+async fn connect(plan: &ExchangePlan) -> Result<Connection, ExchangeError> {
     let refused = |detail: String| ExchangeError { reason: RefusalReason::Connect, detail };
     let connecting = TcpStream::connect(plan.addr);
     let stream = tokio::time::timeout(plan.connect_timeout, connecting)
@@ -172,7 +172,7 @@
         .await
         .map_err(|e| refused(e.to_string()))?;
     tokio::spawn(conn);
-    Ok(Conn { sender, gate })
+    Ok(Connection { sender, gate })
 }
 
 async fn read_complete(answer: Response<Incoming>, max: usize) -> Result<Answer, ExchangeError> {
--- a/crates/entry/src/claimant.rs
+++ b/crates/entry/src/claimant.rs
@@ -55,7 +55,7 @@
             calls.spawn(async move { (voter.id, request_claim(&cx, &voter, req).await) });
         }
         let mut tally = Tally::new(voters);
-        while tally.state() == ClaimState::Pending {
+        while tally.claim_state() == ClaimState::Pending {
             let Some(answered) = calls.join_next().await else {
                 return ClaimState::NoQuorum;
             };
@@ -65,7 +65,7 @@
         }
         // The remaining calls complete in the background: they can only add votes for this claim.
         calls.detach_all();
-        tally.state()
+        tally.claim_state()
     }
 
     /// Releases the key, as nothing was sent.
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -184,7 +184,7 @@
                 return match last {
                     Ok(answer) => Ok(self.answered(answer)),
                     Err((reason, detail)) => {
-                        Err(self.refuse(restored, reason, RETRY_AFTER, detail))
+                        Err(self.abandon(restored, reason, RETRY_AFTER, detail))
                     }
                 };
             }
@@ -216,11 +216,11 @@
         match (decision, waiter) {
             (Some(Decision::Send(vm)), _) => Ok((pending, InFlight::new(self.cx.clone(), vm))),
             (Some(Decision::Refuse(reason, after)), _) => {
-                Err(self.refuse(pending, reason, after, String::new()))
+                Err(self.abandon(pending, reason, after, String::new()))
             }
             (_, Some(waiter)) => self.wait(pending, waiter).await,
             (_, None) => {
-                Err(self.refuse(pending, RefusalReason::Overload, RETRY_AFTER, String::new()))
+                Err(self.abandon(pending, RefusalReason::Overload, RETRY_AFTER, String::new()))
             }
         }
     }
@@ -235,12 +235,12 @@
         match tokio::time::timeout(remaining, waiter).await {
             Ok(Ok(WaitResult::Send(in_flight))) => Ok((pending, in_flight)),
             Ok(Ok(WaitResult::Refuse(reason, after))) => {
-                Err(self.refuse(pending, reason, after, String::new()))
+                Err(self.abandon(pending, reason, after, String::new()))
             }
             Ok(Err(_)) | Err(_) => {
                 self.cx.router().cancel(self.route_request.ticket);
                 self.cx.unregister_waiter(self.route_request.ticket);
-                Err(self.refuse(pending, RefusalReason::Deadline, RETRY_AFTER, String::new()))
+                Err(self.abandon(pending, RefusalReason::Deadline, RETRY_AFTER, String::new()))
             }
         }
     }
@@ -260,7 +260,7 @@
                 let detail =
                     "this attempt did not run; an earlier attempt with the same key may have run";
                 let detail = detail.to_owned();
-                Err(self.refuse(pending, RefusalReason::NoClaim, RETRY_AFTER, detail))
+                Err(self.abandon(pending, RefusalReason::NoClaim, RETRY_AFTER, detail))
             }
         }
     }
@@ -290,7 +290,7 @@
     }
 
     /// Refuses the request; releases its claim if nothing was sent.
-    pub fn refuse(
+    pub fn abandon(
         &self,
         pending: Pending,
         reason: RefusalReason,
--- a/crates/entry/src/sending.rs
+++ b/crates/entry/src/sending.rs
@@ -141,7 +141,7 @@
         });
         match sent.confirm_unsent(gate) {
             Ok(restored) if timed_out => {
-                SendOutcome::Refused(self.refuse(restored, e.reason, RETRY_AFTER, e.detail))
+                SendOutcome::Refused(self.abandon(restored, e.reason, RETRY_AFTER, e.detail))
             }
             Ok(restored) => {
                 let proof_expired = Instant::now() >= self.cx.router().proof_until();
--- a/crates/request/src/admit.rs
+++ b/crates/request/src/admit.rs
@@ -33,13 +33,13 @@
     /// The request was queued.
     Queued,
     /// The request was queued in place of the one with this ticket, which must be refused.
-    Displaced(Ticket),
+    Evicted(Ticket),
     /// The request was refused.
     Refused,
 }
 
 /// The queue is full of requests of the same or a higher tier.
-struct Full;
+struct QueueFull;
 
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
@@ -112,10 +112,10 @@
         }
         let evicted = match self.make_room(tier) {
             Ok(evicted) => evicted,
-            Err(Full) => return PushResult::Refused,
+            Err(QueueFull) => return PushResult::Refused,
         };
         self.waiting.insert((tier, ticket), Waiting { deadline });
-        evicted.map_or(PushResult::Queued, PushResult::Displaced)
+        evicted.map_or(PushResult::Queued, PushResult::Evicted)
     }
 
     /// Removes a request from the queue.
@@ -176,13 +176,13 @@
     }
 
     /// Makes room for one request; a full queue evicts its last request if that has a lower tier.
-    fn make_room(&mut self, tier: Tier) -> Result<Option<Ticket>, Full> {
+    fn make_room(&mut self, tier: Tier) -> Result<Option<Ticket>, QueueFull> {
         if self.waiting.len() < self.max {
             return Ok(None);
         }
         let last = self.waiting.last_key_value().map(|(&key, _)| key);
         let Some(key) = last.filter(|&(t, _)| t > tier) else {
-            return Err(Full);
+            return Err(QueueFull);
         };
         self.waiting.remove(&key);
         Ok(Some(key.1))
--- a/crates/request/src/breaker.rs
+++ b/crates/request/src/breaker.rs
@@ -77,7 +77,7 @@
     }
 
     /// Records that the trial request was sent.
-    pub const fn begin_trial(&mut self) {
+    pub const fn start_trial(&mut self) {
         self.trial_in_flight = true;
     }
 
--- a/crates/request/src/claim.rs
+++ b/crates/request/src/claim.rs
@@ -273,7 +273,7 @@
     }
 
     /// Returns the state of the claim.
-    pub fn state(&self) -> ClaimState {
+    pub fn claim_state(&self) -> ClaimState {
         if !self.voters.current.is_empty() && self.voters.is_quorum(&self.accepted) {
             return ClaimState::Won;
         }
--- a/crates/request/src/router/load.rs
+++ b/crates/request/src/router/load.rs
@@ -30,7 +30,7 @@
     /// The waiting requests.
     pub queue: Queue,
     /// Requests evicted from the queue that have yet to be refused.
-    pub(super) displaced: Vec<Ticket>,
+    pub(super) evicted: Vec<Ticket>,
 }
 
 impl PoolLoad {
--- a/crates/request/src/router/mod.rs
+++ b/crates/request/src/router/mod.rs
@@ -269,7 +269,7 @@
         match pool.queue.push(request.ticket, request.tier, request.deadline, slots, now) {
             PushResult::Refused => return Decision::Refuse(RefusalReason::Overload, wait),
             PushResult::Queued => {}
-            PushResult::Displaced(ticket) => pool.displaced.push(ticket),
+            PushResult::Evicted(ticket) => pool.evicted.push(ticket),
         }
         self.waiting.insert(request.ticket, request);
         Decision::Wait
@@ -313,7 +313,7 @@
     /// Returns decisions on waiting requests that are due as time has passed or leases were
     /// granted.
     pub fn poll(&mut self, now: Instant) -> Vec<Wake> {
-        let busy = |(_, p): &(PoolKey, &PoolLoad)| !p.queue.is_empty() || !p.displaced.is_empty();
+        let busy = |(_, p): &(PoolKey, &PoolLoad)| !p.queue.is_empty() || !p.evicted.is_empty();
         let keys: Vec<_> = self.pools.iter().filter(busy).map(|(k, _)| k).collect();
         keys.into_iter().flat_map(|key| self.dispatch(key, now)).collect()
     }
@@ -323,7 +323,7 @@
         let mut late = Vec::new();
         if let Some(pool) = self.pools.get_mut(key) {
             pool.queue.drop_late(now, &mut late);
-            late.append(&mut pool.displaced);
+            late.append(&mut pool.evicted);
         }
         while let Some(wake) = self.dispatch_one(key, now, &mut late) {
             wakes.push(wake);
@@ -367,7 +367,7 @@
         let vm = &mut self.vms[key];
         vm.in_flight += 1;
         if vm.breaker.availability(now) == Availability::Trial {
-            vm.breaker.begin_trial();
+            vm.breaker.start_trial();
         }
     }
 }
--- a/crates/request/src/router/view.rs
+++ b/crates/request/src/router/view.rs
@@ -68,7 +68,7 @@
             template: view.template.clone(),
             vms: Vec::new(),
             queue: Queue::new(self.cfg.admit, self.cfg.max_queue),
-            displaced: Vec::new(),
+            evicted: Vec::new(),
         });
         self.pool_keys.insert(view.name.clone(), key);
         key
--- a/crates/request/src/slot_home.rs
+++ b/crates/request/src/slot_home.rs
@@ -46,7 +46,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct HomedVm {
+struct VmLeases {
     leases: HashMap<MemberId, Lease>,
     open_at: Instant,
 }
@@ -54,7 +54,7 @@
 /// The VMs whose home is one steward.
 #[derive(Clone, Debug, Default)]
 pub struct SlotHome {
-    vms: HashMap<VmName, HomedVm>,
+    vms: HashMap<VmName, VmLeases>,
 }
 
 impl SlotHome {
@@ -69,7 +69,7 @@
     /// only renews the slots that entries report as held and grants no more.
     pub fn adopt(&mut self, vm: &VmName, open_at: Instant) {
         if !self.vms.contains_key(vm) {
-            self.vms.insert(vm.clone(), HomedVm { leases: HashMap::new(), open_at });
+            self.vms.insert(vm.clone(), VmLeases { leases: HashMap::new(), open_at });
         }
     }
 
@@ -98,7 +98,7 @@
     }
 }
 
-impl HomedVm {
+impl VmLeases {
     fn held_by_others(&self, from: MemberId) -> u16 {
         let others = self.leases.iter().filter(|(id, _)| **id != from);
         others.map(|(_, l)| l.slots).sum()
--- a/crates/request/tests/claims.rs
+++ b/crates/request/tests/claims.rs
@@ -196,7 +196,7 @@
         }
         let (from, reply) = attempt.replies.swap_remove(pick % attempt.replies.len());
         attempt.tally.record_reply(id(from), reply.filter(|_| !lost));
-        match attempt.tally.state() {
+        match attempt.tally.claim_state() {
             ClaimState::Pending => {}
             ClaimState::Won => {
                 attempt.ended = true;
