--- a/crates/entry/src/backend.rs
+++ b/crates/entry/src/backend.rs
@@ -157,12 +157,12 @@
 }
 
 async fn connect(plan: &ExchangePlan) -> Result<Connection, ExchangeError> {
-    let refused = |detail: String| ExchangeError { reason: RefusalReason::Connect, detail };
+    let connect_error = |detail: String| ExchangeError { reason: RefusalReason::Connect, detail };
     let connecting = TcpStream::connect(plan.addr);
     let stream = tokio::time::timeout(plan.connect_timeout, connecting)
         .await
-        .map_err(|_| refused("timed out connecting to the backend server".to_owned()))?
-        .map_err(|e| refused(e.to_string()))?;
+        .map_err(|_| connect_error("timed out connecting to the backend server".to_owned()))?
+        .map_err(|e| connect_error(e.to_string()))?;
     let _ = stream.set_nodelay(true);
     let gate = GateSlot::default();
     let io = TokioIo::new(GatedIo::new(stream, gate.clone()));
@@ -170,7 +170,7 @@
         .max_buf_size(plan.max_headers)
         .handshake(io)
         .await
-        .map_err(|e| refused(e.to_string()))?;
+        .map_err(|e| connect_error(e.to_string()))?;
     tokio::spawn(conn);
     Ok(Connection { sender, gate })
 }
--- a/crates/entry/src/claimant.rs
+++ b/crates/entry/src/claimant.rs
@@ -77,7 +77,7 @@
     }
 
     /// Stores the answer at the voters for later attempts.
-    pub fn settle(&self, answer: &KeptAnswer) {
+    pub fn store_answer(&self, answer: &KeptAnswer) {
         let (key, attempt) = (self.key, self.claim.attempt);
         let answer = answer.clone();
         self.notify_voters(move |client| {
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -280,7 +280,7 @@
     fn answered(&self, answer: Answer) -> Reply {
         if let Some(claimant) = &self.claimant {
             let kind = answer.parts.headers.get(CONTENT_TYPE).and_then(|v| v.to_str().ok());
-            claimant.settle(&KeptAnswer {
+            claimant.store_answer(&KeptAnswer {
                 status: answer.parts.status.as_u16(),
                 content_type: kind.unwrap_or_default().to_owned(),
                 body: answer.body.to_vec(),
--- a/crates/request/src/claim.rs
+++ b/crates/request/src/claim.rs
@@ -19,7 +19,7 @@
 /// The maximum body size of an answer that is kept for later attempts, in bytes.
 pub const MAX_KEPT_BODY: usize = 4 * 1024;
 /// The number of keys whose claims one page of a transfer between voters holds.
-pub const PAGE_CLAIMS: usize = 512;
+pub const PAGE_KEYS: usize = 512;
 
 /// The identifier of an attempt, generated at random by its entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -174,7 +174,7 @@
     /// Returns a page of claims, ordered by key, that starts after the key `after`.
     pub fn page(&self, after: Option<ClaimKey>) -> Vec<KeyedClaim> {
         let from = after.map_or(std::ops::Bound::Unbounded, std::ops::Bound::Excluded);
-        let rest = self.claims.range((from, std::ops::Bound::Unbounded)).take(PAGE_CLAIMS);
+        let rest = self.claims.range((from, std::ops::Bound::Unbounded)).take(PAGE_KEYS);
         let keyed = |(&key, held): (&ClaimKey, &HeldClaims)| {
             let claims = held.claims.clone().into_iter();
             claims.map(move |claim| KeyedClaim { key, claim })
--- a/crates/request/src/router/view.rs
+++ b/crates/request/src/router/view.rs
@@ -25,8 +25,8 @@
             self.apply_pool(pool);
         }
         self.set_leaving(&update.leaving);
-        let idle: Vec<_> = self.vms.keys().collect();
-        idle.into_iter().for_each(|key| self.remove_unused(key));
+        let all_vms: Vec<_> = self.vms.keys().collect();
+        all_vms.into_iter().for_each(|key| self.remove_unused(key));
     }
 
     /// Sets the VMs that are known to be leaving before the log records it.
--- a/crates/request/tests/slots.rs
+++ b/crates/request/tests/slots.rs
@@ -36,7 +36,7 @@
         let mut now = Instant::from_micros(1);
         for (e, want, wait_ms, lost) in steps {
             now = now + Duration::from_millis(wait_ms);
-            let asked = now;
+            let requested_at = now;
             let unexpired = if now < held[e].until { held[e].slots } else { 0 };
             held[e].slots = unexpired.min(want);
             let want = SlotWant { vm: vm.clone(), held: held[e].slots, want };
@@ -44,7 +44,7 @@
             if !lost {
                 held[e] = Holding {
                     slots: grant.share.min(grant.slots),
-                    until: asked + SLOT_LEASE,
+                    until: requested_at + SLOT_LEASE,
                 };
             }
             let all: u16 = held.iter().filter(|h| now < h.until).map(|h| h.slots).sum();
