--- a/crates/entry/src/backend.rs
+++ b/crates/entry/src/backend.rs
@@ -161,7 +161,7 @@
     let connecting = TcpStream::connect(plan.addr);
     let stream = tokio::time::timeout(plan.connect_timeout, connecting)
         .await
-        .map_err(|_| connect_error("timed out connecting to the backend server".to_owned()))?
+        .map_err(|_| connect_error("the connection took too long to be made".to_owned()))?
         .map_err(|e| connect_error(e.to_string()))?;
     let _ = stream.set_nodelay(true);
     let gate = GateSlot::default();
@@ -182,7 +182,7 @@
         let too_large = e.downcast_ref::<LengthLimitError>().is_some();
         let reason =
             if too_large { RefusalReason::AnswerTooLarge } else { RefusalReason::BadAnswer };
-        ExchangeError { reason, detail: format!("failed to read the answer's body: {e}") }
+        ExchangeError { reason, detail: format!("the answer's body: {e}") }
     })?;
     Ok(Answer { parts, body: body.to_bytes() })
 }
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -141,8 +141,7 @@
         KeyAge::InFuture => {
             let mut refusal = unsent.refuse(RefusalReason::BadRequest, RETRY_AFTER);
             refusal.detail =
-                "the timestamp in Idempotency-Key is in the future: check the caller's clock"
-                    .to_owned();
+                "the time in the Idempotency-Key lies ahead: set your clock".to_owned();
             return Err(refusal);
         }
     }
@@ -257,8 +256,7 @@
                 self.replay(&held).map(ClaimResult::Replay)
             }
             ClaimState::Pending | ClaimState::NoQuorum => {
-                let detail =
-                    "this attempt did not run; an earlier attempt with the same key may have run";
+                let detail = "this sending did not run; an earlier one with the same key may have";
                 let detail = detail.to_owned();
                 Err(self.abandon(pending, RefusalReason::NoClaim, RETRY_AFTER, detail))
             }
--- a/crates/entry/src/parse.rs
+++ b/crates/entry/src/parse.rs
@@ -69,7 +69,9 @@
         return Err(bad_request(format!("Idempotency-Key: use 1 to {MAX_KEY_LEN} characters")));
     }
     let body = Limited::new(body, max_body).collect().await.map_err(|e| {
-        bad_request(format!("failed to read the body ({e}): send at most {max_body} bytes"))
+        bad_request(format!(
+            "the body could not be read whole ({e}): send at most {max_body} bytes"
+        ))
     })?;
     let mut headers = parts.headers;
     strip_hop_by_hop(&mut headers);
@@ -112,7 +114,7 @@
     let (Some(""), Some("w"), Some(workspace), Some(service)) = (empty, w, workspace, service)
     else {
         return Err(bad_request(
-            "the path lacks a workspace and service: use /w/WORKSPACE/SERVICE/...",
+            "the path names no workspace and service: use /w/WORKSPACE/SERVICE/...",
         ));
     };
     let rest = parts.next().map(|r| format!("/{r}")).unwrap_or_default();
@@ -134,9 +136,8 @@
     let Some(text) = header_text(headers, name)? else {
         return Ok(None);
     };
-    let number = text
-        .parse()
-        .map_err(|_| bad_request(format!("{name}: use a whole number of milliseconds")))?;
+    let number =
+        text.parse().map_err(|_| bad_request(format!("{name}: use a whole number of ms")))?;
     Ok(Some(number))
 }
 
--- a/crates/entry/src/sending.rs
+++ b/crates/entry/src/sending.rs
@@ -53,7 +53,7 @@
             Ok(Err(e)) => Err(e),
             Err(_) => Err(ExchangeError {
                 reason: RefusalReason::Deadline,
-                detail: "no complete answer within the deadline".to_owned(),
+                detail: "no whole answer within the deadline".to_owned(),
             }),
         };
         match result {
@@ -101,7 +101,7 @@
         if is_ours.unwrap_or(!self.service.echoes_request_id) {
             return Ok(answer);
         }
-        let detail = "the answer belongs to a different request".to_owned();
+        let detail = "the answer is not that of this request".to_owned();
         Err(ExchangeError { reason: RefusalReason::BadAnswer, detail })
     }
 
@@ -114,7 +114,7 @@
         if let Some(statement) = BackendRefusal::from_answer(status, header(NOT_RUN)) {
             in_flight.finish(SendResult::Failure);
             let restored = sent.refused_by_backend(&statement);
-            let detail = "the backend server reported that it did not run the request".to_owned();
+            let detail = "the backend server did not run it".to_owned();
             return SendOutcome::Retry(restored, RefusalReason::BackendRefused, detail);
         }
         let is_error = answer.parts.status.is_server_error();
