--- a/crates/entry/src/decision_log.rs
+++ b/crates/entry/src/decision_log.rs
@@ -1,31 +1,31 @@
-//! One log line for each routing decision.
+//! Log lines for routing decisions, one per decision.
 
 use thistle_model::clock::Instant;
 use thistle_request::Router;
-use thistle_request::breaker::Standing;
+use thistle_request::breaker::Availability;
 use thistle_request::router::{PoolLoad, VmKey, VmLoad};
 
 use crate::parse::CallerRequest;
 
-/// VMs of a pool that a request could not go to, by reason.
+/// The number of VMs of a pool that could not receive a request, by reason.
 #[derive(Default)]
-struct PassedOver {
+struct SkippedVms {
     /// Drained, cordoned or leaving.
     closed: usize,
-    /// Set aside for failures.
-    aside: usize,
-    /// Without a free slot of this entry's lease.
+    /// Excluded because of failures.
+    excluded: usize,
+    /// Without an idle slot leased to this entry.
     no_slot: usize,
 }
 
-/// Logs that a request goes to a VM, why, and which VMs of the pool were passed over.
+/// Logs the VM that a request is sent to, the reason, and how many VMs were skipped.
 pub fn sent(router: &Router, id: &str, req: &CallerRequest, key: VmKey, sends: u32) {
     if !log::log_enabled!(log::Level::Info) {
         return;
     }
     let Some(vm) = router.vm(key) else { return };
     let Some(pool) = router.pool(vm.pool) else { return };
-    let passed = passed_over(router, pool, key);
+    let skipped = skipped_vms(router, pool, key);
     log::info!(
         "route id={id} workspace={} service={} vm={} hall={} send={} reason={} in_flight={} leased={} \
          passed_over=closed:{},aside:{},no-slot:{} of={}",
@@ -37,38 +37,38 @@
         reason(vm, sends),
         vm.in_flight,
         vm.leased,
-        passed.closed,
-        passed.aside,
-        passed.no_slot,
+        skipped.closed,
+        skipped.excluded,
+        skipped.no_slot,
         pool.vms.len(),
     );
 }
 
 fn reason(vm: &VmLoad, sends: u32) -> &'static str {
-    match (vm.breaker.is_aside(), sends) {
+    match (vm.breaker.is_excluded(), sends) {
         (true, _) => "trial-of-a-vm-set-aside",
         (false, 0) => "fewer-in-flight-of-two",
         (false, _) => "again-after-a-failure",
     }
 }
 
-fn passed_over(router: &Router, pool: &PoolLoad, chosen: VmKey) -> PassedOver {
+fn skipped_vms(router: &Router, pool: &PoolLoad, chosen: VmKey) -> SkippedVms {
     let now = Instant::now();
-    let mut passed = PassedOver::default();
+    let mut skipped = SkippedVms::default();
     let others = pool.vms.iter().filter(|&&key| key != chosen);
     for vm in others.filter_map(|&key| router.vm(key)) {
         if !vm.is_sendable() {
-            passed.closed += 1;
-        } else if vm.breaker.standing(now) != Standing::Good {
-            passed.aside += 1;
+            skipped.closed += 1;
+        } else if vm.breaker.availability(now) != Availability::Available {
+            skipped.excluded += 1;
         } else if vm.free_leased(now) == 0 {
-            passed.no_slot += 1;
+            skipped.no_slot += 1;
         }
     }
-    passed
+    skipped
 }
 
-/// Logs that a request was refused.
+/// Logs a refusal.
 pub fn refused(id: &str, req: &CallerRequest, refusal: &thistle_request::Refusal) {
     log::info!(
         "refuse id={id} workspace={} service={} outcome={} reason={} retry_after_ms={} detail=\"{}\"",
--- a/crates/entry/src/sending.rs
+++ b/crates/entry/src/sending.rs
@@ -1,4 +1,4 @@
-//! One send of a request to a VM, and what it led to.
+//! A single send of a request to a VM, and its outcome.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,36 +20,36 @@
 use crate::forward::{Forward, RETRY_AFTER};
 use crate::parse::{DEADLINE, REQUEST_ID};
 
-/// Header by which a backend server says that it did not run a request.
+/// Header by which a backend server states that it did not run a request.
 const NOT_RUN: &str = "thistle-not-run";
-/// Header by which a backend server says that it is leaving.
+/// Header by which a backend server announces that it is leaving.
 const LEAVING: &str = "thistle-leaving";
 
-/// What one send led to.
-pub enum Sent {
-    /// A whole answer.
+/// The outcome of one send.
+pub enum SendOutcome {
+    /// A complete answer.
     Answered(Answer),
-    /// It is to be tried again, or refused for this reason.
-    Again(Pending, RefusalReason, String),
-    /// A whole answer that is a server error, of a request that may be repeated.
+    /// The request may be retried, or refused with this reason and detail.
+    Retry(Pending, RefusalReason, String),
+    /// A complete answer with a server error, to a repeatable request.
     ServerError(Answer, MaybeSent),
-    /// It is refused.
+    /// The request is refused.
     Refused(Refusal),
 }
 
 impl Forward {
-    /// Sends the request to a VM and waits for the whole answer.
-    pub async fn send(&self, pending: Pending, in_flight: InFlight) -> Sent {
-        let Some((plan, gate)) = self.plan(in_flight.vm(), pending.sends()) else {
+    /// Sends the request to a VM and waits for the complete answer.
+    pub async fn send(&self, pending: Pending, in_flight: InFlight) -> SendOutcome {
+        let Some((plan, gate)) = self.exchange_plan(in_flight.vm(), pending.sends()) else {
             let detail = "the VM left before the request was sent".to_owned();
-            return Sent::Again(pending, RefusalReason::NoVm, detail);
+            return SendOutcome::Retry(pending, RefusalReason::NoVm, detail);
         };
         let req = self.backend_request();
-        let sent = pending.hand_over();
-        let left = self.ask.deadline.since(Instant::now());
+        let sent = pending.start_send();
+        let remaining = self.route_request.deadline.since(Instant::now());
         let exchange = self.cx.backends.exchange(&plan, req);
-        let result = match tokio::time::timeout(left, exchange).await {
-            Ok(Ok(answer)) => self.check(answer),
+        let result = match tokio::time::timeout(remaining, exchange).await {
+            Ok(Ok(answer)) => self.check_answer(answer),
             Ok(Err(e)) => Err(e),
             Err(_) => Err(ExchangeError {
                 reason: RefusalReason::Deadline,
@@ -57,12 +57,12 @@
             }),
         };
         match result {
-            Ok(answer) => self.on_answer(sent, answer, in_flight),
-            Err(e) => self.on_error(sent, &gate, e, in_flight),
+            Ok(answer) => self.handle_answer(sent, answer, in_flight),
+            Err(e) => self.handle_error(sent, &gate, e, in_flight),
         }
     }
 
-    fn plan(&self, key: VmKey, sends: u32) -> Option<(ExchangePlan, Arc<SendGate>)> {
+    fn exchange_plan(&self, key: VmKey, sends: u32) -> Option<(ExchangePlan, Arc<SendGate>)> {
         let router = self.cx.router();
         let vm = router.vm(key)?;
         decision_log::sent(&router, &self.id, &self.req, key, sends);
@@ -88,16 +88,16 @@
         if let Ok(id) = HeaderValue::from_str(&self.id) {
             req.headers_mut().insert(REQUEST_ID, id);
         }
-        let left = self.ask.deadline.since(Instant::now()).as_millis();
-        let left = u64::try_from(left).unwrap_or(u64::MAX);
-        req.headers_mut().insert(DEADLINE, HeaderValue::from(left));
+        let remaining = self.route_request.deadline.since(Instant::now()).as_millis();
+        let remaining = u64::try_from(remaining).unwrap_or(u64::MAX);
+        req.headers_mut().insert(DEADLINE, HeaderValue::from(remaining));
         req
     }
 
-    /// Checks that an answer is that of this request.
-    fn check(&self, answer: Answer) -> Result<Answer, ExchangeError> {
-        let named = answer.parts.headers.get(REQUEST_ID);
-        let is_ours = named.map(|id| id.as_bytes() == self.id.as_bytes());
+    /// Checks that an answer belongs to this request.
+    fn check_answer(&self, answer: Answer) -> Result<Answer, ExchangeError> {
+        let echoed_id = answer.parts.headers.get(REQUEST_ID);
+        let is_ours = echoed_id.map(|id| id.as_bytes() == self.id.as_bytes());
         if is_ours.unwrap_or(!self.service.echoes_request_id) {
             return Ok(answer);
         }
@@ -105,64 +105,67 @@
         Err(ExchangeError { reason: RefusalReason::BadAnswer, detail })
     }
 
-    fn on_answer(&self, sent: MaybeSent, answer: Answer, in_flight: InFlight) -> Sent {
+    fn handle_answer(&self, sent: MaybeSent, answer: Answer, in_flight: InFlight) -> SendOutcome {
         let header = |name| answer.parts.headers.get(name).and_then(|v| v.to_str().ok());
         if header(LEAVING) == Some("1") {
-            self.note_leaving(in_flight.vm());
+            self.record_leaving(in_flight.vm());
         }
         let status = answer.parts.status.as_u16();
-        if let Some(word) = BackendRefusal::from_answer(status, header(NOT_RUN)) {
-            in_flight.finish(SendResult::Bad);
-            let back = sent.refused_by_backend(&word);
+        if let Some(statement) = BackendRefusal::from_answer(status, header(NOT_RUN)) {
+            in_flight.finish(SendResult::Failure);
+            let restored = sent.refused_by_backend(&statement);
             let detail = "the backend server did not run it".to_owned();
-            return Sent::Again(back, RefusalReason::BackendRefused, detail);
+            return SendOutcome::Retry(restored, RefusalReason::BackendRefused, detail);
         }
         let is_error = answer.parts.status.is_server_error();
-        in_flight.finish(if is_error { SendResult::Bad } else { SendResult::Good });
-        if is_error && self.ask.repeatable {
-            return Sent::ServerError(answer, sent);
+        in_flight.finish(if is_error { SendResult::Failure } else { SendResult::Success });
+        if is_error && self.route_request.repeatable {
+            return SendOutcome::ServerError(answer, sent);
         }
-        Sent::Answered(answer)
+        SendOutcome::Answered(answer)
     }
 
-    fn on_error(
+    fn handle_error(
         &self,
         sent: MaybeSent,
         gate: &SendGate,
         e: ExchangeError,
         in_flight: InFlight,
-    ) -> Sent {
-        let late = e.reason == RefusalReason::Deadline;
+    ) -> SendOutcome {
+        let timed_out = e.reason == RefusalReason::Deadline;
         in_flight.finish(match e.reason {
-            RefusalReason::Connect => SendResult::NoConnect,
-            // A caller that waits for less than the service's own time proves nothing of the VM.
+            RefusalReason::Connect => SendResult::ConnectFailed,
+            // A caller's deadline below that of the service says nothing about the VM's health.
             RefusalReason::Deadline if self.has_short_deadline() => SendResult::Neutral,
-            _ => SendResult::Bad,
+            _ => SendResult::Failure,
         });
-        match sent.take_back(gate) {
-            Ok(back) if late => Sent::Refused(self.give_up(back, e.reason, RETRY_AFTER, e.detail)),
-            Ok(back) => {
-                let lapsed = Instant::now() >= self.cx.router().proof_until();
-                let reason = if lapsed { RefusalReason::NoProof } else { RefusalReason::Connect };
-                Sent::Again(back, reason, e.detail)
+        match sent.confirm_unsent(gate) {
+            Ok(restored) if timed_out => {
+                SendOutcome::Refused(self.abandon(restored, e.reason, RETRY_AFTER, e.detail))
             }
-            Err(sent) if self.ask.repeatable && !late => {
-                Sent::Again(sent.repeat(), e.reason, e.detail)
+            Ok(restored) => {
+                let proof_expired = Instant::now() >= self.cx.router().proof_until();
+                let reason =
+                    if proof_expired { RefusalReason::NoProof } else { RefusalReason::Connect };
+                SendOutcome::Retry(restored, reason, e.detail)
+            }
+            Err(sent) if self.route_request.repeatable && !timed_out => {
+                SendOutcome::Retry(sent.into_repeated(), e.reason, e.detail)
             }
             Err(sent) => {
                 let mut refusal = sent.refuse(e.reason, RETRY_AFTER);
                 refusal.detail = e.detail;
-                Sent::Refused(refusal)
+                SendOutcome::Refused(refusal)
             }
         }
     }
 
     fn has_short_deadline(&self) -> bool {
-        let own = Duration::from_millis(u64::from(self.service.deadline_ms));
-        self.req.deadline.is_some_and(|d| d < own)
+        let service_deadline = Duration::from_millis(u64::from(self.service.deadline_ms));
+        self.req.deadline.is_some_and(|d| d < service_deadline)
     }
 
-    fn note_leaving(&self, key: VmKey) {
+    fn record_leaving(&self, key: VmKey) {
         let name = self.cx.router().vm(key).map(|vm| vm.name.clone());
         let Some(name) = name else { return };
         let mut link = self.cx.link();
--- a/crates/entry/src/steward_link.rs
+++ b/crates/entry/src/steward_link.rs
@@ -1,4 +1,4 @@
-//! Following the view of the steward on the same VM.
+//! The link to the steward on the same VM: receives its view and reports this entry's state.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -12,37 +12,38 @@
 
 use crate::context::Context;
 
-/// How long the steward may take to reply.
-const TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause after a call that failed.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// The timeout of a call to the steward.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// The delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How far this entry's view is.
+/// The versions of this entry's view.
 #[derive(Default)]
-struct Position {
+struct ViewPosition {
     revision: Revision,
     hints: u64,
 }
 
-/// Follows the view until the process ends.
+/// Polls the steward for view updates until the process ends.
 pub async fn run(cx: Arc<Context>) {
     let line = LinkLine::new(cx.settings.steward);
-    let mut position = Position::default();
+    let mut position = ViewPosition::default();
     loop {
-        let asked = call(&cx, &line, &position);
-        // A drain that is finished is reported at once; the call given up is asked anew.
+        let pending_reply = call(&cx, &line, &position);
+        // A report that is due, such as a completed drain, cancels the pending call and starts a
+        // new one.
         let reply = tokio::select! {
-            reply = asked => reply,
+            reply = pending_reply => reply,
             () = cx.report_now.notified() => continue,
         };
         match reply {
-            Some(reply) => take(&cx, reply, &mut position),
-            None => tokio::time::sleep(RETRY_PAUSE).await,
+            Some(reply) => apply_reply(&cx, reply, &mut position),
+            None => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
 }
 
-async fn call(cx: &Context, line: &LinkLine, position: &Position) -> Option<ViewReply> {
+async fn call(cx: &Context, line: &LinkLine, position: &ViewPosition) -> Option<ViewReply> {
     let leaving = cx.link().leaving.clone();
     let report =
         EntryReport { offset: cx.link().offset, ready: cx.is_ready(), acks: cx.router().acks() };
@@ -54,15 +55,15 @@
         leaving,
     };
     let client = line.client().await.ok()?;
-    let call = client.view(context(TIMEOUT), req).await;
+    let call = client.view(context(CALL_TIMEOUT), req).await;
     line.check(call).await.ok()
 }
 
-/// Takes a reply over: first the view, then the proof that goes with it.
-fn take(cx: &Arc<Context>, reply: ViewReply, position: &mut Position) {
+/// Applies a reply: first the view update, then the proof of membership that belongs to it.
+fn apply_reply(cx: &Arc<Context>, reply: ViewReply, position: &mut ViewPosition) {
     let mut router = cx.router();
     if let Some(update) = &reply.update {
-        // A steward that was restarted may lag behind what this entry knows: never go back.
+        // A restarted steward may lag behind this entry's view, which must never go back.
         if update.offset < cx.link().offset {
             return;
         }
@@ -87,11 +88,11 @@
         link.voter_addrs = update.voter_addrs;
         link.members = update.members;
         drop(link);
-        cx.slots_now.notify_one();
+        cx.renew_slots_now.notify_one();
     }
 }
 
-/// Closes idle connections to VMs that may not be sent work any more.
+/// Closes idle connections to VMs that no longer accept requests.
 fn close_unused(cx: &Context, router: &thistle_request::Router) {
     let sendable = router.vms().filter(|vm| vm.is_sendable());
     let addrs: HashSet<_> = sendable.map(|vm| vm.facts.addr).collect();
--- a/crates/request/src/admit.rs
+++ b/crates/request/src/admit.rs
@@ -1,4 +1,5 @@
-//! Waiting for a slot: by tier, within the deadline, refused early when it cannot be met.
+//! Admission control: a queue ordered by tier that refuses requests that cannot meet their
+//! deadline.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,96 +7,98 @@
 use thistle_model::Tier;
 use thistle_model::clock::Instant;
 
-/// Weight of the newest service time in the moving mean, as 1 / this.
+/// The newest service time has a weight of `1 / SMOOTHING` in the moving mean.
 const SMOOTHING: f64 = 16.0;
-/// Mean deviations that are added to the mean service time.
-const DEVIATIONS: f64 = 2.0;
-/// Service time that is assumed before any was measured.
-const FIRST_GUESS: Duration = Duration::from_millis(20);
+/// The number of mean deviations added to the mean for a conservative service time.
+const DEVIATION_FACTOR: f64 = 2.0;
+/// The service time assumed before the first request completes.
+const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(20);
 
-/// When a request that would miss its deadline is refused.
+/// When to refuse a request that would miss its deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmitPolicy {
-    /// Only when the deadline has passed.
+    /// Only once the deadline has passed.
     Late,
-    /// At once, when the queue before it and its own service time exceed the deadline.
+    /// Immediately, if the expected wait plus the service time exceed the deadline.
     Deadline,
 }
 
-/// A waiting request.
+/// The identifier of a request in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// What became of a request that asked to wait.
+/// The result of adding a request to the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Push {
-    /// It waits.
+pub enum PushResult {
+    /// The request was queued.
     Queued,
-    /// It waits, and the request of this ticket was taken out for it and must be refused.
-    Displaced(Ticket),
-    /// It is refused.
+    /// The request was queued in place of the one with this ticket, which must be refused.
+    Evicted(Ticket),
+    /// The request was refused.
     Refused,
 }
 
-/// The queue is full of requests that go before.
-struct Full;
+/// The queue is full of requests of the same or a higher tier.
+struct QueueFull;
 
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
     deadline: Instant,
 }
 
-/// The queue of one pool at one entry.
+/// The queue of one pool at one entry, ordered by tier and arrival.
 #[derive(Clone, Debug)]
 pub struct Queue {
     policy: AdmitPolicy,
     waiting: BTreeMap<(Tier, Ticket), Waiting>,
     max: usize,
-    service: f64,
-    deviation: f64,
+    mean_service_time: f64,
+    mean_deviation: f64,
 }
 
 impl Queue {
-    /// Makes an empty queue of at most `max` requests.
+    /// Creates an empty queue for at most `max` requests.
     pub fn new(policy: AdmitPolicy, max: usize) -> Self {
         Self {
             policy,
             waiting: BTreeMap::new(),
             max,
-            service: FIRST_GUESS.as_secs_f64(),
-            deviation: 0.0,
+            mean_service_time: INITIAL_SERVICE_TIME.as_secs_f64(),
+            mean_deviation: 0.0,
         }
     }
 
-    /// Returns how many wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Returns whether none waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Returns the moving mean of service times.
+    /// Returns the moving mean of the service times.
     pub fn service_time(&self) -> Duration {
-        Duration::from_secs_f64(self.service)
+        Duration::from_secs_f64(self.mean_service_time)
     }
 
-    /// Notes how long an answered request was at its VM.
-    pub fn on_service(&mut self, took: Duration) {
-        let off = took.as_secs_f64() - self.service;
-        self.service += off / SMOOTHING;
-        self.deviation += (off.abs() - self.deviation) / SMOOTHING;
+    /// Records how long a VM took to answer a request.
+    pub fn record_service_time(&mut self, took: Duration) {
+        let deviation = took.as_secs_f64() - self.mean_service_time;
+        self.mean_service_time += deviation / SMOOTHING;
+        self.mean_deviation += (deviation.abs() - self.mean_deviation) / SMOOTHING;
     }
 
-    /// Returns how long a new request of `tier` would wait when `slots` serve the queue.
+    /// Returns the expected wait of a new request of `tier` when `slots` slots serve the queue.
     pub fn expected_wait(&self, tier: Tier, slots: u32) -> Duration {
         let ahead = self.waiting.range(..=(tier, Ticket(u64::MAX))).count();
-        Duration::from_secs_f64(self.service * (ahead + 1) as f64 / f64::from(slots.max(1)))
+        Duration::from_secs_f64(
+            self.mean_service_time * (ahead + 1) as f64 / f64::from(slots.max(1)),
+        )
     }
 
-    /// Lets a request wait, or refuses it at once.
+    /// Queues a request, or refuses it immediately.
     pub fn push(
         &mut self,
         ticket: Ticket,
@@ -103,27 +106,28 @@
         deadline: Instant,
         slots: u32,
         now: Instant,
-    ) -> Push {
-        if now >= deadline || !self.meets(tier, deadline, slots, now) {
-            return Push::Refused;
+    ) -> PushResult {
+        if now >= deadline || !self.can_meet_deadline(tier, deadline, slots, now) {
+            return PushResult::Refused;
         }
-        let displaced = match self.make_room(tier) {
-            Ok(displaced) => displaced,
-            Err(Full) => return Push::Refused,
+        let evicted = match self.make_room(tier) {
+            Ok(evicted) => evicted,
+            Err(QueueFull) => return PushResult::Refused,
         };
         self.waiting.insert((tier, ticket), Waiting { deadline });
-        displaced.map_or(Push::Queued, Push::Displaced)
+        evicted.map_or(PushResult::Queued, PushResult::Evicted)
     }
 
-    /// Removes a request that no longer waits.
+    /// Removes a request from the queue.
     pub fn remove(&mut self, ticket: Ticket, tier: Tier) {
         self.waiting.remove(&(tier, ticket));
     }
 
-    /// Takes the next request that can still meet its deadline; those that cannot go to `refused`.
+    /// Removes and returns the next request that can still meet its deadline; requests before it
+    /// that cannot are moved to `refused`.
     pub fn pop(&mut self, now: Instant, refused: &mut Vec<Ticket>) -> Option<Ticket> {
         while let Some(((_, ticket), w)) = self.waiting.pop_first() {
-            if self.is_in_time(w.deadline, now) {
+            if self.can_finish_in_time(w.deadline, now) {
                 return Some(ticket);
             }
             refused.push(ticket);
@@ -131,11 +135,11 @@
         None
     }
 
-    /// Removes the requests that can no longer meet their deadline.
+    /// Moves all requests that can no longer meet their deadline to `refused`.
     pub fn drop_late(&mut self, now: Instant, refused: &mut Vec<Ticket>) {
-        let service = self.needed();
+        let required = self.required_time();
         self.waiting.retain(|&(_, ticket), w| {
-            let in_time = now + service < w.deadline;
+            let in_time = now + required < w.deadline;
             if !in_time {
                 refused.push(ticket);
             }
@@ -143,40 +147,42 @@
         });
     }
 
-    /// Returns a service time that most requests stay under: run times are far from their mean, and
-    /// a run that ends after its deadline is work for nothing.
-    fn ample_time(&self) -> Duration {
-        Duration::from_secs_f64(self.service + DEVIATIONS * self.deviation)
+    /// Returns a service time that most requests stay below.
+    ///
+    /// Service times vary widely around their mean, and a run that ends after its deadline is
+    /// wasted.
+    fn conservative_service_time(&self) -> Duration {
+        Duration::from_secs_f64(self.mean_service_time + DEVIATION_FACTOR * self.mean_deviation)
     }
 
-    fn needed(&self) -> Duration {
+    fn required_time(&self) -> Duration {
         match self.policy {
             AdmitPolicy::Late => Duration::ZERO,
-            AdmitPolicy::Deadline => self.ample_time(),
+            AdmitPolicy::Deadline => self.conservative_service_time(),
         }
     }
 
-    fn is_in_time(&self, deadline: Instant, now: Instant) -> bool {
-        now + self.needed() < deadline
+    fn can_finish_in_time(&self, deadline: Instant, now: Instant) -> bool {
+        now + self.required_time() < deadline
     }
 
-    fn meets(&self, tier: Tier, deadline: Instant, slots: u32, now: Instant) -> bool {
+    fn can_meet_deadline(&self, tier: Tier, deadline: Instant, slots: u32, now: Instant) -> bool {
         match self.policy {
             AdmitPolicy::Late => true,
             AdmitPolicy::Deadline => {
-                now + self.expected_wait(tier, slots) + self.ample_time() < deadline
+                now + self.expected_wait(tier, slots) + self.conservative_service_time() < deadline
             }
         }
     }
 
-    /// Makes room for one request, by taking out the last one of a lower tier when it must.
-    fn make_room(&mut self, tier: Tier) -> Result<Option<Ticket>, Full> {
+    /// Makes room for one request; a full queue evicts its last request if that has a lower tier.
+    fn make_room(&mut self, tier: Tier) -> Result<Option<Ticket>, QueueFull> {
         if self.waiting.len() < self.max {
             return Ok(None);
         }
         let last = self.waiting.last_key_value().map(|(&key, _)| key);
         let Some(key) = last.filter(|&(t, _)| t > tier) else {
-            return Err(Full);
+            return Err(QueueFull);
         };
         self.waiting.remove(&key);
         Ok(Some(key.1))
--- a/crates/request/src/breaker.rs
+++ b/crates/request/src/breaker.rs
@@ -1,127 +1,130 @@
-//! Outlier detection: a VM that fails its requests is set aside and comes back by trial.
+//! Outlier detection: a VM whose requests fail is excluded, then readmitted after a trial request.
 
 use std::time::Duration;
 
 use thistle_model::clock::Instant;
 
-/// Results after which a VM can be judged.
+/// The minimum number of results before the failure share is considered.
 const MIN_RESULTS: u32 = 5;
-/// Weight of the newest result in the moving share of failures, as 1 / this.
+/// The newest result has a weight of `1 / SMOOTHING` in the moving failure share.
 const SMOOTHING: f64 = 8.0;
-/// Share of failures from which a VM is set aside.
-const BAD_SHARE: f64 = 0.5;
-/// Failures in a row after which a VM is set aside.
-const MAX_BAD_IN_ROW: u32 = 3;
-/// Failures to connect in a row after which a VM is set aside without further judging.
+/// The failure share from which a VM is excluded.
+const MAX_FAILURE_SHARE: f64 = 0.5;
+/// The number of consecutive failures after which a VM is excluded.
+const MAX_FAILURES_IN_ROW: u32 = 3;
+/// The number of consecutive connection failures after which a VM is excluded, whatever its failure
+/// share.
 const MAX_CONNECT_FAILURES: u32 = 1;
-/// First time for which a VM is set aside.
-const FIRST_PAUSE: Duration = Duration::from_secs(1);
-/// Longest time for which a VM is set aside.
-const MAX_PAUSE: Duration = Duration::from_secs(30);
+/// The duration of the first exclusion; each failed trial doubles it.
+const FIRST_EXCLUSION: Duration = Duration::from_secs(1);
+/// The maximum duration of an exclusion.
+const MAX_EXCLUSION: Duration = Duration::from_secs(30);
 
-/// How a send to a VM ended, as far as the VM's health goes.
+/// The result of a send, as evidence of the VM's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendResult {
-    /// A whole answer that is no server error.
-    Good,
-    /// A server error, a broken connection or a bad answer.
-    Bad,
-    /// The connection could not be made.
-    NoConnect,
-    /// The entry gave the request up for reasons that do not speak of the VM.
+    /// A complete response that is not a server error.
+    Success,
+    /// A server error, a broken connection or an invalid response.
+    Failure,
+    /// The connection could not be established.
+    ConnectFailed,
+    /// The entry abandoned the request for a reason that says nothing about the VM's health.
     Neutral,
 }
 
-/// The health of one VM as one entry sees it.
+/// The health of one VM as observed by one entry.
 #[derive(Clone, Debug, Default)]
 pub struct Breaker {
     results: u32,
-    bad_share: f64,
-    bad_in_row: u32,
+    failure_share: f64,
+    failures_in_row: u32,
     connect_failures: u32,
-    aside_until: Option<Instant>,
-    pause: Duration,
-    trial: bool,
+    excluded_until: Option<Instant>,
+    exclusion_time: Duration,
+    trial_in_flight: bool,
 }
 
-/// Whether a VM may be chosen.
+/// Whether a VM may receive requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// It takes work.
-    Good,
-    /// It is set aside.
-    Aside,
-    /// It may take one request as a trial.
+pub enum Availability {
+    /// The VM receives requests.
+    Available,
+    /// The VM is excluded.
+    Excluded,
+    /// The VM may receive one trial request.
     Trial,
 }
 
 impl Breaker {
-    /// Returns whether the VM may be chosen at `now`.
-    pub fn standing(&self, now: Instant) -> Standing {
-        match self.aside_until {
-            None => Standing::Good,
-            Some(until) if now < until || self.trial => Standing::Aside,
-            Some(_) => Standing::Trial,
+    /// Returns whether the VM may receive requests at `now`.
+    pub fn availability(&self, now: Instant) -> Availability {
+        match self.excluded_until {
+            None => Availability::Available,
+            Some(until) if now < until || self.trial_in_flight => Availability::Excluded,
+            Some(_) => Availability::Trial,
         }
     }
 
-    /// Returns whether the VM is set aside or on trial.
-    pub const fn is_aside(&self) -> bool {
-        self.aside_until.is_some()
+    /// Returns whether the VM is excluded or on trial.
+    pub const fn is_excluded(&self) -> bool {
+        self.excluded_until.is_some()
     }
 
-    /// Returns the moving share of failures.
-    pub const fn bad_share(&self) -> f64 {
-        self.bad_share
+    /// Returns the moving failure share.
+    pub const fn failure_share(&self) -> f64 {
+        self.failure_share
     }
 
-    /// Notes that the trial request was sent.
-    pub const fn begin_trial(&mut self) {
-        self.trial = true;
+    /// Records that the trial request was sent.
+    pub const fn start_trial(&mut self) {
+        self.trial_in_flight = true;
     }
 
-    /// Notes a result; `may_set_aside` is false when too many VMs of the pool are aside already
-    /// or the whole pool fails alike.
-    pub fn on_result(&mut self, result: SendResult, may_set_aside: bool, now: Instant) {
-        let bad = match result {
+    /// Records a result; `may_exclude` is false if too many VMs of the pool are already excluded
+    /// or the whole pool fails in the same way.
+    pub fn record_result(&mut self, result: SendResult, may_exclude: bool, now: Instant) {
+        let failed = match result {
             SendResult::Neutral => {
-                self.trial = false;
+                self.trial_in_flight = false;
                 return;
             }
-            SendResult::Good => false,
-            SendResult::Bad | SendResult::NoConnect => true,
+            SendResult::Success => false,
+            SendResult::Failure | SendResult::ConnectFailed => true,
         };
         self.results = self.results.saturating_add(1);
-        self.bad_share += (f64::from(u8::from(bad)) - self.bad_share) / SMOOTHING;
-        self.bad_in_row = if bad { self.bad_in_row + 1 } else { 0 };
-        if result == SendResult::NoConnect {
+        self.failure_share += (f64::from(u8::from(failed)) - self.failure_share) / SMOOTHING;
+        self.failures_in_row = if failed { self.failures_in_row + 1 } else { 0 };
+        if result == SendResult::ConnectFailed {
             self.connect_failures += 1;
         } else {
             self.connect_failures = 0;
         }
-        if self.trial {
-            self.end_trial(bad, now);
-        } else if self.aside_until.is_none() && may_set_aside && self.is_bad() {
-            self.set_aside(FIRST_PAUSE, now);
+        if self.trial_in_flight {
+            self.end_trial(failed, now);
+        } else if self.excluded_until.is_none() && may_exclude && self.is_failing() {
+            self.exclude(FIRST_EXCLUSION, now);
         }
     }
 
-    fn is_bad(&self) -> bool {
-        let judged = self.results >= MIN_RESULTS && self.bad_share >= BAD_SHARE;
-        judged || self.bad_in_row >= MAX_BAD_IN_ROW || self.connect_failures >= MAX_CONNECT_FAILURES
+    fn is_failing(&self) -> bool {
+        let share_too_high = self.results >= MIN_RESULTS && self.failure_share >= MAX_FAILURE_SHARE;
+        share_too_high
+            || self.failures_in_row >= MAX_FAILURES_IN_ROW
+            || self.connect_failures >= MAX_CONNECT_FAILURES
     }
 
-    fn end_trial(&mut self, bad: bool, now: Instant) {
-        self.trial = false;
-        if bad {
-            self.set_aside((self.pause * 2).min(MAX_PAUSE), now);
+    fn end_trial(&mut self, failed: bool, now: Instant) {
+        self.trial_in_flight = false;
+        if failed {
+            self.exclude((self.exclusion_time * 2).min(MAX_EXCLUSION), now);
             return;
         }
         *self = Self::default();
     }
 
-    fn set_aside(&mut self, pause: Duration, now: Instant) {
-        self.pause = pause;
-        self.aside_until = Some(now + pause);
+    fn exclude(&mut self, duration: Duration, now: Instant) {
+        self.exclusion_time = duration;
+        self.excluded_until = Some(now + duration);
     }
 }
--- a/crates/request/src/router/mod.rs
+++ b/crates/request/src/router/mod.rs
@@ -1,4 +1,4 @@
-//! The router of an entry: which VM gets a request, who waits, who is refused.
+//! The router of an entry, which sends each request to a VM, queues it or refuses it.
 
 mod choose;
 mod lease;
@@ -17,47 +17,47 @@
 pub use load::{PoolKey, PoolLoad, VmKey, VmLoad};
 pub use view::DrainAck;
 
-use crate::admit::{AdmitPolicy, Push, Ticket};
-use crate::breaker::{SendResult, Standing};
+use crate::admit::{AdmitPolicy, PushResult, Ticket};
+use crate::breaker::{Availability, SendResult};
 use crate::exchange::Pending;
 use crate::retry::RetryBudget;
 
-/// How the VM for a request is chosen.
+/// How to choose the VM for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChoicePolicy {
-    /// Any VM of the pool, whatever it has in flight.
+    /// A random VM of the pool, regardless of its load.
     Random,
-    /// The one with less in flight of two random VMs, by this entry's own count.
+    /// The less loaded of two random VMs, by this entry's own requests in flight.
     TwoChoices,
-    /// The same among VMs on which this entry holds a free slot of its lease.
+    /// The less loaded of two random VMs on which this entry has an idle leased slot.
     Leased,
 }
 
 /// When a failed request may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// Always, up to the most sends.
+    /// Always, up to the maximum number of sends.
     Always,
-    /// Within a budget that is this percentage of the sends.
+    /// Within a budget of this percentage of the requests.
     Budget(u32),
 }
 
-/// The policies and bounds of a router.
+/// The policies and limits of a router.
 #[derive(Clone, Debug)]
 pub struct RouterConfig {
-    /// How the VM is chosen.
+    /// How to choose the VM for a request.
     pub choice: ChoicePolicy,
-    /// When a request that would be late is refused.
+    /// When to refuse a request that would miss its deadline.
     pub admit: AdmitPolicy,
-    /// When a request may be sent again.
+    /// When a failed request may be sent again.
     pub retry: RetryPolicy,
-    /// Requests that may wait in one pool.
+    /// The maximum number of requests that wait in one pool.
     pub max_queue: usize,
-    /// The most VMs of a pool that are set aside for errors, in percent.
-    pub max_aside_percent: u32,
-    /// The most sends of one request.
+    /// The maximum share of a pool's VMs that errors may exclude, in percent.
+    pub max_excluded_percent: u32,
+    /// The maximum number of sends of one request.
     pub max_sends: u32,
-    /// A number of this entry's own, for its random choices and its order of VMs.
+    /// A seed specific to this entry, for its random choices and its order of VMs.
     pub seed: u64,
 }
 
@@ -68,71 +68,71 @@
             admit: AdmitPolicy::Deadline,
             retry: RetryPolicy::Budget(8),
             max_queue: 1_024,
-            max_aside_percent: 30,
+            max_excluded_percent: 30,
             max_sends: MAX_SENDS,
             seed: 1,
         }
     }
 }
 
-/// The most sends of one request.
+/// The default maximum number of sends of one request.
 const MAX_SENDS: u32 = 5;
-/// Retries that may be done before the budget has filled.
+/// The capacity of the retry budget, which starts full, in retries.
 const RETRY_BURST: u32 = 20;
-/// Shortest time after which a refused caller is told to come back.
+/// The minimum retry delay reported with a refusal.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// What the router needs to know of a request.
+/// The properties of a request that the router needs.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
-    /// The request's ticket.
+pub struct RouteRequest {
+    /// The ticket of the request.
     pub ticket: Ticket,
-    /// Its pool.
+    /// The pool.
     pub pool: PoolKey,
-    /// Its tier.
+    /// The tier.
     pub tier: Tier,
-    /// When its answer is worth nothing any more.
+    /// The time after which the caller no longer needs the answer.
     pub deadline: Instant,
-    /// Whether it may go to a VM that is on trial.
+    /// Whether the request may be repeated, so that it may serve as a VM's trial request.
     pub repeatable: bool,
-    /// VMs on which it failed before.
-    pub avoid: Avoid,
+    /// The VMs on which the request failed before.
+    pub failed_vms: FailedVms,
 }
 
-/// VMs on which a request failed before, the last few.
+/// The VMs on which the last few sends of a request failed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Avoid([Option<VmKey>; MAX_SENDS as usize]);
+pub struct FailedVms([Option<VmKey>; MAX_SENDS as usize]);
 
-impl Avoid {
+impl FailedVms {
     /// Adds a VM.
     pub fn add(&mut self, vm: VmKey) {
         self.0.rotate_right(1);
         self.0[0] = Some(vm);
     }
 
-    /// Returns whether a VM is to be avoided.
+    /// Returns whether the request failed on a VM.
     pub fn contains(&self, vm: VmKey) -> bool {
         self.0.contains(&Some(vm))
     }
 }
 
-/// What is to be done with a request.
+/// The router's decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it to this VM, on which it now counts as in flight.
+    /// Send the request to this VM, which now counts the request as in flight.
     Send(VmKey),
-    /// Keep it until the router says more.
+    /// Keep the request until the router returns a [`Wake`] for it.
     Wait,
-    /// Refuse it now.
+    /// Refuse the request now, with this reason and retry delay.
     Refuse(RefusalReason, Duration),
 }
 
-/// A decision on a request that waited.
+/// A decision on a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Wake {
-    /// The request.
+    /// The ticket of the request.
     pub ticket: Ticket,
-    /// What is to be done with it.
+    /// The decision.
     pub decision: Decision,
 }
 
@@ -144,14 +144,14 @@
     pool_keys: HashMap<PoolName, PoolKey>,
     vms: SlotMap<VmKey, VmLoad>,
     vm_keys: HashMap<VmName, VmKey>,
-    asks: HashMap<Ticket, Ask>,
+    waiting: HashMap<Ticket, RouteRequest>,
     budget: RetryBudget,
     rng: SmallRng,
     proof_until: Instant,
 }
 
 impl Router {
-    /// Makes a router that knows no pool.
+    /// Creates a router without pools.
     pub fn new(cfg: RouterConfig) -> Self {
         let budget = match cfg.retry {
             RetryPolicy::Always => RetryBudget::new(0, 0),
@@ -164,7 +164,7 @@
             pool_keys: HashMap::new(),
             vms: SlotMap::with_key(),
             vm_keys: HashMap::new(),
-            asks: HashMap::new(),
+            waiting: HashMap::new(),
             budget,
             rng,
             proof_until: Instant::default(),
@@ -197,90 +197,95 @@
         self.vms.values()
     }
 
-    /// Sets until when this entry has proof that it is a member.
+    /// Extends the time until which this entry has proof of membership.
     pub fn set_proof(&mut self, until: Instant) {
         self.proof_until = self.proof_until.max(until);
     }
 
-    /// Returns until when this entry has proof that it is a member.
+    /// Returns the time until which this entry has proof of membership.
     pub const fn proof_until(&self) -> Instant {
         self.proof_until
     }
 
-    /// Returns the requests that are waiting or in flight.
+    /// Returns the number of requests that are waiting or in flight.
     pub fn in_flight(&self) -> usize {
         let sent: usize = self.vms.values().map(|vm| usize::from(vm.in_flight)).sum();
-        sent + self.asks.len()
+        sent + self.waiting.len()
     }
 
     /// Decides on a new request.
-    pub fn submit(&mut self, ask: Ask, now: Instant) -> Decision {
-        self.budget.on_send();
-        self.place(ask, now)
+    pub fn submit(&mut self, request: RouteRequest, now: Instant) -> Decision {
+        self.budget.record_first_send();
+        self.route(request, now)
     }
 
-    /// Decides on a request whose send failed; `None` when it may not be sent again.
+    /// Decides on a request whose send failed; returns `None` if it may not be sent again.
     ///
-    /// Only a request that may have run uses the budget: another try of one of which nothing went
-    /// out adds no work anywhere.
-    pub fn resubmit(&mut self, ask: Ask, state: &Pending, now: Instant) -> Option<Decision> {
-        if state.sends() >= self.cfg.max_sends || now >= ask.deadline {
+    /// Only a request that may have run takes from the retry budget: a retry of one that did not
+    /// run adds no load.
+    pub fn resubmit(
+        &mut self,
+        request: RouteRequest,
+        state: &Pending,
+        now: Instant,
+    ) -> Option<Decision> {
+        if state.sends() >= self.cfg.max_sends || now >= request.deadline {
             return None;
         }
         let allowed = match (self.cfg.retry, state) {
             (RetryPolicy::Always, _) | (_, Pending::Unsent(_)) => true,
-            (RetryPolicy::Budget(_), Pending::Repeated(_)) => self.budget.take(now),
+            (RetryPolicy::Budget(_), Pending::Repeated(_)) => self.budget.try_take(now),
         };
-        allowed.then(|| self.place(ask, now))
+        allowed.then(|| self.route(request, now))
     }
 
-    fn place(&mut self, ask: Ask, now: Instant) -> Decision {
-        if now >= ask.deadline {
+    fn route(&mut self, request: RouteRequest, now: Instant) -> Decision {
+        if now >= request.deadline {
             return Decision::Refuse(RefusalReason::Deadline, MIN_RETRY_AFTER);
         }
         if now >= self.proof_until {
             return Decision::Refuse(RefusalReason::NoProof, MIN_RETRY_AFTER);
         }
-        let queued = self.pools.get(ask.pool).map_or(0, |p| p.queue.len());
+        let queued = self.pools.get(request.pool).map_or(0, |p| p.queue.len());
         if queued == 0
-            && let Some(vm) = self.choose(&ask, now)
+            && let Some(vm) = self.choose(&request, now)
         {
-            self.begin(vm, now);
+            self.start_send(vm, now);
             return Decision::Send(vm);
         }
-        self.enqueue(ask, now)
+        self.enqueue(request, now)
     }
 
-    fn enqueue(&mut self, ask: Ask, now: Instant) -> Decision {
-        let slots = self.slots_for(ask.pool, now);
-        let can_serve = self.has_vm(ask.pool);
-        let Some(pool) = self.pools.get_mut(ask.pool) else {
+    fn enqueue(&mut self, request: RouteRequest, now: Instant) -> Decision {
+        let slots = self.slots_for(request.pool, now);
+        let can_serve = self.has_sendable_vm(request.pool);
+        let Some(pool) = self.pools.get_mut(request.pool) else {
             return Decision::Refuse(RefusalReason::NoSuchService, MIN_RETRY_AFTER);
         };
         if !can_serve {
             return Decision::Refuse(RefusalReason::NoVm, Duration::from_secs(1));
         }
-        let wait = pool.queue.expected_wait(ask.tier, slots).max(MIN_RETRY_AFTER);
-        match pool.queue.push(ask.ticket, ask.tier, ask.deadline, slots, now) {
-            Push::Refused => return Decision::Refuse(RefusalReason::Overload, wait),
-            Push::Queued => {}
-            Push::Displaced(ticket) => pool.displaced.push(ticket),
+        let wait = pool.queue.expected_wait(request.tier, slots).max(MIN_RETRY_AFTER);
+        match pool.queue.push(request.ticket, request.tier, request.deadline, slots, now) {
+            PushResult::Refused => return Decision::Refuse(RefusalReason::Overload, wait),
+            PushResult::Queued => {}
+            PushResult::Evicted(ticket) => pool.evicted.push(ticket),
         }
-        self.asks.insert(ask.ticket, ask);
+        self.waiting.insert(request.ticket, request);
         Decision::Wait
     }
 
-    /// Forgets a waiting request whose caller went away.
+    /// Removes a waiting request whose caller no longer waits.
     pub fn cancel(&mut self, ticket: Ticket) {
-        let Some(ask) = self.asks.remove(&ticket) else {
+        let Some(request) = self.waiting.remove(&ticket) else {
             return;
         };
-        if let Some(pool) = self.pools.get_mut(ask.pool) {
-            pool.queue.remove(ticket, ask.tier);
+        if let Some(pool) = self.pools.get_mut(request.pool) {
+            pool.queue.remove(ticket, request.tier);
         }
     }
 
-    /// Notes the end of a send and returns decisions on waiting requests.
+    /// Records the end of a send and returns decisions on waiting requests.
     pub fn finish(
         &mut self,
         key: VmKey,
@@ -292,22 +297,23 @@
             return Vec::new();
         };
         let pool = vm.pool;
-        let may_set_aside = self.may_set_aside(key, result);
+        let may_exclude = self.may_exclude(key, result);
         let vm = &mut self.vms[key];
         vm.in_flight = vm.in_flight.saturating_sub(1);
-        vm.breaker.on_result(result, may_set_aside, now);
-        if result == SendResult::Good
+        vm.breaker.record_result(result, may_exclude, now);
+        if result == SendResult::Success
             && let Some(pool) = self.pools.get_mut(pool)
         {
-            pool.queue.on_service(took);
+            pool.queue.record_service_time(took);
         }
-        self.forget_idle(key);
+        self.remove_unused(key);
         self.dispatch(pool, now)
     }
 
-    /// Returns decisions that are due because time passed or leases came.
+    /// Returns decisions on waiting requests that are due as time has passed or leases were
+    /// granted.
     pub fn poll(&mut self, now: Instant) -> Vec<Wake> {
-        let busy = |(_, p): &(PoolKey, &PoolLoad)| !p.queue.is_empty() || !p.displaced.is_empty();
+        let busy = |(_, p): &(PoolKey, &PoolLoad)| !p.queue.is_empty() || !p.evicted.is_empty();
         let keys: Vec<_> = self.pools.iter().filter(busy).map(|(k, _)| k).collect();
         keys.into_iter().flat_map(|key| self.dispatch(key, now)).collect()
     }
@@ -317,13 +323,13 @@
         let mut late = Vec::new();
         if let Some(pool) = self.pools.get_mut(key) {
             pool.queue.drop_late(now, &mut late);
-            late.append(&mut pool.displaced);
+            late.append(&mut pool.evicted);
         }
         while let Some(wake) = self.dispatch_one(key, now, &mut late) {
             wakes.push(wake);
         }
         for ticket in late {
-            self.asks.remove(&ticket);
+            self.waiting.remove(&ticket);
             let retry_after = self.retry_after(key, now);
             let decision = Decision::Refuse(RefusalReason::Overload, retry_after);
             wakes.push(Wake { ticket, decision });
@@ -336,18 +342,18 @@
         if pool.queue.is_empty() || now >= self.proof_until {
             return None;
         }
-        let probe = Ask {
+        let any_request = RouteRequest {
             ticket: Ticket(0),
             pool: key,
             tier: Tier::Bronze,
             deadline: now,
             repeatable: false,
-            avoid: Avoid::default(),
+            failed_vms: FailedVms::default(),
         };
-        let vm = self.choose(&probe, now)?;
+        let vm = self.choose(&any_request, now)?;
         let ticket = self.pools.get_mut(key)?.queue.pop(now, late)?;
-        self.asks.remove(&ticket);
-        self.begin(vm, now);
+        self.waiting.remove(&ticket);
+        self.start_send(vm, now);
         Some(Wake { ticket, decision: Decision::Send(vm) })
     }
 
@@ -357,11 +363,11 @@
         wait.unwrap_or_default().max(MIN_RETRY_AFTER)
     }
 
-    fn begin(&mut self, key: VmKey, now: Instant) {
+    fn start_send(&mut self, key: VmKey, now: Instant) {
         let vm = &mut self.vms[key];
         vm.in_flight += 1;
-        if vm.breaker.standing(now) == Standing::Trial {
-            vm.breaker.begin_trial();
+        if vm.breaker.availability(now) == Availability::Trial {
+            vm.breaker.start_trial();
         }
     }
 }
--- a/crates/request/tests/router.rs
+++ b/crates/request/tests/router.rs
@@ -1,4 +1,4 @@
-//! The router's decisions, case by case.
+//! The router's decisions in individual cases.
 
 use std::time::Duration;
 
@@ -11,7 +11,9 @@
 };
 use thistle_request::admit::Ticket;
 use thistle_request::breaker::SendResult;
-use thistle_request::router::{Ask, Avoid, Decision, Router, RouterConfig, VmKey, Wake};
+use thistle_request::router::{
+    Decision, FailedVms, RouteRequest, Router, RouterConfig, VmKey, Wake,
+};
 use thistle_request::slot_home::SlotGrant;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -24,7 +26,7 @@
     VmName::new(&format!("vm-{i}")).unwrap()
 }
 
-/// A view with `vms` VMs that may be sent work and the drained ones.
+/// Returns a view of a pool with VMs `0..vms`, of which those in `drained` are drained.
 fn view(vms: usize, drained: &[usize]) -> ViewUpdate {
     let service = Service {
         name: ServiceName::new("s").unwrap(),
@@ -53,7 +55,7 @@
     ViewUpdate { offset: Offset(1), pools: vec![pool], ..ViewUpdate::default() }
 }
 
-/// A router with `slots` leased on each of `vms` VMs and proof for an hour.
+/// Returns a router with `slots` leased on each of `vms` VMs and proof of membership for an hour.
 fn router(vms: usize, slots: u16, max_queue: usize) -> Router {
     let mut router = Router::new(RouterConfig { max_queue, ..RouterConfig::default() });
     router.apply_view(&view(vms, &[]));
@@ -64,18 +66,25 @@
     router
 }
 
-fn lease(router: &mut Router, i: usize, slots: u16, asked: Instant) {
-    router.apply_grant(&SlotGrant { vm: vm(i), slots, share: slots, free: 0 }, asked);
+fn lease(router: &mut Router, i: usize, slots: u16, requested_at: Instant) {
+    router.apply_grant(&SlotGrant { vm: vm(i), slots, share: slots, free: 0 }, requested_at);
 }
 
-fn ask(router: &Router, ticket: u64, tier: Tier, deadline: Instant) -> Ask {
+fn request(router: &Router, ticket: u64, tier: Tier, deadline: Instant) -> RouteRequest {
     let pool = router.pool_key("pool").unwrap();
-    Ask { ticket: Ticket(ticket), pool, tier, deadline, repeatable: true, avoid: Avoid::default() }
+    RouteRequest {
+        ticket: Ticket(ticket),
+        pool,
+        tier,
+        deadline,
+        repeatable: true,
+        failed_vms: FailedVms::default(),
+    }
 }
 
 fn submit(router: &mut Router, ticket: u64, tier: Tier, deadline_ms: u64) -> Decision {
-    let ask = ask(router, ticket, tier, at(deadline_ms));
-    router.submit(ask, at(0))
+    let request = request(router, ticket, tier, at(deadline_ms));
+    router.submit(request, at(0))
 }
 
 fn sent_to(decision: Decision) -> VmKey {
@@ -97,17 +106,17 @@
 }
 
 #[gtest]
-fn lapsed_lease_sends_nothing_more() {
+fn nothing_is_sent_after_the_lease_expired() {
     let mut router = router(1, 4, 10);
-    let ask = ask(&router, 1, Tier::Gold, at(10_000));
-    expect_that!(router.submit(ask, at(2_000)), eq(Decision::Wait));
+    let request = request(&router, 1, Tier::Gold, at(10_000));
+    expect_that!(router.submit(request, at(2_000)), eq(Decision::Wait));
 }
 
 #[gtest]
-fn lapsed_proof_refuses_at_once() {
+fn request_is_refused_immediately_after_the_proof_expired() {
     let mut router = router(1, 4, 10);
-    let ask = ask(&router, 1, Tier::Gold, at(4_000_000));
-    let decision = router.submit(ask, at(3_600_000));
+    let request = request(&router, 1, Tier::Gold, at(4_000_000));
+    let decision = router.submit(request, at(3_600_000));
     expect_that!(
         decision,
         matches_pattern!(Decision::Refuse(eq(RefusalReason::NoProof), anything()))
@@ -115,12 +124,12 @@
 }
 
 #[gtest]
-fn request_that_cannot_meet_its_deadline_is_refused_at_once() {
+fn request_that_cannot_meet_its_deadline_is_refused_immediately() {
     let mut router = router(1, 1, 100);
     let first = sent_to(submit(&mut router, 1, Tier::Gold, 1_000));
-    // A service time of 200 ms is learned; the one slot is then taken by a second request.
+    // The mean service time becomes 200 ms; a second request then occupies the only slot.
     for n in 0..100 {
-        router.finish(first, SendResult::Good, SECOND / 5, at(0));
+        router.finish(first, SendResult::Success, SECOND / 5, at(0));
         sent_to(submit(&mut router, 2 + n, Tier::Gold, 1_000));
     }
     let decision = submit(&mut router, 500, Tier::Gold, 300);
@@ -138,12 +147,12 @@
     sent_to(submit(&mut router, 1, Tier::Gold, 10_000));
     expect_that!(submit(&mut router, 2, Tier::Gold, 1_000), eq(Decision::Wait));
     expect_that!(refused(&router.poll(at(500))), is_empty());
-    // 20 ms, the first guess of a service time, before its deadline and not at it.
+    // The request is refused 20 ms (the initial service time) before its deadline, not at it.
     expect_that!(refused(&router.poll(at(985))), elements_are![eq(&2)]);
 }
 
 #[gtest]
-fn full_queue_gives_way_to_a_higher_tier() {
+fn full_queue_evicts_a_request_for_a_higher_tier() {
     let mut router = router(1, 1, 1);
     sent_to(submit(&mut router, 1, Tier::Gold, 10_000));
     expect_that!(submit(&mut router, 2, Tier::Bronze, 10_000), eq(Decision::Wait));
@@ -161,13 +170,13 @@
     expect_that!(router.acks(), is_empty());
     let next = submit(&mut router, 2, Tier::Gold, 1_000);
     expect_that!(next, matches_pattern!(Decision::Refuse(eq(RefusalReason::NoVm), anything())));
-    router.finish(key, SendResult::Good, SECOND / 100, at(10));
+    router.finish(key, SendResult::Success, SECOND / 100, at(10));
     let acks: Vec<_> = router.acks().into_iter().map(|a| (a.vm, a.revision)).collect();
     expect_that!(acks, elements_are![eq(&(vm(0), Revision(9)))]);
 }
 
 #[gtest]
-fn leaving_vm_gets_no_new_work() {
+fn leaving_vm_gets_no_new_requests() {
     let mut router = router(2, 8, 10);
     router.set_leaving(&[vm(0)]);
     for n in 0..8 {
@@ -177,19 +186,19 @@
 }
 
 #[gtest]
-fn failing_vm_is_set_aside_and_comes_back_by_trial() {
+fn failing_vm_is_excluded_and_readmitted_after_a_trial() {
     let mut router = router(4, 8, 10);
     let bad = sent_to(submit(&mut router, 0, Tier::Gold, 1_000));
-    router.finish(bad, SendResult::NoConnect, Duration::ZERO, at(0));
+    router.finish(bad, SendResult::ConnectFailed, Duration::ZERO, at(0));
     for n in 1..20 {
         let key = sent_to(submit(&mut router, n, Tier::Gold, 1_000));
         expect_that!(key, not(eq(bad)));
-        router.finish(key, SendResult::Good, SECOND / 100, at(0));
+        router.finish(key, SendResult::Success, SECOND / 100, at(0));
     }
-    let later = ask(&router, 50, Tier::Gold, at(5_000));
+    let later = request(&router, 50, Tier::Gold, at(5_000));
     expect_that!(router.submit(later, at(1_500)), eq(Decision::Send(bad)));
-    let meanwhile = ask(&router, 51, Tier::Gold, at(5_000));
+    let meanwhile = request(&router, 51, Tier::Gold, at(5_000));
     expect_that!(router.submit(meanwhile, at(1_500)), not(eq(Decision::Send(bad))));
-    router.finish(bad, SendResult::Good, SECOND / 100, at(1_600));
-    expect_that!(router.vm(bad).unwrap().breaker.is_aside(), eq(false));
+    router.finish(bad, SendResult::Success, SECOND / 100, at(1_600));
+    expect_that!(router.vm(bad).unwrap().breaker.is_excluded(), eq(false));
 }
