--- a/crates/steward/src/appender.rs
+++ b/crates/steward/src/appender.rs
@@ -1,4 +1,4 @@
-//! Appending records: batched, and sent again until they are read back.
+//! Appends records in batches, and repeats a batch until it is read back.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,16 +11,16 @@
 
 use crate::shared::Shared;
 
-/// How long an appended batch may take to be read back before it is sent again.
+/// How long an appended batch may take to be read back before it is appended again.
 const READ_BACK: Duration = Duration::from_millis(1_500);
-/// Pause after an append that failed.
+/// The pause after a failed append.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// How long a batch is sent again; later copies would only be rejected as stale.
+/// How long the append of a batch is repeated; later copies would only be rejected as stale.
 const GIVE_UP: Duration = Duration::from_secs(15);
-/// Bytes of a batch, with room for the brackets around it.
+/// The maximum size of a batch in bytes; leaves room for the brackets around the records.
 const BATCH_BYTES: usize = MAX_ENTRY_BYTES - 1024;
 
-/// Appends what comes in until the channel closes.
+/// Appends the records from a channel until it closes.
 pub async fn run<L: LogService>(
     shared: Arc<Shared>,
     log: Arc<L>,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Adds what waits already, as far as one entry of the log holds it.
+/// Adds the batches that already wait in the channel, up to the size of a log entry.
 fn gather(
     mut batch: Vec<Record>,
     records: &mut mpsc::Receiver<Vec<Record>>,
@@ -60,14 +60,17 @@
     batch
 }
 
-/// Splits records into entries that the log takes; a record too large for one is left out.
+/// Splits records into parts that fit a log entry each; drops a record that is too large for one.
 fn split(records: Vec<Record>) -> Vec<Vec<Record>> {
     let mut parts: Vec<Vec<Record>> = Vec::new();
     let mut bytes = usize::MAX;
     for record in records {
         let more = size(std::slice::from_ref(&record));
         if more > MAX_ENTRY_BYTES {
-            log::error!("append record={} bytes={more} too large, left out", record.id);
+            log::error!(
+                "append record={} bytes={more} too large for a log entry, dropped",
+                record.id
+            );
             continue;
         }
         if bytes.saturating_add(more) > BATCH_BYTES {
@@ -86,14 +89,15 @@
     encode(records).len()
 }
 
-/// Appends one entry and waits until its records are read back.
+/// Appends records as one log entry, again and again until they are read back or the time is over.
 async fn append<L: LogService>(shared: &Shared, log: &L, records: &[Record]) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let entry = encode(records);
     let ids: Vec<_> = records.iter().map(|r| r.id).collect();
-    while Instant::now().since(began) < GIVE_UP {
+    while Instant::now().since(started_at) < GIVE_UP {
         if let Err(e) = log.append(entry.clone()).await {
-            // It may have taken effect; whether it did is found out by reading.
+            // The append may have taken effect nevertheless; only reading the log shows whether it
+            // did.
             log::warn!("append records={} result=unknown reason=\"{e}\"", ids.len());
             tokio::time::sleep(RETRY_PAUSE).await;
         }
@@ -104,6 +108,7 @@
     log::warn!("append records={} result=given-up", ids.len());
 }
 
+/// Waits until records are read back; returns `false` after the timeout.
 async fn read_back(shared: &Shared, ids: &[RecordId]) -> bool {
     let mut changed = shared.changed.subscribe();
     let all_read = || {
--- a/crates/steward/src/catch_up.rs
+++ b/crates/steward/src/catch_up.rs
@@ -1,4 +1,4 @@
-//! Getting the state without the whole log: from a snapshot, or from peers.
+//! Restores the state without the whole log: from a snapshot or from peers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,12 +12,12 @@
 
 use crate::shared::Shared;
 
-/// How long a peer may take to return a part of its state.
+/// The timeout for a part of a peer's state.
 const PART_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause before the log is searched for a snapshot again.
+/// The pause before the log is searched for a snapshot again.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// Searches the kept log for the newest snapshot whose tail is kept too.
+/// Restores the newest snapshot in the log whose following entries are still kept.
 pub async fn from_snapshot<L: LogService>(shared: &Shared, log: &L, first: LogPage) {
     let base = first.base;
     let mut assembler = Assembler::new();
@@ -47,7 +47,7 @@
         }
         None => {
             log::error!(
-                "catch-up from=snapshot result=none base={base} remedy=\"the log expired before a snapshot was written; it is asked of peers\""
+                "catch-up from=snapshot result=none base={base} remedy=\"the log expired before a snapshot was written; fetching the state from peers\""
             );
             from_peers(shared).await;
             tokio::time::sleep(RETRY_PAUSE).await;
@@ -55,10 +55,10 @@
     }
 }
 
-/// Takes the state from peers: the newest that a quorum of its voters has reached.
+/// Restores the newest state that a peer returns.
 ///
-/// Until a quorum has answered, this steward is not caught up, for a state from a peer that lags
-/// could lead back.
+/// This steward is caught up only when its offset is at least the highest of a quorum of voters:
+/// the state of a lagging peer could be older than what this steward has already acted on.
 pub async fn from_peers(shared: &Shared) {
     let mut best: Option<State> = None;
     for &addr in &shared.settings.seeds {
@@ -70,15 +70,15 @@
     let Some(state) = best else { return };
     let offset = state.next;
     shared.core().replace_state(state, Instant::now());
-    let reached = quorum_offset(shared).await;
-    if reached.is_some_and(|highest| shared.offset() >= highest) {
+    let required = quorum_offset(shared).await;
+    if required.is_some_and(|highest| shared.offset() >= highest) {
         shared.core().caught_up = true;
         log::info!("catch-up from=peers offset={offset}");
     }
     shared.notify();
 }
 
-/// Returns the highest offset that any of a quorum of voters has reached.
+/// Returns the highest offset among the voters that answered, or `None` if they are no quorum.
 async fn quorum_offset(shared: &Shared) -> Option<Offset> {
     let voters = shared.core().state.voters.clone();
     let mut answered: Vec<MemberId> = Vec::new();
@@ -86,13 +86,13 @@
     for id in voters.all() {
         let addr = shared.core().state.members.get(&id).map(|m| m.facts.peer_addr);
         let Some(addr) = addr else { continue };
-        let line = shared.line(addr);
-        let Ok(client) = line.client().await else {
+        let connection = shared.line(addr);
+        let Ok(client) = connection.client().await else {
             continue;
         };
         let call = client.image(context(PART_TIMEOUT), u64::MAX).await;
-        // A restarted steward has its predecessor's address, but is another member.
-        if let Some(part) = line.check(call).await.ok().filter(|part| part.from == id) {
+        // A restarted steward has the address of its previous incarnation, but another member ID.
+        if let Some(part) = connection.check(call).await.ok().filter(|part| part.from == id) {
             answered.push(id);
             highest = highest.max(part.at);
         }
@@ -100,15 +100,15 @@
     (!voters.current.is_empty() && voters.is_quorum(&answered)).then_some(highest)
 }
 
-/// Fetches a peer's whole state, part by part.
+/// Fetches a peer's whole state in parts; returns `None` if the state changes meanwhile.
 async fn fetch(shared: &Shared, addr: SocketAddr) -> Option<State> {
-    let line = shared.line(addr);
-    let client = line.client().await.ok()?;
+    let connection = shared.line(addr);
+    let client = connection.client().await.ok()?;
     let mut bytes: Vec<u8> = Vec::new();
     let mut at = None;
     loop {
         let call = client.image(context(PART_TIMEOUT), bytes.len() as u64).await;
-        let part = line.check(call).await.ok()?;
+        let part = connection.check(call).await.ok()?;
         if *at.get_or_insert(part.at) != part.at {
             return None;
         }
--- a/crates/steward/src/cmd/check_settings.rs
+++ b/crates/steward/src/cmd/check_settings.rs
@@ -4,9 +4,9 @@
 
 use thistle_settings::{RunError, StewardSettings};
 
-/// Checks the settings file.
+/// Checks the settings file at `path`.
 pub fn run(path: &Path) -> Result<(), RunError> {
     thistle_settings::load::<StewardSettings>(path)?;
-    println!("{}: the settings are right", path.display());
+    println!("{}: the settings are valid", path.display());
     Ok(())
 }
--- a/crates/steward/src/cmd/run.rs
+++ b/crates/steward/src/cmd/run.rs
@@ -4,10 +4,10 @@
 
 use thistle_settings::{RunError, StewardSettings};
 
-/// Worker threads; a steward is to use a small share of one core.
+/// The number of worker threads; a steward should use a small share of one core.
 const THREADS: usize = 2;
 
-/// Runs the steward until it is told to stop.
+/// Runs the steward until it receives a signal to stop.
 pub fn run(path: &Path) -> Result<(), RunError> {
     let settings: StewardSettings = thistle_settings::load(path)?;
     let logs = thistle_settings::start_logs(&settings.log)?;
--- a/crates/steward/src/core.rs
+++ b/crates/steward/src/core.rs
@@ -1,4 +1,4 @@
-//! What a steward knows: the state, its proof, its peers, its entry.
+//! The main data of a steward: the agreed state, its proof, its peers and its entry.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,25 +15,25 @@
 use crate::rollout::Rollouts;
 use crate::verdicts::Verdicts;
 
-/// What a peer last said.
+/// The last heartbeat of a peer.
 #[derive(Clone, Debug)]
 pub struct PeerReport {
-    /// When.
+    /// When the heartbeat was received.
     pub heard: Instant,
-    /// What.
+    /// The heartbeat.
     pub beat: Heartbeat,
 }
 
 /// The entry on this VM.
 #[derive(Debug, Default)]
 pub struct EntryState {
-    /// The number that it drew at its start; `None` before one has called.
+    /// The random ID that the entry drew at its start; `None` before the first call.
     pub id: Option<u64>,
-    /// When it last called.
+    /// When the entry last called.
     pub heard: Instant,
-    /// From when on its acknowledgements count: an entry before it may act until then.
+    /// The time from which acknowledgements count; a previous entry may act until then.
     pub ack_from: Instant,
-    /// What it reported.
+    /// The last report of the entry.
     pub report: EntryReport,
 }
 
@@ -42,58 +42,59 @@
 pub struct SnapshotPoint {
     /// The records of the snapshot.
     pub chunks: Vec<Change>,
-    /// The offset that it covers.
+    /// The first offset that the snapshot does not cover.
     pub at: Offset,
-    /// Its digest.
+    /// The digest of the state.
     pub digest: String,
-    /// The last offset of which a whole snapshot was read in the log.
+    /// The highest offset whose complete snapshot was read from the log.
     pub written: Offset,
 }
 
-/// Everything under a steward's one main lock.
+/// The data under a steward's main lock.
 #[derive(Debug)]
 pub struct Core {
-    /// This member.
+    /// The ID of this member.
     pub me: MemberId,
     /// The agreed state.
     pub state: State,
-    /// The newest entries.
+    /// The newest entries of the log.
     pub recent: Recent,
-    /// Whether the log could be read at the last try.
+    /// Whether the last read of the log succeeded.
     pub log_up: bool,
-    /// Whether the log was once read to its end, or the state taken from a quorum of peers.
+    /// Whether the log was once read to its end, or the state was restored from peers up to the
+    /// offset of a quorum.
     pub caught_up: bool,
     /// The proof of this member's membership.
     pub proof: Proof,
-    /// Promises to others.
+    /// The promises that this member has given to others.
     pub promises: Promises,
-    /// What peers said.
+    /// The last heartbeats of peers.
     pub peers: BTreeMap<MemberId, PeerReport>,
-    /// Hints of leaving VMs.
+    /// The hints of leaving VMs.
     pub hints: Hints,
     /// The entry on this VM.
     pub entry: EntryState,
-    /// Verdicts on records.
+    /// The verdicts on records.
     pub verdicts: Verdicts,
     /// The revision of the voters whose claims this voter has taken over.
     pub merged: Revision,
-    /// When a `MemberGone` was read.
+    /// When the `MemberGone` record of a member was read.
     pub gone_read: BTreeMap<MemberId, Instant>,
     /// When the set of members last changed.
     pub members_changed: Instant,
-    /// Whether a voter stated against this member, which must join anew.
+    /// Whether a voter refuses promises to this member, which must rejoin.
     pub must_rejoin: bool,
     /// The last snapshot point.
     pub snapshot: SnapshotPoint,
-    /// Snapshots whose digest differed from this steward's own.
+    /// The number of snapshot chunks whose digest differed from this steward's own.
     pub digest_mismatches: u64,
-    /// Operators' changes that are not in force everywhere yet.
+    /// Operators' changes that some entry does not use yet.
     pub rollouts: Rollouts,
     snapshot_every: u64,
 }
 
 impl Core {
-    /// Makes the core of a steward that has read nothing.
+    /// Creates the core of a steward that has read nothing.
     pub fn new(me: MemberId, fence: Duration, snapshot_every: u64, now: Instant) -> Self {
         let entry = EntryState { ack_from: now + fence, ..EntryState::default() };
         Self {
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Replaces the state by one that was fetched, never by an older one.
+    /// Replaces the state with one that was fetched, unless that is older.
     pub fn replace_state(&mut self, state: State, now: Instant) {
         if state.next <= self.state.next {
             return;
@@ -149,7 +150,7 @@
         self.note_members(&BTreeSet::new(), now);
     }
 
-    /// Returns whether this member is joined in the agreed state.
+    /// Returns whether this member is joined by the agreed state.
     pub fn is_member(&self) -> bool {
         let member = self.state.members.get(&self.me);
         member.is_some_and(|m| m.state == MemberState::Joined)
@@ -163,7 +164,8 @@
         self.proof.until(self.me, &self.state.voters, now)
     }
 
-    /// Returns the smallest offset that a joined member's entry uses; `None` while one is silent.
+    /// Returns the smallest offset that a joined member's entry uses; `None` while the offset of
+    /// one is not known.
     pub fn least_entry_offset(&self) -> Option<Offset> {
         let joined = self.state.members.iter().filter(|(_, m)| m.state == MemberState::Joined);
         let offset = |id: &MemberId| {
@@ -176,35 +178,37 @@
         offsets?.into_iter().min()
     }
 
-    /// Returns whether a record was read, or superseded by a later one of its writer.
+    /// Returns whether a record, or a later one of its writer, was read.
     pub fn is_read(&self, id: RecordId) -> bool {
         self.state.writers.get(&id.writer).is_some_and(|mark| mark.seq >= id.seq)
     }
 
-    /// Returns the voter that plans: picked by hash among those heard of, to save work only.
-    pub fn duty(&self, span: Duration, now: Instant) -> Option<MemberId> {
-        let live = |id: &MemberId| *id == self.me || self.promises.is_heard(*id, span, now);
-        let joined = |id: &MemberId| {
+    /// Returns the planner on duty: a voter picked by hash among those with contact within
+    /// `contact_timeout`. A single planner only saves work; correctness does not depend on it.
+    pub fn duty(&self, contact_timeout: Duration, now: Instant) -> Option<MemberId> {
+        let is_live =
+            |id: &MemberId| *id == self.me || self.promises.is_heard(*id, contact_timeout, now);
+        let is_joined = |id: &MemberId| {
             self.state.members.get(id).is_some_and(|m| m.state == MemberState::Joined)
         };
         let voters = self.state.voters.current.iter().copied();
-        let live = voters.filter(|id| joined(id) && live(id));
+        let live = voters.filter(|id| is_joined(id) && is_live(id));
         thistle_model::rendezvous::pick(b"duty", live, |id| id.0)
     }
 
     fn note_members(&mut self, before: &BTreeSet<MemberId>, now: Instant) {
-        let present: BTreeSet<_> = self.state.members.keys().copied().collect();
+        let members: BTreeSet<_> = self.state.members.keys().copied().collect();
         let gone = self.state.members.iter().filter(|(_, m)| m.state == MemberState::Gone);
         for (&id, _) in gone {
             self.gone_read.entry(id).or_insert(now);
         }
-        if present == *before {
+        if members == *before {
             return;
         }
         self.members_changed = now;
-        self.gone_read.retain(|id, _| present.contains(id));
-        self.peers.retain(|id, _| present.contains(id));
-        self.promises.retain(&present);
+        self.gone_read.retain(|id, _| members.contains(id));
+        self.peers.retain(|id, _| members.contains(id));
+        self.promises.retain(&members);
     }
 
     fn take_snapshot(&mut self) {
--- a/crates/steward/src/duty/drains.rs
+++ b/crates/steward/src/duty/drains.rs
@@ -1,4 +1,4 @@
-//! Recording drains that every member has acknowledged.
+//! Proposes to record drains that every member has acknowledged.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 use crate::core::Core;
 use crate::shared::Shared;
 
-/// Returns a record for each drain that all members have acknowledged.
+/// Returns a change for each drain that all members have acknowledged.
 pub fn proposals(shared: &Shared) -> Vec<Change> {
     let core = shared.core();
     let draining = core.state.vms.values().filter(|vm| matches!(vm.stage, Stage::Draining(_)));
@@ -18,9 +18,9 @@
 
 fn drained(core: &Core, vm: &Vm) -> Option<Change> {
     let acks = acknowledged(core, vm);
-    let needs_none = vm.pool == core.state.reserve;
-    let all = core.state.members.keys().all(|id| acks.contains(id));
-    if vm.job_slots > 0 || !(needs_none || all) {
+    let needs_no_acks = vm.pool == core.state.reserve;
+    let all_acked = core.state.members.keys().all(|id| acks.contains(id));
+    if vm.job_slots > 0 || !(needs_no_acks || all_acked) {
         return None;
     }
     log::info!("decision step=drained vm={} acks={}", vm.name, acks.len());
@@ -28,7 +28,7 @@
     Some(Change::Drained { vm: vm.name.clone(), base: vm.revision, acks })
 }
 
-/// Returns the members whose entry acknowledged the drain of a VM.
+/// Returns the members whose entries have acknowledged the drain of a VM.
 pub fn acknowledged(core: &Core, vm: &Vm) -> BTreeSet<MemberId> {
     let ack = DrainAck { vm: vm.name.clone(), revision: vm.revision };
     let peers = core.peers.iter().filter(|(_, p)| p.beat.entry.acks.contains(&ack));
--- a/crates/steward/src/duty/jobs.rs
+++ b/crates/steward/src/duty/jobs.rs
@@ -1,4 +1,4 @@
-//! Starting jobs, and making night work yield to urgent jobs.
+//! Starts jobs, and makes night work yield to urgent jobs.
 
 use thistle_fold::MemberState;
 use thistle_model::job::{JobEnd, JobStart};
@@ -10,7 +10,7 @@
 use crate::shared::Shared;
 use crate::tasks::{Step, ask, ended, task_of};
 
-/// Returns records of starts, and of the ends of night work that yielded.
+/// Returns changes for job starts and for the ends of night work that yielded.
 pub async fn proposals(shared: &Shared) -> Vec<Change> {
     let (mut changes, yields) = {
         let core = shared.core();
@@ -35,7 +35,7 @@
     changes
 }
 
-/// Returns the member that follows the tasks of a VM.
+/// Returns the home of a VM, which is the member that tracks its tasks.
 fn home_of(core: &Core, vm: &VmName) -> Option<MemberId> {
     let joined = core.state.members.iter().filter(|(_, m)| m.state == MemberState::Joined);
     rendezvous::pick(vm.as_str().as_bytes(), joined.map(|(&id, _)| id), |id| id.0)
--- a/crates/steward/src/duty/members.rs
+++ b/crates/steward/src/duty/members.rs
@@ -1,4 +1,4 @@
-//! Members that fell silent, and who votes.
+//! Proposes the removal of unresponsive members and changes of the set of voters.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,10 +9,10 @@
 use crate::core::Core;
 use crate::shared::Shared;
 
-/// Voters that are wanted where there are as many members.
+/// The number of voters if there are enough members.
 const WANTED_VOTERS: usize = 5;
 
-/// Returns the next step about members or voters, if one is due.
+/// Returns the changes of members that are due; if there are none, the next change of voters.
 pub fn proposals(shared: &Shared) -> Vec<Change> {
     let core = shared.core();
     let now = Instant::now();
@@ -24,7 +24,7 @@
     changes
 }
 
-/// Returns a record for each member against which a quorum of voters has stated.
+/// Returns a change for each member that a quorum of voters states to be gone.
 fn gone(core: &Core, now: Instant) -> Vec<Change> {
     let voters = &core.state.voters;
     let joined = core.state.members.iter().filter(|(_, m)| m.state == MemberState::Joined);
@@ -39,28 +39,28 @@
     changes
 }
 
-/// Returns the voters that have no promise outstanding to a member and give none.
+/// Returns the peers, and this member, that have no promise outstanding to a member and give none.
 fn statements(core: &Core, member: MemberId, now: Instant) -> Vec<MemberId> {
-    let same = |id: &&MemberId| {
+    let has_stated = |id: &&MemberId| {
         core.peers.get(id).is_some_and(|p| {
             p.beat.voters == core.state.voters.revision && p.beat.stated.contains(&member)
         })
     };
-    let mut ids: Vec<_> = core.peers.keys().filter(same).copied().collect();
+    let mut ids: Vec<_> = core.peers.keys().filter(has_stated).copied().collect();
     if core.promises.stated(now).contains(&member) {
         ids.push(core.me);
     }
     ids
 }
 
-/// Returns a record for each gone member whose fence time has passed here.
+/// Returns a change for each gone member whose fence time has passed by this steward's clock.
 fn fenced(shared: &Shared, core: &Core, now: Instant) -> Vec<Change> {
     let fence = shared.settings.fence.0;
-    let past = core.gone_read.iter().filter(|&(_, &read)| now.since(read) > fence);
-    past.map(|(&member, _)| Change::MemberFenced { member }).collect()
+    let past_fence = core.gone_read.iter().filter(|&(_, &read)| now.since(read) > fence);
+    past_fence.map(|(&member, _)| Change::MemberFenced { member }).collect()
 }
 
-/// Returns the next step towards the wanted set of voters.
+/// Returns the next change towards the wanted set of voters.
 fn voters(shared: &Shared, core: &Core, now: Instant) -> Option<Change> {
     let base = core.state.voters.revision;
     if core.state.voters.next.is_some() {
@@ -80,33 +80,33 @@
     Some(Change::VotersProposed { base, voters: wanted.into_iter().collect() })
 }
 
-/// Returns the voters that have adopted the proposed set and taken over the claims.
+/// Returns the members that have applied the proposed set and taken over the claims.
 fn adopted(core: &Core) -> Vec<MemberId> {
     let revision = core.state.voters.revision;
-    let same = |id: &&MemberId| {
+    let has_adopted = |id: &&MemberId| {
         let peer = core.peers.get(id);
         peer.is_some_and(|p| p.beat.voters == revision && p.beat.merged == revision)
     };
-    let mut ids: Vec<_> = core.peers.keys().filter(same).copied().collect();
+    let mut ids: Vec<_> = core.peers.keys().filter(has_adopted).copied().collect();
     if core.merged == revision {
         ids.push(core.me);
     }
     ids
 }
 
-/// Returns the set of voters that should be: those that are and live, filled up from other
-/// members in the data halls with the fewest, and an odd number where possible.
+/// Returns the wanted set of voters: the current voters that are joined, and more live members from
+/// the data halls with the fewest voters, up to an odd number where possible.
 fn wanted(shared: &Shared, core: &Core, now: Instant) -> BTreeSet<MemberId> {
-    let span = shared.settings.silence.0;
-    let lives = |id: MemberId| {
+    let contact_timeout = shared.settings.silence.0;
+    let is_live = |id: MemberId| {
         let member = core.state.members.get(&id);
         member.is_some_and(|m| m.state == MemberState::Joined)
-            && (id == core.me || core.promises.is_heard(id, span, now))
+            && (id == core.me || core.promises.is_heard(id, contact_timeout, now))
     };
     let members = &core.state.members;
-    let mut live: Vec<_> = members.keys().copied().filter(|&id| lives(id)).collect();
+    let mut live: Vec<_> = members.keys().copied().filter(|&id| is_live(id)).collect();
     let voters = &core.state.voters;
-    // A silent voter keeps its vote until it is gone, so that a short pause changes nothing.
+    // An unresponsive voter keeps its vote until it is gone, so that a short pause changes nothing.
     let kept = voters
         .current
         .iter()
@@ -117,9 +117,9 @@
     let size =
         WANTED_VOTERS.min(if total.is_multiple_of(2) { total.saturating_sub(1) } else { total });
     while set.len() < size.max(1) {
-        let crowding = hall_counts(core, &set);
+        let voters_per_hall = hall_counts(core, &set);
         let hall = |id: &MemberId| &members[id].facts.hall;
-        let count = |id: &MemberId| crowding.get(hall(id)).copied().unwrap_or(0);
+        let count = |id: &MemberId| voters_per_hall.get(hall(id)).copied().unwrap_or(0);
         let Some(at) = (0..live.len()).min_by_key(|&i| (count(&live[i]), live[i])) else {
             break;
         };
--- a/crates/steward/src/duty/mod.rs
+++ b/crates/steward/src/duty/mod.rs
@@ -1,6 +1,6 @@
-//! The planner on duty: what one voter at a time proposes.
+//! The planner on duty: one voter at a time proposes changes.
 //!
-//! Two stewards that both believe to be on duty do no harm: the fold takes each change once.
+//! Two stewards may both act as the planner on duty: the fold accepts each change only once.
 
 mod drains;
 mod jobs;
@@ -21,11 +21,11 @@
 
 use crate::shared::Shared;
 
-/// How often the planner looks, besides at each change.
+/// The longest time between two runs of the planner; each change of the state triggers one too.
 const LOOK_EVERY: Duration = Duration::from_millis(200);
-/// Shortest time between two looks.
+/// The shortest time between two runs of the planner.
 const MIN_PAUSE: Duration = Duration::from_millis(20);
-/// How long a proposal may take to be read back before the planner looks again.
+/// How long the planner waits for a proposal to be read back before it runs again.
 const VERDICT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Plans while on duty, until the process ends.
@@ -33,7 +33,6 @@
     tokio::spawn(observe::run(shared.clone(), vms.clone()));
     let mut changed = shared.changed.subscribe();
     loop {
-        // A look at least this often, sooner after a change.
         let _ = tokio::time::timeout(LOOK_EVERY, changed.changed()).await;
         tokio::time::sleep(MIN_PAUSE).await;
         if !is_on_duty(&shared) {
@@ -46,17 +45,21 @@
     }
 }
 
-/// Returns whether this steward is the planner on duty and can append.
+/// Returns whether this steward is the planner on duty and can append to the log.
 pub fn is_on_duty(shared: &Shared) -> bool {
     let core = shared.core();
     let now = Instant::now();
-    let span = shared.settings.heartbeat.0 * 3;
-    core.log_up && core.caught_up && core.is_member() && is_first_or_on_duty(&core, span, now)
+    let contact_timeout = shared.settings.heartbeat.0 * 3;
+    core.log_up
+        && core.caught_up
+        && core.is_member()
+        && is_first_or_on_duty(&core, contact_timeout, now)
 }
 
-fn is_first_or_on_duty(core: &crate::core::Core, span: Duration, now: Instant) -> bool {
-    // Without voters the first members may each propose themselves; the fold takes one proposal.
-    core.state.voters.current.is_empty() || core.duty(span, now) == Some(core.me)
+fn is_first_or_on_duty(core: &crate::core::Core, contact_timeout: Duration, now: Instant) -> bool {
+    // While there are no voters, each of the first members may propose itself; the fold accepts one
+    // proposal.
+    core.state.voters.current.is_empty() || core.duty(contact_timeout, now) == Some(core.me)
 }
 
 fn proposals(shared: &Shared) -> Vec<Change> {
@@ -74,6 +77,6 @@
         return;
     };
     let verdict = shared.core().verdicts.wait_for(id);
-    // Without a verdict the log is slow or down; the next look starts from the state as it is.
+    // Without a verdict the log is slow or down; the next run starts from the current state.
     let _ = tokio::time::timeout(VERDICT_TIMEOUT, verdict).await;
 }
--- a/crates/steward/src/duty/observe.rs
+++ b/crates/steward/src/duty/observe.rs
@@ -1,4 +1,4 @@
-//! Looking at the platform's VM list, and recording what changed.
+//! Polls the platform's VM list and records what changed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,10 +12,10 @@
 use crate::heartbeat;
 use crate::shared::Shared;
 
-/// Looks at the VM list while on duty, until the process ends.
+/// Polls the VM list while on duty, until the process ends.
 ///
-/// One steward reads the list for all; its size at the target would take more than a node's share
-/// of the network if each did.
+/// One steward reads the list for all: at the target size of the fleet, the list would take more
+/// than a node's share of the network if each steward read it.
 pub async fn run<V: VmService>(shared: Arc<Shared>, vms: Arc<V>) {
     loop {
         if reads_the_list(&shared) {
@@ -25,11 +25,12 @@
     }
 }
 
-/// Returns whether this steward reads the list; one does also while the log is down, for hints.
+/// Returns whether this steward polls the list. The planner on duty does so also while the log is
+/// down, as the list gives hints.
 fn reads_the_list(shared: &Shared) -> bool {
-    let span = shared.settings.heartbeat.0 * 3;
+    let contact_timeout = shared.settings.heartbeat.0 * 3;
     let core = shared.core();
-    let on_duty_without_log = core.duty(span, Instant::now()) == Some(core.me);
+    let on_duty_without_log = core.duty(contact_timeout, Instant::now()) == Some(core.me);
     drop(core);
     on_duty_without_log || is_on_duty(shared)
 }
@@ -50,7 +51,7 @@
     }
 }
 
-/// Tells everybody at once of VMs that the list shows as leaving.
+/// Sends hints of VMs that the list shows as leaving to the entry and the other voters.
 fn pass_on_leaving(shared: &Arc<Shared>, listed: &[ListedVm]) {
     let mut core = shared.core();
     let leaving = listed.iter().filter(|vm| vm.status == PlatformStatus::Leaving);
@@ -67,7 +68,7 @@
     }
 }
 
-/// Returns the records that bring the state in line with the list.
+/// Returns the changes that make the state match the list.
 fn changes(state: &State, listed: &[ListedVm]) -> Vec<Change> {
     let by_name: BTreeMap<&VmName, &ListedVm> = listed.iter().map(|vm| (&vm.name, vm)).collect();
     let mut changes: Vec<_> = listed.iter().filter_map(|vm| seen(state, vm)).collect();
--- a/crates/steward/src/duty/plan.rs
+++ b/crates/steward/src/duty/plan.rs
@@ -1,4 +1,4 @@
-//! Running the planner and the reboots that it asks for.
+//! Runs the planner and requests the reboots of VMs in maintenance.
 
 use thistle_fold::Stage;
 use thistle_model::Change;
@@ -22,7 +22,7 @@
     PlanConfig::default().with_weights(p.roll_out_time, p.buffer_cost, p.spare_racks)
 }
 
-/// Returns what the planner proposes now.
+/// Returns the changes that the planner proposes.
 pub fn proposals(shared: &Shared) -> Vec<Change> {
     let cfg = config(shared);
     let core = shared.core();
@@ -34,8 +34,8 @@
     proposals.into_iter().map(|p| p.change).collect()
 }
 
-/// Asks the platform to reboot each VM that waits for it; the revision is the token, so a call
-/// whose answer was lost is repeated without harm.
+/// Requests a reboot of each VM in maintenance from the platform. The VM's revision serves as the
+/// token, so a call whose answer was lost can be repeated safely.
 pub async fn request_reboots<V: VmService>(shared: &Shared, vms: &V) {
     let waiting: Vec<_> = {
         let core = shared.core();
--- a/crates/steward/src/duty/snapshots.rs
+++ b/crates/steward/src/duty/snapshots.rs
@@ -1,10 +1,10 @@
-//! Writing snapshots before the entries under them expire.
+//! Proposes snapshots before the log entries that they cover expire.
 
 use thistle_model::Change;
 
 use crate::shared::Shared;
 
-/// Returns the chunks of the last snapshot point, if no whole snapshot of it is in the log.
+/// Returns the chunks of the last snapshot point if the log has no complete snapshot of it.
 pub fn proposals(shared: &Shared) -> Vec<Change> {
     let core = shared.core();
     let point = &core.snapshot;
--- a/crates/steward/src/flags.rs
+++ b/crates/steward/src/flags.rs
@@ -10,7 +10,7 @@
             /// The settings file.
             required settings: PathBuf
         }
-        /// Checks a settings file and does nothing else.
+        /// Checks a settings file and exits.
         cmd check-settings {
             /// The settings file.
             required settings: PathBuf
--- a/crates/steward/src/follower.rs
+++ b/crates/steward/src/follower.rs
@@ -1,4 +1,5 @@
-//! Following the log: read, apply, prove; from peers when the log is down.
+//! Follows the log: reads and applies its entries and renews the proof; reads from peers while the
+//! log is down.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,9 +12,9 @@
 use crate::catch_up;
 use crate::shared::Shared;
 
-/// Pause after a read that failed.
+/// The pause after a failed read.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// How long a peer may take to return entries.
+/// The timeout for entries from a peer.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Follows the log until the process ends.
@@ -21,15 +22,15 @@
     let wait_ms = u64::try_from(shared.settings.heartbeat.0.as_millis()).unwrap_or(1_000);
     loop {
         let from = shared.offset();
-        let asked = Instant::now();
+        let called_at = Instant::now();
         match log.read(from, wait_ms).await {
-            Ok(page) => on_page(&shared, log.as_ref(), page, asked).await,
+            Ok(page) => on_page(&shared, log.as_ref(), page, called_at).await,
             Err(e) => on_error(&shared, &e).await,
         }
     }
 }
 
-async fn on_page<L: LogService>(shared: &Shared, log: &L, page: LogPage, asked: Instant) {
+async fn on_page<L: LogService>(shared: &Shared, log: &L, page: LogPage, called_at: Instant) {
     let from = shared.offset();
     if page.base > from {
         catch_up::from_snapshot(shared, log, page).await;
@@ -48,7 +49,7 @@
     }
     if core.state.next >= page.end {
         core.caught_up = true;
-        core.proof.on_log_end(asked);
+        core.proof.on_log_end(called_at);
     }
     drop(core);
     if any || was_down {
@@ -65,7 +66,7 @@
         catch_up::from_peers(shared).await;
     }
     from_peer_ahead(shared).await;
-    // A peer that is ahead cuts the pause short.
+    // A heartbeat reply from a peer that is ahead ends the pause early.
     let _ = tokio::time::timeout(RETRY_PAUSE, shared.peers_ahead.notified()).await;
 }
 
@@ -74,12 +75,12 @@
     let Some((addr, from)) = peer_ahead(shared) else {
         return;
     };
-    let line = shared.line(addr);
-    let Ok(client) = line.client().await else {
+    let connection = shared.line(addr);
+    let Ok(client) = connection.client().await else {
         return;
     };
     let call = client.entries(context(PEER_TIMEOUT), from).await;
-    let Ok(Entries::Some(entries)) = line.check(call).await else {
+    let Ok(Entries::Some(entries)) = connection.check(call).await else {
         return;
     };
     let mut core = shared.core();
@@ -94,6 +95,8 @@
     shared.notify();
 }
 
+/// Returns the address of the peer that has read most of the log, if it is ahead of this steward,
+/// and this steward's next offset.
 fn peer_ahead(shared: &Shared) -> Option<(std::net::SocketAddr, thistle_model::Offset)> {
     let core = shared.core();
     let next = core.state.next;
--- a/crates/steward/src/heartbeat.rs
+++ b/crates/steward/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats to the voters: proof, acknowledgements, hints.
+//! Sends heartbeats, which carry acknowledgements and hints, to the voters and collects promises.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,7 +26,7 @@
     }
 }
 
-/// Looks who is silent, and drops old hints.
+/// Refuses promises to unresponsive members, records completed rollouts and drops expired hints.
 fn look_around(shared: &Shared) {
     let mut core = shared.core();
     let now = Instant::now();
@@ -41,9 +41,9 @@
     if !core.log_up {
         core.hints.hold(now);
     }
-    if let Some(least) = core.least_entry_offset() {
-        for took in core.rollouts.done(least, now) {
-            metrics::histogram!("thistle_roll_out_seconds").record(took.as_secs_f64());
+    if let Some(min_offset) = core.least_entry_offset() {
+        for duration in core.rollouts.done(min_offset, now) {
+            metrics::histogram!("thistle_roll_out_seconds").record(duration.as_secs_f64());
         }
     }
     let state = &core.state;
@@ -61,7 +61,7 @@
     voters.filter_map(|id| members.get(&id).map(|m| m.facts.peer_addr)).collect()
 }
 
-/// Returns what this steward says of itself.
+/// Returns this steward's current heartbeat.
 pub fn own_beat(shared: &Shared) -> Heartbeat {
     let core = shared.core();
     Heartbeat {
@@ -77,34 +77,34 @@
 }
 
 async fn beat(shared: Arc<Shared>, addr: SocketAddr) {
-    let line = shared.line(addr);
-    let asked = Instant::now();
-    let Ok(client) = line.client().await else {
+    let connection = shared.line(addr);
+    let sent_at = Instant::now();
+    let Ok(client) = connection.client().await else {
         return;
     };
-    let beat = own_beat(&shared);
-    let from = beat.from;
-    let call = client.heartbeat(context(shared.settings.heartbeat.0 * 2), beat).await;
-    match line.check(call).await {
-        Ok(reply) => on_reply(&shared, from, &reply, asked),
+    let heartbeat = own_beat(&shared);
+    let from = heartbeat.from;
+    let call = client.heartbeat(context(shared.settings.heartbeat.0 * 2), heartbeat).await;
+    match connection.check(call).await {
+        Ok(reply) => on_reply(&shared, from, &reply, sent_at),
         Err(e) => log::debug!("heartbeat to={addr} result=failed reason=\"{e}\""),
     }
 }
 
-fn on_reply(shared: &Shared, beat_of: MemberId, reply: &HeartbeatReply, asked: Instant) {
+fn on_reply(shared: &Shared, sender: MemberId, reply: &HeartbeatReply, sent_at: Instant) {
     let now = Instant::now();
     let mut core = shared.core();
-    if core.me != beat_of {
+    if core.me != sender {
         return;
     }
     if reply.promise {
-        core.proof.on_promise(reply.from, reply.voters, asked);
+        core.proof.on_promise(reply.from, reply.voters, sent_at);
     }
     core.must_rejoin |= reply.stated;
     let new = core.hints.learn(reply.leaving.iter().cloned(), now);
-    let ahead = reply.offset > core.state.next && !core.log_up;
+    let is_peer_ahead = reply.offset > core.state.next && !core.log_up;
     drop(core);
-    if ahead {
+    if is_peer_ahead {
         shared.peers_ahead.notify_one();
     }
     if !new.is_empty() {
@@ -112,18 +112,18 @@
     }
 }
 
-/// Passes hints on to all voters at once.
+/// Sends hints to the other voters without waiting for the next heartbeat.
 pub fn pass_on(shared: &Arc<Shared>, vms: &[thistle_model::VmName]) {
     for addr in targets(shared) {
         let (shared, vms) = (shared.clone(), vms.to_vec());
         tokio::spawn(async move {
-            let line = shared.line(addr);
-            let Ok(client) = line.client().await else {
+            let connection = shared.line(addr);
+            let Ok(client) = connection.client().await else {
                 return;
             };
             let call = client.leaving(context(shared.settings.heartbeat.0), vms).await;
-            // The next heartbeat carries the hint again.
-            let _ = line.check(call).await;
+            // A failed call needs no retry: the next heartbeat carries the hint again.
+            let _ = connection.check(call).await;
         });
     }
 }
--- a/crates/steward/src/hints.rs
+++ b/crates/steward/src/hints.rs
@@ -1,4 +1,4 @@
-//! Hints that VMs are leaving: passed between peers, ahead of the log and the VM list.
+//! Hints that VMs are leaving; peers exchange them ahead of the log and the VM list.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,9 +6,9 @@
 use thistle_model::VmName;
 use thistle_model::clock::Instant;
 
-/// How long a hint holds after it was last seen from its source.
+/// How long a hint is kept after it was added or last refreshed.
 const HINT_LIFE: Duration = Duration::from_secs(120);
-/// The most hints that are kept.
+/// The maximum number of hints that are kept.
 const MAX_HINTS: usize = 4_096;
 
 /// The VMs that are known to be leaving.
@@ -19,7 +19,7 @@
 }
 
 impl Hints {
-    /// Takes hints that were learned here; returns those that are new.
+    /// Adds hints; returns those that are new.
     pub fn learn(&mut self, vms: impl IntoIterator<Item = VmName>, now: Instant) -> Vec<VmName> {
         let mut new = Vec::new();
         for vm in vms {
@@ -36,12 +36,13 @@
         new
     }
 
-    /// Keeps all hints young: with the log down nothing but them says that a VM is leaving.
+    /// Restarts the lifetime of all hints: while the log is down, only hints show that a VM is
+    /// leaving.
     pub fn hold(&mut self, now: Instant) {
         self.vms.values_mut().for_each(|t| *t = now);
     }
 
-    /// Drops hints that are old or settled by the state.
+    /// Drops hints that have expired or whose VM gets no new work by the state.
     pub fn expire(&mut self, now: Instant, is_settled: impl Fn(&VmName) -> bool) {
         let before = self.vms.len();
         self.vms.retain(|vm, &mut t| now.since(t) < HINT_LIFE && !is_settled(vm));
@@ -55,7 +56,7 @@
         self.vms.keys().cloned().collect()
     }
 
-    /// Returns the version, which rises with each change.
+    /// Returns the version, which increases with each change of the set of hints.
     pub const fn version(&self) -> u64 {
         self.version
     }
--- a/crates/steward/src/info.rs
+++ b/crates/steward/src/info.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of the state.
+//! Builds operators' replies from the state.
 
 use std::time::Duration;
 
@@ -11,15 +11,15 @@
 
 use crate::core::Core;
 
-/// VMs or jobs in one page.
+/// The number of VMs or jobs in a page.
 const PAGE: usize = 500;
 
-/// Returns the state of things.
-pub fn status(core: &Core, heard_within: Duration, now: Instant) -> StatusInfo {
+/// Returns the status of this steward and its members.
+pub fn status(core: &Core, contact_timeout: Duration, now: Instant) -> StatusInfo {
     let reserve = &core.state.pools[core.state.reserve];
     StatusInfo {
         member: core.me,
-        duty: core.duty(heard_within, now),
+        duty: core.duty(contact_timeout, now),
         offset: core.state.next,
         log_up: core.log_up,
         proof: core.proof_until(now) > now,
@@ -27,16 +27,16 @@
         digest_mismatches: core.digest_mismatches,
         voters: core.state.voters.revision,
         voters_changing: core.state.voters.next.is_some(),
-        members: members(core, heard_within, now),
+        members: members(core, contact_timeout, now),
         reserve: reserve.available,
         vms: u32::try_from(core.state.vms.len()).unwrap_or(u32::MAX),
         wave: wave(&core.state),
     }
 }
 
-fn members(core: &Core, heard_within: Duration, now: Instant) -> Vec<MemberInfo> {
+fn members(core: &Core, contact_timeout: Duration, now: Instant) -> Vec<MemberInfo> {
     let info = |(&id, m): (&thistle_model::MemberId, &thistle_fold::Member)| {
-        let peer = core.peers.get(&id).filter(|p| now.since(p.heard) <= heard_within);
+        let peer = core.peers.get(&id).filter(|p| now.since(p.heard) <= contact_timeout);
         let own = (id == core.me).then_some(&core.entry.report);
         let report = peer.map(|p| &p.beat.entry).or(own);
         MemberInfo {
@@ -55,9 +55,9 @@
     core.state.members.iter().map(info).collect()
 }
 
-/// Returns the wave.
+/// Returns the progress of the current wave.
 pub fn wave(state: &State) -> WaveInfo {
-    let out = |vm: &&Vm| {
+    let is_under_way = |vm: &&Vm| {
         use thistle_fold::Stage::{Drained, Draining, InMaintenance};
         matches!(
             vm.stage,
@@ -69,7 +69,7 @@
         revision: state.wave.revision,
         paused: state.wave.paused,
         left: state.wave_left() as u64,
-        under_way: state.vms.values().filter(out).count() as u64,
+        under_way: state.vms.values().filter(is_under_way).count() as u64,
         total: state.vms.len() as u64,
     }
 }
@@ -103,7 +103,7 @@
     state.pool_keys.iter().filter_map(info).collect()
 }
 
-/// Returns a page of VMs after `after`.
+/// Returns the page of VMs that follows `after`.
 pub fn vms(state: &State, after: Option<&VmName>) -> Vec<VmInfo> {
     let rest = state.vm_keys.iter().filter(|(name, _)| after.is_none_or(|a| *name > a));
     rest.take(PAGE).map(|(_, &key)| vm(state, &state.vms[key])).collect()
@@ -122,7 +122,7 @@
     }
 }
 
-/// Returns a page of jobs after `after`.
+/// Returns the page of jobs that follows `after`.
 pub fn jobs(state: &State, after: Option<&JobName>) -> Vec<JobInfo> {
     let rest = state.jobs.iter().filter(|(name, _)| after.is_none_or(|a| *name > a));
     let info = |(name, job): (&JobName, &thistle_fold::Job)| JobInfo {
--- a/crates/steward/src/lib.rs
+++ b/crates/steward/src/lib.rs
@@ -1,6 +1,7 @@
-//! The steward: follows the log, folds, talks with its peers, plans, and serves the view.
+//! The steward: follows and folds the log, exchanges heartbeats with its peers, plans, and serves
+//! the view to the entry on its VM.
 //!
-//! Lock order: the core, then the claims, then the slots; no lock is held across an await.
+//! Lock order: the core, then the claims, then the slot home; no lock is held across an await.
 
 mod appender;
 mod catch_up;
--- a/crates/steward/src/link_server.rs
+++ b/crates/steward/src/link_server.rs
@@ -1,4 +1,4 @@
-//! The view that a steward serves to the entry on its VM.
+//! Serves the view of the agreed state to the entry on the steward's VM.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,38 +13,38 @@
 use crate::heartbeat;
 use crate::shared::Shared;
 
-/// How long a reply waits for a change.
+/// The longest time that a view request waits for a change.
 const MAX_WAIT: Duration = Duration::from_millis(200);
-/// How long an entry may be silent before another takes its place.
+/// Time since the last request of the attached entry after which another entry may attach.
 const ENTRY_SILENCE: Duration = Duration::from_secs(1);
 
-/// The server.
+/// The server of the link between a steward and its entry.
 #[derive(Clone)]
 pub struct LinkServer {
     shared: Arc<Shared>,
 }
 
 impl LinkServer {
-    /// Makes the server.
+    /// Creates the server.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
 
-    /// Notes what the entry reports; returns whether it is the entry of this VM.
+    /// Records the entry's report; returns `false` if another entry is attached.
     fn attach(&self, entry: u64, report: EntryReport) -> bool {
         let now = Instant::now();
         let mut core = self.shared.core();
         if core.entry.id != Some(entry) {
-            let other_lives =
+            let other_is_alive =
                 core.entry.id.is_some() && now.since(core.entry.heard) < ENTRY_SILENCE;
-            if other_lives {
+            if other_is_alive {
                 return false;
             }
             log::info!("entry id={entry:016x} step=attached");
-            // The entry before may act on its last proof until the fence time has passed.
-            let before = core.entry.id.is_some();
+            // The previous entry may act on its last proof until the fence time has passed.
+            let had_entry = core.entry.id.is_some();
             core.entry.id = Some(entry);
-            if before {
+            if had_entry {
                 core.entry.ack_from = core.entry.ack_from.max(now + self.shared.settings.fence.0);
             }
         }
@@ -70,8 +70,8 @@
     fn reply(&self, req: &ViewRequest, attached: bool) -> ViewReply {
         let core = self.shared.core();
         let now = Instant::now();
-        let news = core.state.accepted > req.have.0 || core.hints.version() != req.hints;
-        let update = news.then(|| {
+        let has_changes = core.state.accepted > req.have.0 || core.hints.version() != req.hints;
+        let update = has_changes.then(|| {
             let mut update = changed_since(&core.state, req.have);
             update.leaving = core.hints.all();
             update
@@ -99,7 +99,7 @@
         let wait = async {
             while !self.has_news(req.have, req.hints) && changed.changed().await.is_ok() {}
         };
-        // A reply without news still renews the proof.
+        // A reply without changes still renews the proof.
         let _ = tokio::time::timeout(MAX_WAIT, wait).await;
         self.reply(&req, attached)
     }
--- a/crates/steward/src/membership.rs
+++ b/crates/steward/src/membership.rs
@@ -1,4 +1,4 @@
-//! Joining, and joining anew when the others have given this member up.
+//! Joins the members, and rejoins with a new ID when the others regard this member as gone.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,9 +9,9 @@
 
 use crate::shared::Shared;
 
-/// How often the membership is looked at.
+/// How often the membership is checked.
 const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// How long a proposal to join may take to be read back.
+/// How long a proposal to join may take to be read back from the log.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Keeps this steward a member until the process ends.
@@ -25,12 +25,12 @@
             continue;
         };
         let verdict = shared.core().verdicts.wait_for(id);
-        // Without a verdict the log is slow or down; the next look proposes again if need be.
+        // Without a verdict the log is slow or down; the next check proposes again if necessary.
         let _ = tokio::time::timeout(JOIN_TIMEOUT, verdict).await;
     }
 }
 
-/// Returns the records that make this steward a member, if it is none.
+/// Returns the changes that make this steward a member, or `None` if it is one or cannot join yet.
 fn needed(shared: &Shared) -> Option<Vec<Change>> {
     let mut core = shared.core();
     if !core.log_up || !core.caught_up {
@@ -38,12 +38,12 @@
     }
     let me = core.me;
     let known = core.state.members.get(&me).map(|m| m.state);
-    let given_up = known == Some(MemberState::Gone) || (core.must_rejoin && known.is_some());
-    if known == Some(MemberState::Joined) && !given_up {
+    let is_removed = known == Some(MemberState::Gone) || (core.must_rejoin && known.is_some());
+    if known == Some(MemberState::Joined) && !is_removed {
         return None;
     }
     let mut changes = Vec::new();
-    if given_up {
+    if is_removed {
         changes.push(Change::MemberLeave { member: me });
         rejoin(&mut core, shared.settings.fence.0);
     }
@@ -52,7 +52,7 @@
     Some(changes)
 }
 
-/// Becomes a new member; acknowledgements count again after the fence time.
+/// Takes a new member ID; acknowledgements of the entry count again after the fence time.
 fn rejoin(core: &mut crate::core::Core, fence: Duration) {
     core.me = MemberId(rand::random());
     core.must_rejoin = false;
--- a/crates/steward/src/operator_server.rs
+++ b/crates/steward/src/operator_server.rs
@@ -1,4 +1,4 @@
-//! The calls that a steward serves to operators.
+//! Serves the calls of operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,21 +17,22 @@
 use crate::info;
 use crate::shared::Shared;
 
-/// How long a submission waits for its record to be read back.
+/// How long a submission waits for its record to be read back from the log.
 const SUBMIT_WAIT: Duration = Duration::from_secs(4);
 
-/// The server.
+/// The server for operators.
 #[derive(Clone)]
 pub struct OperatorServer {
     shared: Arc<Shared>,
 }
 
 impl OperatorServer {
-    /// Makes the server.
+    /// Creates the server.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
 
+    /// Returns a message about the members that have not acknowledged the drain of a VM, if any.
     fn silent_members(&self, core: &Core, vm: &VmName) -> Option<String> {
         let key = core.state.vm_key(vm).ok()?;
         let vm = &core.state.vms[key];
@@ -39,10 +40,13 @@
             return None;
         }
         let acks = duty::acknowledged(core, vm);
-        let silent = core.state.members.iter().filter(|(id, _)| !acks.contains(id));
-        let names: Vec<_> = silent.map(|(_, m)| m.facts.name.to_string()).collect();
+        let missing = core.state.members.iter().filter(|(id, _)| !acks.contains(id));
+        let names: Vec<_> = missing.map(|(_, m)| m.facts.name.to_string()).collect();
         (!names.is_empty()).then(|| {
-            format!("requests are in flight at, or nothing was heard of, the entries on {}: wait for them", names.join(", "))
+            format!(
+                "the entries on {} have requests in flight or cannot be reached: wait for them",
+                names.join(", ")
+            )
         })
     }
 }
@@ -69,8 +73,8 @@
     }
 
     async fn status(self, _: Context) -> StatusInfo {
-        let span = self.shared.settings.heartbeat.0 * 3;
-        info::status(&self.shared.core(), span, Instant::now())
+        let contact_timeout = self.shared.settings.heartbeat.0 * 3;
+        info::status(&self.shared.core(), contact_timeout, Instant::now())
     }
 
     async fn templates(self, _: Context) -> Vec<TemplateInfo> {
--- a/crates/steward/src/peer_server.rs
+++ b/crates/steward/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! The calls that a steward serves to its peers and to entries.
+//! Serves the calls of peers and entries.
 
 use std::sync::Arc;
 
@@ -15,22 +15,22 @@
 use crate::heartbeat;
 use crate::shared::Shared;
 
-/// Bytes of the state in one part.
+/// The maximum number of bytes in a part of the encoded state.
 const PART_BYTES: usize = 256 * 1024;
 
-/// The server.
+/// The server for peers and entries.
 #[derive(Clone)]
 pub struct PeerServer {
     shared: Arc<Shared>,
 }
 
 impl PeerServer {
-    /// Makes the server.
+    /// Creates the server.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
 
-    /// Takes hints; passes those that are new on.
+    /// Adds hints and sends the new ones to the other voters.
     fn learn(&self, vms: Vec<VmName>) {
         let new = self.shared.core().hints.learn(vms, Instant::now());
         if new.is_empty() {
@@ -80,20 +80,25 @@
         if from_byte == u64::MAX {
             return ImagePart { from: core.me, at, total: 0, bytes: Vec::new() };
         }
-        let whole = image::encode(&core.state);
-        let from = usize::try_from(from_byte).unwrap_or(usize::MAX).min(whole.len());
-        let to = (from + PART_BYTES).min(whole.len());
-        ImagePart { from: core.me, at, total: whole.len() as u64, bytes: whole[from..to].to_vec() }
+        let encoded = image::encode(&core.state);
+        let from = usize::try_from(from_byte).unwrap_or(usize::MAX).min(encoded.len());
+        let to = (from + PART_BYTES).min(encoded.len());
+        ImagePart {
+            from: core.me,
+            at,
+            total: encoded.len() as u64,
+            bytes: encoded[from..to].to_vec(),
+        }
     }
 
     async fn claim(self, _: Context, req: ClaimRequest) -> ClaimReply {
         let core = self.shared.core();
-        let present = core.state.voters.revision;
+        let current = core.state.voters.revision;
         if req.to != core.me || !core.state.voters.contains(core.me) {
-            return ClaimReply::WrongRevision(present);
+            return ClaimReply::WrongRevision(current);
         }
         let mut claims = self.shared.claims();
-        claims.claim(req.key, &req.claim, req.voters, present, Instant::now())
+        claims.claim(req.key, &req.claim, req.voters, current, Instant::now())
     }
 
     async fn release(self, _: Context, key: ClaimKey, attempt: AttemptId) {
@@ -137,18 +142,19 @@
     }
 }
 
+/// Returns the members that are joined.
 fn joined(core: &Core) -> Vec<MemberId> {
     let members = core.state.members.iter();
     members.filter(|(_, m)| m.state == MemberState::Joined).map(|(&id, _)| id).collect()
 }
 
-/// Returns whether this steward is the home of a VM.
+/// Returns whether this steward is the home of a VM, which grants its slots.
 fn is_home(core: &Core, joined: &[MemberId], vm: &VmName) -> bool {
     let home = rendezvous::pick(vm.as_str().as_bytes(), joined.iter().copied(), |id| id.0);
     home == Some(core.me)
 }
 
-/// Returns the slots of a VM that requests may use: those that jobs do not.
+/// Returns the number of a VM's slots that are not used by jobs, or `None` if the VM is unknown.
 fn slots_of(core: &Core, vm: &VmName) -> Option<u16> {
     let key = core.state.vm_key(vm).ok()?;
     let vm = &core.state.vms[key];
--- a/crates/steward/src/promise.rs
+++ b/crates/steward/src/promise.rs
@@ -1,8 +1,8 @@
-//! Promises between members, and the proof of membership made of them.
+//! Promises between members, and the proof of membership that they form.
 //!
-//! A member may send new work only while it has proof, younger than the fence time, that it still
-//! is a member: it has read the log to its end, or a quorum of voters promised not to state that
-//! it is gone. Times are those of the member's own clock, taken before it asked.
+//! A member may send new work only while it has proof, not older than the fence time, that it still
+//! is a member: it has read the log to its end, or a quorum of voters has promised not to state
+//! that it is gone. Proof counts from before the member's call, by the member's own clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,14 +11,14 @@
 use thistle_model::view::Voters;
 use thistle_model::{MemberId, Revision};
 
-/// A promise that was got.
+/// A promise that was received from a voter.
 #[derive(Clone, Copy, Debug)]
 struct Promise {
     voters: Revision,
     until: Instant,
 }
 
-/// The proof that one member has of its membership.
+/// A member's proof of its membership.
 #[derive(Clone, Debug)]
 pub struct Proof {
     fence: Duration,
@@ -27,33 +27,33 @@
 }
 
 impl Proof {
-    /// Makes an empty proof.
+    /// Creates a proof that does not hold.
     pub fn new(fence: Duration) -> Self {
         Self { fence, log_until: Instant::default(), promises: BTreeMap::new() }
     }
 
-    /// Notes that the log was read to its end by a call made at `asked`.
-    pub fn on_log_end(&mut self, asked: Instant) {
-        self.log_until = self.log_until.max(asked + self.fence);
+    /// Records that the log was read to its end by a call made at `called_at`.
+    pub fn on_log_end(&mut self, called_at: Instant) {
+        self.log_until = self.log_until.max(called_at + self.fence);
     }
 
-    /// Notes a voter's promise, got by a call made at `asked`, under a revision of the voters.
-    pub fn on_promise(&mut self, from: MemberId, voters: Revision, asked: Instant) {
-        self.promises.insert(from, Promise { voters, until: asked + self.fence });
+    /// Records a voter's promise from a call made at `called_at`, under a revision of the voters.
+    pub fn on_promise(&mut self, from: MemberId, voters: Revision, called_at: Instant) {
+        self.promises.insert(from, Promise { voters, until: called_at + self.fence });
     }
 
-    /// Drops everything, for a member that joins anew.
+    /// Clears the proof, for a member that rejoins.
     pub fn clear(&mut self) {
         self.promises.clear();
         self.log_until = Instant::default();
     }
 
-    /// Returns until when the proof holds for `me` under the present voters.
+    /// Returns until when the proof holds for `me` under the given voters.
     pub fn until(&self, me: MemberId, voters: &Voters, now: Instant) -> Instant {
         self.log_until.max(self.until_by_promises(me, voters, now))
     }
 
-    /// Returns the latest time at which promises of a quorum still hold.
+    /// Returns the latest time until which the promises of a quorum hold.
     fn until_by_promises(&self, me: MemberId, voters: &Voters, now: Instant) -> Instant {
         if voters.current.is_empty() {
             return Instant::default();
@@ -87,14 +87,15 @@
 }
 
 impl Promises {
-    /// Makes a voter's promises, none given.
+    /// Creates the record of a voter that has given no promises.
     ///
-    /// A voter that was restarted is another member, so it need not know of promises before.
+    /// A restarted voter is a new member, so it need not know the promises of its previous
+    /// incarnation.
     pub fn new(fence: Duration) -> Self {
         Self { fence, given: BTreeMap::new(), heard: BTreeMap::new(), refused: BTreeSet::new() }
     }
 
-    /// Answers a heartbeat: whether a promise for the fence time is given.
+    /// Handles a heartbeat; returns whether a promise for the fence time is given.
     pub fn on_heartbeat(&mut self, from: MemberId, now: Instant) -> bool {
         if self.refused.contains(&from) {
             return false;
@@ -104,35 +105,37 @@
         true
     }
 
-    /// Returns whether `id` was heard within `span`.
-    pub fn is_heard(&self, id: MemberId, span: Duration, now: Instant) -> bool {
-        self.heard.get(&id).is_some_and(|&t| now.since(t) <= span)
+    /// Returns whether the last heartbeat of `id` is no older than `timeout`.
+    pub fn is_heard(&self, id: MemberId, timeout: Duration, now: Instant) -> bool {
+        self.heard.get(&id).is_some_and(|&t| now.since(t) <= timeout)
     }
 
-    /// Gives no more promises to members that were silent for `silence`; once refused, a member
-    /// stays refused, for the statement may be in the log at any later time.
+    /// Refuses further promises to members whose last contact is longer ago than `timeout`. A
+    /// refused member stays refused, as the statement that it is gone may reach the log at any
+    /// later time.
     pub fn refuse_silent(
         &mut self,
         members: impl Iterator<Item = MemberId>,
-        silence: Duration,
+        timeout: Duration,
         now: Instant,
     ) {
         for id in members {
-            let heard = *self.heard.entry(id).or_insert(now);
-            if now.since(heard) > silence {
+            let last_contact = *self.heard.entry(id).or_insert(now);
+            if now.since(last_contact) > timeout {
                 self.refused.insert(id);
             }
         }
     }
 
-    /// Forgets when members were heard, as one that does not vote is not sent heartbeats.
+    /// Forgets the last contacts, as a member that is not a voter receives no heartbeats.
     ///
-    /// Without this a voter that was none for a while would take all for silent at once.
+    /// Otherwise a member that becomes a voter again would at once regard all others as
+    /// unresponsive.
     pub fn stop_listening(&mut self) {
         self.heard.clear();
     }
 
-    /// Returns whether `id` is refused.
+    /// Returns whether `id` is refused further promises.
     pub fn is_refused(&self, id: MemberId) -> bool {
         self.refused.contains(&id)
     }
@@ -143,7 +146,7 @@
         self.refused.iter().filter(lapsed).copied().collect()
     }
 
-    /// Forgets all but `members`.
+    /// Drops the data of all but `members`.
     pub fn retain(&mut self, members: &BTreeSet<MemberId>) {
         self.given.retain(|id, _| members.contains(id));
         self.heard.retain(|id, _| members.contains(id));
--- a/crates/steward/src/recent.rs
+++ b/crates/steward/src/recent.rs
@@ -4,14 +4,14 @@
 
 use thistle_model::Offset;
 
-/// Entries that are kept.
+/// The maximum number of entries that are kept.
 const MAX_ENTRIES: usize = 1_024;
-/// Bytes that are kept.
+/// The maximum size of the kept entries in bytes.
 const MAX_BYTES: usize = 1024 * 1024;
-/// Bytes of entries in one answer to a peer.
+/// The maximum size in bytes of the entries in an answer to a peer.
 const PAGE_BYTES: usize = 256 * 1024;
 
-/// A ring of entries.
+/// A bounded queue of consecutive log entries.
 #[derive(Debug, Default)]
 pub struct Recent {
     entries: VecDeque<Vec<u8>>,
@@ -20,7 +20,7 @@
 }
 
 impl Recent {
-    /// Adds the entry at `offset`.
+    /// Adds the entry at `offset`; drops the kept entries if it does not follow them.
     pub fn push(&mut self, offset: Offset, entry: Vec<u8>) {
         if offset != self.next {
             self.entries.clear();
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Returns entries from `from` on, or `None` when they are no longer kept.
+    /// Returns a page of entries from `from` on, or `None` if they are no longer kept.
     pub fn from(&self, from: Offset) -> Option<Vec<Vec<u8>>> {
         let first = self.next.0 - self.entries.len() as u64;
         let skip = usize::try_from(from.0.checked_sub(first)?).ok()?;
--- a/crates/steward/src/rollout.rs
+++ b/crates/steward/src/rollout.rs
@@ -1,4 +1,4 @@
-//! How long operators' changes take to be in force on every entry.
+//! Measures how long operators' changes take to reach every entry.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,17 +6,17 @@
 use thistle_model::clock::Instant;
 use thistle_model::{Change, Offset};
 
-/// Changes that are followed at one time.
+/// The maximum number of changes that are tracked at a time.
 const MAX_FOLLOWED: usize = 256;
 
-/// Operators' changes that are not in force everywhere yet.
+/// Operators' changes that some entry does not use yet.
 #[derive(Debug, Default)]
 pub struct Rollouts {
     open: VecDeque<(Offset, Instant)>,
 }
 
 impl Rollouts {
-    /// Follows the change at `offset` if it is an operator's.
+    /// Starts to track the change at `offset` if an operator made it.
     pub fn note(&mut self, change: &Change, offset: Offset, now: Instant) {
         let is_operators = matches!(
             change,
@@ -27,17 +27,17 @@
         }
     }
 
-    /// Returns how long the changes took that all entries use now; `least` is the smallest offset
-    /// that an entry uses.
-    pub fn done(&mut self, least: Offset, now: Instant) -> Vec<Duration> {
-        let mut took = Vec::new();
+    /// Removes the changes that all entries use now and returns how long each took; `min_offset` is
+    /// the smallest offset that an entry uses.
+    pub fn done(&mut self, min_offset: Offset, now: Instant) -> Vec<Duration> {
+        let mut durations = Vec::new();
         while let Some(&(offset, since)) = self.open.front() {
-            if offset >= least {
+            if offset >= min_offset {
                 break;
             }
             self.open.pop_front();
-            took.push(now.since(since));
+            durations.push(now.since(since));
         }
-        took
+        durations
     }
 }
--- a/crates/steward/src/run.rs
+++ b/crates/steward/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting a steward and stopping it.
+//! Starts a steward and stops it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,15 +21,15 @@
 use crate::shared::Shared;
 use crate::{appender, duty, follower, heartbeat, membership, metrics_server, take_over, tasks};
 
-/// Batches of records that may wait to be appended.
+/// The maximum number of batches of records that wait to be appended.
 const MAX_WAITING_APPENDS: usize = 256;
-/// How long a steward that leaves waits for its entry to stop and its leave to be read back.
+/// How long a leaving steward waits for its entry to stop and its `MemberLeave` to be read back.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Bounds of the buckets of roll-out times, in seconds.
+/// The bucket bounds of the metric for roll-out times, in seconds.
 const SECONDS: [f64; 8] = [0.05, 0.1, 0.25, 0.5, 1.0, 5.0, 15.0, 60.0];
 
-/// Runs a steward until it is told to stop.
+/// Runs a steward until it receives a signal to stop.
 pub async fn run(settings: StewardSettings) -> Result<(), RunError> {
     let handle = PrometheusBuilder::new()
         .set_buckets(&SECONDS)
@@ -65,7 +65,7 @@
     Ok(())
 }
 
-/// Leaves the members, once the entry on this VM has stopped.
+/// Leaves the members after the entry on this VM has stopped.
 async fn leave(shared: &Shared) {
     log::info!("steward name={} step=leave", shared.settings.name);
     let deadline = tokio::time::Instant::now() + LEAVE_TIMEOUT;
@@ -73,7 +73,7 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     if entry_runs(shared) {
-        // Its entry may still send; the others will find this member gone by themselves.
+        // The entry may still send; the voters remove this member when its heartbeats stop.
         return log::warn!("steward step=leave result=entry-still-runs");
     }
     let member = shared.core().me;
@@ -84,8 +84,8 @@
     let _ = tokio::time::timeout_at(deadline, verdict).await;
 }
 
-/// Returns whether the entry on this VM may still send new work: it may be frozen, and its last
-/// proof holds for the fence time.
+/// Returns whether the entry on this VM may still send new work: an entry that does not call may be
+/// frozen, and its last proof holds for the fence time.
 fn entry_runs(shared: &Shared) -> bool {
     let core = shared.core();
     let now = thistle_model::clock::Instant::now();
--- a/crates/steward/src/shared.rs
+++ b/crates/steward/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a steward share.
+//! The data that the asynchronous tasks of a steward share.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,12 +15,12 @@
 
 use crate::core::Core;
 
-/// Kept answers of claims altogether, in bytes.
+/// The maximum total size of the kept answers of claims, in bytes.
 const MAX_KEPT_ANSWERS: usize = 4 * 1024 * 1024;
-/// By how much voters keep claims longer than entries count on it, for skewed clocks.
+/// How much longer voters keep claims than entries rely on, to allow for clock skew.
 const KEEP_MARGIN: std::time::Duration = std::time::Duration::from_secs(300);
 
-/// Shared by all tasks of a steward.
+/// The data shared by all asynchronous tasks of a steward.
 pub struct Shared {
     /// The settings.
     pub settings: StewardSettings,
@@ -31,16 +31,16 @@
     appends: mpsc::Sender<Vec<Record>>,
     writer: u64,
     seq: AtomicU64,
-    /// Rises with each entry that was applied and each hint.
+    /// A version that increases with each applied page of log entries and each new hint.
     pub changed: watch::Sender<u64>,
-    /// Wakes the heartbeats before their time.
+    /// Triggers heartbeats before the next interval.
     pub beat_now: Notify,
-    /// Wakes the follower to ask peers for entries.
+    /// Wakes the follower to read log entries from peers.
     pub peers_ahead: Notify,
 }
 
 impl Shared {
-    /// Makes what is shared; appended records go to `appends`.
+    /// Creates the shared data; records to append are sent to `appends`.
     pub fn new(settings: StewardSettings, appends: mpsc::Sender<Vec<Record>>) -> Self {
         let me = MemberId(rand::random());
         let now = Instant::now();
@@ -72,12 +72,12 @@
         lock(&self.claims)
     }
 
-    /// Locks the slots; the last in the lock order.
+    /// Locks the slot home; the last in the lock order.
     pub fn homes(&self) -> MutexGuard<'_, SlotHome> {
         lock(&self.homes)
     }
 
-    /// Returns what this steward says of itself when it joins.
+    /// Returns the facts with which this steward joins.
     pub fn facts(&self) -> MemberFacts {
         MemberFacts {
             name: self.settings.name.clone(),
@@ -86,18 +86,19 @@
         }
     }
 
-    /// Returns the line to a peer's address.
+    /// Returns the connection to a peer's address.
     pub fn line(&self, addr: SocketAddr) -> Arc<PeerLine> {
         let mut lines = lock(&self.lines);
         lines.entry(addr).or_insert_with(|| Arc::new(PeerLine::new(addr))).clone()
     }
 
-    /// Says that something changed.
+    /// Announces a change to all that wait for one.
     pub fn notify(&self) {
         self.changed.send_modify(|version| *version += 1);
     }
 
-    /// Proposes changes in this steward's own name; returns the last record's id.
+    /// Proposes changes as this steward's records; returns the ID of the last record, or `None` if
+    /// there are no changes or too many batches wait.
     pub fn propose(&self, changes: Vec<Change>) -> Option<RecordId> {
         let at_ms = wall_ms();
         let record = |change| {
@@ -109,18 +110,19 @@
         self.append(records).then_some(last)
     }
 
-    /// Hands records to the appender; false when too many wait, as with the log down.
+    /// Passes records to the appender; returns `false` if too many batches wait, as when the log is
+    /// down.
     pub fn append(&self, records: Vec<Record>) -> bool {
         self.appends.try_send(records).is_ok()
     }
 
-    /// Returns the offset up to which the state is folded.
+    /// Returns the next offset that will be applied.
     pub fn offset(&self) -> Offset {
         self.core().state.next
     }
 }
 
-/// Locks a mutex; one that was poisoned belongs to a process that is about to end.
+/// Locks a mutex; ignores poisoning, as a process that panicked is about to end.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/steward/src/take_over.rs
+++ b/crates/steward/src/take_over.rs
@@ -1,4 +1,4 @@
-//! Taking over claims when the set of voters changes.
+//! Takes over claims from other voters when the set of voters changes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,12 +11,12 @@
 
 use crate::shared::Shared;
 
-/// How often the voters are looked at.
+/// How often the set of voters is checked.
 const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// How long a page of claims may take.
+/// The timeout for a page of claims.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Takes claims over whenever this voter lags behind the set of voters.
+/// Takes over claims whenever this voter has not yet adopted a proposed set of voters.
 pub async fn run(shared: Arc<Shared>) {
     loop {
         tokio::time::sleep(LOOK_EVERY).await;
@@ -31,15 +31,16 @@
     }
 }
 
-/// Returns the voters when a change of them waits for this one.
+/// Returns the sets of voters if a change of them waits for this voter's takeover.
 fn to_take_over(shared: &Shared) -> Option<Voters> {
     let core = shared.core();
     let voters = &core.state.voters;
-    let waits = voters.next.is_some() && core.merged != voters.revision;
-    (waits && voters.contains(core.me)).then(|| voters.clone())
+    let is_pending = voters.next.is_some() && core.merged != voters.revision;
+    (is_pending && voters.contains(core.me)).then(|| voters.clone())
 }
 
-/// Merges the claims of a majority of the present set, each taken after it adopted the change.
+/// Merges the claims of a majority of the current voters, each read after its voter has applied the
+/// change.
 async fn take_over(shared: &Shared, voters: &Voters) -> bool {
     let me = shared.core().me;
     let mut merged: Vec<MemberId> = Vec::new();
@@ -57,17 +58,18 @@
     is_majority(&voters.current, &merged)
 }
 
+/// Merges all claims of one voter, page by page; returns whether all pages were read.
 async fn merge_from(shared: &Shared, id: MemberId, revision: Revision) -> bool {
     let addr = shared.core().state.members.get(&id).map(|m| m.facts.peer_addr);
     let Some(addr) = addr else { return false };
-    let line = shared.line(addr);
-    let Ok(client) = line.client().await else {
+    let connection = shared.line(addr);
+    let Ok(client) = connection.client().await else {
         return false;
     };
     let mut after = None;
     loop {
         let call = client.claims(context(PAGE_TIMEOUT), id, revision, after).await;
-        let Ok(Some(page)) = line.check(call).await else {
+        let Ok(Some(page)) = connection.check(call).await else {
             return false;
         };
         let Some(last) = page.last().map(|c: &KeyedClaim| c.key) else {
--- a/crates/steward/src/verdicts.rs
+++ b/crates/steward/src/verdicts.rs
@@ -1,4 +1,4 @@
-//! What became of records: for those who wait, and for those who ask later.
+//! Verdicts on records, for callers that wait for them and for later queries.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -7,10 +7,10 @@
 use thistle_wire::operator::Submitted;
 use tokio::sync::oneshot;
 
-/// Verdicts that are remembered.
+/// The maximum number of verdicts that are kept.
 const MAX_REMEMBERED: usize = 4_096;
 
-/// Verdicts on records as they are read.
+/// Verdicts on the records that were read from the log.
 #[derive(Debug, Default)]
 pub struct Verdicts {
     waiting: HashMap<RecordId, Vec<oneshot::Sender<Submitted>>>,
@@ -19,7 +19,7 @@
 }
 
 impl Verdicts {
-    /// Returns a channel that gets the verdict on `id`.
+    /// Returns a channel that receives the verdict on `id`.
     pub fn wait_for(&mut self, id: RecordId) -> oneshot::Receiver<Submitted> {
         let (tx, rx) = oneshot::channel();
         self.waiting.retain(|_, txs| txs.iter().any(|tx| !tx.is_closed()));
@@ -27,19 +27,20 @@
         rx
     }
 
-    /// Returns the verdict on `id` if it is remembered.
+    /// Returns the verdict on `id` if it is kept.
     pub fn get(&self, id: RecordId) -> Option<Submitted> {
         self.known.get(&id).cloned()
     }
 
-    /// Notes a verdict; that on a second copy of a record is none.
+    /// Records a verdict; the rejection of a duplicate is ignored, as the first copy has its own
+    /// verdict.
     pub fn note(&mut self, verdict: &Verdict) {
         if verdict.result == Err(Reject::Duplicate) {
             return;
         }
         let submitted = describe(verdict);
         for tx in self.waiting.remove(&verdict.id).into_iter().flatten() {
-            // Whoever waited may have gone away.
+            // The receiver may have been dropped.
             let _ = tx.send(submitted.clone());
         }
         self.known.insert(verdict.id, submitted);
--- a/crates/steward/tests/fence.rs
+++ b/crates/steward/tests/fence.rs
@@ -1,5 +1,6 @@
-//! Fencing: random runs of cuts, freezes, log outages, late reads and late messages. Once a drain
-//! is recorded as done, no entry sends to the VM any more, whatever it missed.
+//! Tests fencing in random runs with network cuts, freezes, log outages, late reads and late
+//! messages: after a drain is recorded as done, no entry sends to the VM, whatever the entry has
+//! missed.
 
 mod fence_world;
 
@@ -36,7 +37,7 @@
         .unwrap();
     let (sends, drained, removed) = counts.get();
     println!("sends {sends}, runs with a drain done {drained}, members fenced out {removed}");
-    // The runs are worth something only when sends, drains and removals do happen.
+    // The runs test fencing only if sends, drains and removals happen in them.
     let cases = u64::from(cases());
     assert!(sends > cases * 10 && drained > cases / 10 && removed > 0);
 }
--- a/crates/steward/tests/fence_world/mod.rs
+++ b/crates/steward/tests/fence_world/mod.rs
@@ -1,4 +1,4 @@
-//! Stewards with their entries, a log, and the network between them, one step at a time.
+//! A simulation of stewards with their entries, a log and the network, run step by step.
 
 mod steps;
 
@@ -15,13 +15,13 @@
 
 const NODES: usize = 5;
 const FENCE: Duration = Duration::from_millis(40);
-/// Shorter than the fence, which the settings forbid, so that promises do outlast the silence.
+/// Shorter than the fence time, which the settings forbid, so that promises outlast this timeout.
 const SILENCE: Duration = Duration::from_millis(20);
 
-/// A read of the log or a heartbeat on its way back.
+/// A reply to a log read or to a heartbeat that has not been delivered yet.
 enum Flight {
-    Read { node: usize, asked: Instant, entries: Vec<Vec<u8>>, from: Offset, to_end: bool },
-    Promise { node: usize, from: usize, asked: Instant, voters: Revision },
+    Read { node: usize, called_at: Instant, entries: Vec<Vec<u8>>, from: Offset, to_end: bool },
+    Promise { node: usize, from: usize, called_at: Instant, voters: Revision },
 }
 
 /// One steward with its entry.
--- a/crates/steward/tests/fence_world/steps.rs
+++ b/crates/steward/tests/fence_world/steps.rs
@@ -1,4 +1,4 @@
-//! What may happen in one step of a random run.
+//! The steps of a random run.
 
 use super::*;
 
@@ -53,10 +53,16 @@
         }
         let from = node.state.next;
         let entries = self.log[usize::try_from(from.0).unwrap()..].to_vec();
-        self.flights.push(Flight::Read { node: i, asked: self.now, entries, from, to_end: true });
+        self.flights.push(Flight::Read {
+            node: i,
+            called_at: self.now,
+            entries,
+            from,
+            to_end: true,
+        });
     }
 
-    /// A heartbeat reaches a voter now; its promise comes back later, or never.
+    /// Delivers a heartbeat to a voter at once; the promise is delivered later, or never.
     fn beat(&mut self, from: usize, to: usize) {
         let blocked = from == to || self.cut[from][to] || self.nodes[from].frozen;
         if blocked || self.nodes[to].frozen {
@@ -70,7 +76,7 @@
             && voter.promises.on_heartbeat(id(from), now)
         {
             let voters = voter.state.voters.revision;
-            self.flights.push(Flight::Promise { node: from, from: to, asked: now, voters });
+            self.flights.push(Flight::Promise { node: from, from: to, called_at: now, voters });
         }
     }
 
@@ -79,7 +85,7 @@
             return;
         }
         match self.flights.swap_remove(pick % self.flights.len()) {
-            Flight::Read { node, asked, entries, from, to_end } => {
+            Flight::Read { node, called_at, entries, from, to_end } => {
                 let n = &mut self.nodes[node];
                 if n.frozen || n.state.next != from {
                     return;
@@ -88,7 +94,7 @@
                     n.state.apply_entry(Offset(from.0 + k as u64), entry);
                 }
                 if to_end {
-                    n.proof.on_log_end(asked);
+                    n.proof.on_log_end(called_at);
                 }
                 let gone = n.state.members.iter().find(|(_, m)| m.state == MemberState::Gone);
                 let gone = gone.map(|(&g, _)| g);
@@ -96,9 +102,9 @@
                     n.gone_read = gone.map(|g| (g, self.now));
                 }
             }
-            Flight::Promise { node, from, asked, voters } => {
+            Flight::Promise { node, from, called_at, voters } => {
                 if !self.nodes[node].frozen {
-                    self.nodes[node].proof.on_promise(id(from), voters, asked);
+                    self.nodes[node].proof.on_promise(id(from), voters, called_at);
                 }
             }
         }
@@ -128,7 +134,8 @@
         Some((vm(), n.state.vms[key].revision, n.state.vms[key].stage.clone()))
     }
 
-    /// A planner records the drain as done when all entries that it can reach acknowledge.
+    /// Appends the end of the drain with the acknowledgements of all entries that the planner can
+    /// reach.
     fn drained(&mut self, by: usize) {
         let Some((vm, base, Stage::Draining(_))) = self.writable(by) else {
             return;
@@ -136,18 +143,18 @@
         let acks: Vec<_> = (0..NODES)
             .filter(|&i| {
                 let n = &self.nodes[i];
-                let reach = i == by || (!n.frozen && !self.cut[i][by]);
+                let is_reachable = i == by || (!n.frozen && !self.cut[i][by]);
                 let key = n.state.vm_key(&vm).unwrap();
-                let saw = n.state.vms[key].revision == base;
-                reach && saw && n.state.members.contains_key(&id(i))
+                let has_read = n.state.vms[key].revision == base;
+                is_reachable && has_read && n.state.members.contains_key(&id(i))
             })
             .map(id)
             .collect();
         self.append(Change::Drained { vm, base, acks });
     }
 
-    fn state_against(&mut self, by: usize, silent: usize) {
-        if self.writable(by).is_none() || by == silent {
+    fn state_against(&mut self, by: usize, target: usize) {
+        if self.writable(by).is_none() || by == target {
             return;
         }
         let now = self.now;
@@ -155,11 +162,11 @@
         let statements: Vec<_> = (0..NODES)
             .filter(|&i| i == by || !(self.cut[i][by] || self.nodes[i].frozen))
             .filter(|&i| self.nodes[i].state.voters.revision == voters)
-            .filter(|&i| self.nodes[i].promises.stated(now).contains(&id(silent)))
+            .filter(|&i| self.nodes[i].promises.stated(now).contains(&id(target)))
             .map(id)
             .collect();
         if self.nodes[by].state.voters.is_quorum(&statements) {
-            self.append(Change::MemberGone { member: id(silent), voters, statements });
+            self.append(Change::MemberGone { member: id(target), voters, statements });
         }
     }
 
@@ -201,7 +208,8 @@
         n.promises.refuse_silent(others.into_iter(), SILENCE, self.now);
     }
 
-    /// Every member that can reaches every voter that it can, and hears back at once.
+    /// Every member sends a heartbeat to every voter that it can reach, and gets the replies at
+    /// once.
     fn all_beat(&mut self) {
         for from in 0..NODES {
             for to in 0..NODES {
@@ -224,11 +232,11 @@
         }
     }
 
-    /// One look of a planner: it reads before each record that it writes.
+    /// Runs a planner once; it reads the log before each record that it appends.
     fn plan(&mut self, by: usize, also_drain: bool) {
         (0..NODES).for_each(|voter| self.look_around(voter));
         self.read_now(by);
-        (0..NODES).for_each(|silent| self.state_against(by, silent));
+        (0..NODES).for_each(|target| self.state_against(by, target));
         self.read_now(by);
         self.fenced(by);
         if also_drain {
--- a/crates/steward/tests/hints.rs
+++ b/crates/steward/tests/hints.rs
@@ -1,4 +1,4 @@
-//! Hints of leaving VMs.
+//! Tests of hints of leaving VMs.
 
 use std::time::Duration;
 
@@ -29,8 +29,8 @@
     expect_that!(hints.all(), is_empty());
 }
 
-/// Found in a review: in a long outage of the log a hint lapsed every two minutes, and the VM got
-/// new work until the list was looked at again.
+/// Without a refresh, a hint expires every two minutes during a long outage of the log, and the VM
+/// gets new work until the VM list is polled again.
 #[gtest]
 fn hint_outlasts_an_outage_of_the_log() {
     let mut hints = Hints::default();
@@ -40,7 +40,7 @@
         hints.expire(at(now), |_| false);
         expect_that!(hints.all(), elements_are![eq(&vm())]);
     }
-    // The log is back: the record of the VM has two minutes to come.
+    // The log is up again: the record that the VM leaves may take two minutes to arrive.
     hints.expire(at(3_600), |_| false);
     expect_that!(hints.all(), elements_are![eq(&vm())]);
 }
--- a/crates/steward/tests/predecessor.rs
+++ b/crates/steward/tests/predecessor.rs
@@ -1,4 +1,5 @@
-//! A restarted steward has its predecessor's address, but not its claims.
+//! Tests that a restarted steward, which has the address of its previous incarnation but not its
+//! claims, does not answer for it.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -13,7 +14,7 @@
 use thistle_wire::peer::{ClaimRequest, Peer};
 use tokio::sync::mpsc;
 
-/// A steward that is the one voter, at the revision that it returns.
+/// Returns a steward that is the only voter, with its ID and the revision of the voters.
 fn voter() -> (PeerServer, MemberId, Revision) {
     let sample = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../samples/steward.yaml");
     let settings = thistle_settings::load(&sample).unwrap();
@@ -44,13 +45,13 @@
 async fn voter_answers_for_itself_and_not_for_its_predecessor() {
     let (server, me, revision) = voter();
     let predecessor = MemberId(me.0.wrapping_add(1));
-    let asked = request(predecessor, revision);
-    let for_other = server.clone().claim(context::current(), asked).await;
+    let to_predecessor = request(predecessor, revision);
+    let for_other = server.clone().claim(context::current(), to_predecessor).await;
     assert_that!(for_other, eq(&ClaimReply::WrongRevision(revision)));
-    let taken = server.clone().claims(context::current(), predecessor, revision, None).await;
-    assert_that!(taken, none());
+    let page = server.clone().claims(context::current(), predecessor, revision, None).await;
+    assert_that!(page, none());
     let own = server.clone().claim(context::current(), request(me, revision)).await;
     assert_that!(own, eq(&ClaimReply::Accepted(revision)));
-    let taken = server.claims(context::current(), me, revision, None).await;
-    assert_that!(taken.map(|page| page.len()), some(eq(1)));
+    let page = server.claims(context::current(), me, revision, None).await;
+    assert_that!(page.map(|claims| claims.len()), some(eq(1)));
 }
--- a/crates/steward/tests/promises.rs
+++ b/crates/steward/tests/promises.rs
@@ -1,4 +1,4 @@
-//! Promises and proofs, case by case.
+//! Tests of promises and proofs, case by case.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
     Instant::from_micros(secs * 1_000_000)
 }
 
-/// Found with real processes: a voter that had been none for a minute stated against a member at
-/// once, which had to join anew.
+/// If the last contacts were kept, a member that becomes a voter again after a minute would at once
+/// state that another member is gone, and that member would have to rejoin.
 #[gtest]
 fn voter_that_becomes_one_again_refuses_nobody_at_once() {
     let mut promises = Promises::new(FENCE);
