--- a/crates/steward/src/core.rs
+++ b/crates/steward/src/core.rs
@@ -202,13 +202,13 @@
         for (&id, _) in gone {
             self.gone_read.entry(id).or_insert(now);
         }
-        if members == *before {
+        if current == *before {
             return;
         }
         self.members_changed = now;
-        self.gone_read.retain(|id, _| members.contains(id));
-        self.peers.retain(|id, _| members.contains(id));
-        self.promises.retain(&members);
+        self.gone_read.retain(|id, _| current.contains(id));
+        self.peers.retain(|id, _| current.contains(id));
+        self.promises.retain(&current);
     }
 
     fn take_snapshot(&mut self) {
--- a/crates/steward/src/tasks.rs
+++ b/crates/steward/src/tasks.rs
@@ -64,7 +64,7 @@
     let core = shared.core();
     let now = Instant::now();
     let mut current = BTreeSet::new();
-    let timeout = shared.settings.silence.0;
+    let contact_timeout = shared.settings.silence.0;
     let on_duty = core.duty(shared.settings.heartbeat.0 * 3, now) == Some(core.me);
     let members: Vec<MemberId> = core.state.members.keys().copied().collect();
     for (vm, name) in &core.state.running_jobs {
@@ -74,7 +74,7 @@
         let is_own = home == Some(core.me) || sends_start;
         // The planner on duty tracks the tasks of an unresponsive home.
         let is_orphan =
-            || on_duty && home.is_some_and(|h| !core.promises.is_heard(h, timeout, now));
+            || on_duty && home.is_some_and(|h| !core.promises.is_heard(h, contact_timeout, now));
         if !is_own && !is_orphan() {
             continue;
         }
--- a/crates/steward/tests/predecessor.rs
+++ b/crates/steward/tests/predecessor.rs
@@ -48,10 +48,10 @@
     let to_predecessor = request(predecessor, revision);
     let for_other = server.clone().claim(context::current(), to_predecessor).await;
     assert_that!(for_other, eq(&ClaimReply::WrongRevision(revision)));
-    let page = server.clone().claims(context::current(), predecessor, revision, None).await;
-    assert_that!(page, none());
+    let reply = server.clone().claims(context::current(), predecessor, revision, None).await;
+    assert_that!(reply, none());
     let own = server.clone().claim(context::current(), request(me, revision)).await;
     assert_that!(own, eq(&ClaimReply::Accepted(revision)));
-    let page = server.claims(context::current(), me, revision, None).await;
-    assert_that!(page.map(|claims| claims.len()), some(eq(1)));
+    let reply = server.claims(context::current(), me, revision, None).await;
+    assert_that!(reply.map(|page| page.len()), some(eq(1)));
 }
