--- a/crates/steward/src/core.rs
+++ b/crates/steward/src/core.rs
@@ -197,7 +197,7 @@
     }
 
     fn note_members(&mut self, before: &BTreeSet<MemberId>, now: Instant) {
-        let members: BTreeSet<_> = self.state.members.keys().copied().collect();
+        let current: BTreeSet<_> = self.state.members.keys().copied().collect();
         let gone = self.state.members.iter().filter(|(_, m)| m.state == MemberState::Gone);
         for (&id, _) in gone {
             self.gone_read.entry(id).or_insert(now);
