--- a/crates/fold/src/decide.rs
+++ b/crates/fold/src/decide.rs
@@ -1,4 +1,5 @@
-//! Invariants, asserted after each accepted record, apart from the checks that reject.
+//! Invariants, which are asserted after each accepted record independently of the checks that
+//! reject records.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +8,7 @@
 use crate::pool::PoolKey;
 use crate::state::State;
 
-/// The state of affairs before a change, to assert the invariants after it.
+/// The counts before a change, to assert the invariants after it.
 pub(crate) struct Guard {
     ours: bool,
     available: Vec<(PoolKey, u32)>,
@@ -18,7 +19,7 @@
 }
 
 impl Guard {
-    /// Notes the counts before `change`.
+    /// Records the counts before `change`.
     pub(crate) fn new(state: &State, change: &Change) -> Self {
         Self {
             ours: is_our_decision(change),
@@ -32,11 +33,15 @@
 
     /// Asserts the invariants after the change.
     pub(crate) fn assert_held(&self, state: &State) {
-        assert!(state.templates.len() >= self.templates, "a template vanished");
-        assert!(state.pool_keys.len() >= self.pools, "a workspace vanished");
-        assert!(self.grows || state.vms.len() == self.vms, "a VM vanished or was doubled");
+        assert!(state.templates.len() >= self.templates, "a template was removed");
+        assert!(state.pool_keys.len() >= self.pools, "a workspace was removed");
+        assert!(self.grows || state.vms.len() == self.vms, "a VM was removed or duplicated");
         let sizes: u32 = state.pools.values().map(|p| p.size).sum();
-        assert_eq!(sizes as usize, state.vms.len(), "a VM is in no pool or in two");
+        assert_eq!(
+            sizes as usize,
+            state.vms.len(),
+            "the sizes of the pools do not add up to the number of VMs"
+        );
         if self.ours {
             self.assert_budgets(state);
         }
@@ -46,14 +51,14 @@
         for &(key, before) in &self.available {
             let pool = &state.pools[key];
             let held = pool.available >= before || pool.available >= pool.floor();
-            assert!(held, "our decision took '{}' below its floor", pool.label());
+            assert!(held, "a decision of the system took '{}' below its floor", pool.label());
         }
     }
 }
 
-/// Returns whether a change is a decision of the system's own, which budgets bind.
+/// Returns whether a change is a decision of the system, which must keep the budgets.
 ///
-/// What the platform or an operator's own hand takes away is not.
+/// VMs that the platform removes or that an operator forces out of service are not such decisions.
 fn is_our_decision(change: &Change) -> bool {
     matches!(
         change,
@@ -68,28 +73,38 @@
 }
 
 impl State {
-    /// Asserts all invariants by counting anew.
+    /// Asserts all invariants with newly counted VMs.
     ///
     /// # Panics
     ///
-    /// When one is broken.
+    /// Panics if an invariant is broken.
     pub fn assert_all(&self) {
-        assert_eq!(self.vms.len(), self.vm_keys.len(), "a VM has no name or two");
+        assert_eq!(
+            self.vms.len(),
+            self.vm_keys.len(),
+            "the numbers of VMs and of their names differ"
+        );
         let mut counts: BTreeMap<PoolKey, (u32, u32)> = BTreeMap::new();
         for vm in self.vms.values() {
             let count = counts.entry(vm.pool).or_default();
             count.0 += 1;
             count.1 += u32::from(vm.is_available());
-            assert!(vm.revision.0 <= self.accepted, "a VM's revision lies ahead");
+            assert!(
+                vm.revision.0 <= self.accepted,
+                "a VM's revision is later than the last accepted change"
+            );
             assert!(
                 vm.job_slots <= u32::from(vm.facts.slots),
-                "more job slots used than there are"
+                "jobs use more slots than the VM has"
             );
         }
         for (key, pool) in &self.pools {
             let counted = counts.get(&key).copied().unwrap_or_default();
-            assert_eq!((pool.size, pool.available), counted, "counts of '{}'", pool.label());
-            assert!(pool.touched.0 <= self.accepted, "a pool's revision lies ahead");
+            assert_eq!((pool.size, pool.available), counted, "wrong counts of '{}'", pool.label());
+            assert!(
+                pool.touched.0 <= self.accepted,
+                "a pool's revision is later than the last accepted change"
+            );
         }
     }
 }
--- a/crates/fold/src/image.rs
+++ b/crates/fold/src/image.rs
@@ -1,6 +1,7 @@
-//! The canonical image of the state: what snapshots hold and digests cover.
+//! The canonical encoding of the state, for snapshots and digests.
 //!
-//! Keys of arenas differ between a folded and a restored state, so the image uses names only.
+//! The image refers to VMs by name and to pools by index, as arena keys differ between a folded and
+//! a restored state.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -59,7 +60,7 @@
     writers: BTreeMap<u64, WriterMark>,
 }
 
-/// Encodes the state; equal states give equal bytes.
+/// Returns the encoded state; equal states have equal encodings.
 pub fn encode(state: &State) -> Vec<u8> {
     let mut keys = vec![state.reserve];
     keys.extend(state.pool_keys.values().copied());
@@ -88,7 +89,7 @@
     postcard::to_stdvec(&image).unwrap_or_default()
 }
 
-/// Decodes a state; `None` when the bytes are no image.
+/// Decodes a state; returns `None` if the bytes are not a valid image.
 pub fn decode(bytes: &[u8]) -> Option<State> {
     let image: Image = postcard::from_bytes(bytes).ok()?;
     let mut state = State::new();
--- a/crates/fold/src/job.rs
+++ b/crates/fold/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs: submitted, started under a lease, ended; quotas by team.
+//! Jobs, which are submitted, started under a lease and ended, and the quotas of teams.
 
 use serde::{Deserialize, Serialize};
 use thistle_model::job::{JobEnd, JobSpec, JobStart};
@@ -8,26 +8,26 @@
 use crate::state::State;
 use crate::vm::TaskRecord;
 
-/// Ended jobs whose status is kept.
+/// The maximum number of ended jobs whose status is kept.
 pub const MAX_ENDED_JOBS: usize = 10_000;
 
-/// Where a job stands.
+/// The state of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// It waits for a worker.
+    /// The job waits for a worker.
     Waiting,
-    /// It was started on a VM.
+    /// The job was started on a VM.
     Running(VmName),
-    /// It is done.
+    /// The job is done.
     Done,
-    /// It failed, or was lost and may not be repeated.
+    /// The job may not be repeated, and it failed, was lost or yielded.
     Failed,
-    /// A caller cancelled it.
+    /// A caller cancelled the job.
     Cancelled,
 }
 
 impl JobState {
-    /// Returns whether the job will not run any more.
+    /// Returns whether the job will not run again.
     pub fn is_ended(&self) -> bool {
         matches!(self, Self::Done | Self::Failed | Self::Cancelled)
     }
@@ -36,19 +36,19 @@
 /// A job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// What its submitter declared.
+    /// The declaration of the submitter.
     pub spec: JobSpec,
-    /// Where it stands.
+    /// The state of the job.
     pub state: JobState,
-    /// Its starts so far.
+    /// The number of starts.
     pub starts: u32,
-    /// Its starts that failed on the worker's word.
+    /// The number of starts that the worker reported as failed.
     pub failures: u32,
-    /// When it was submitted.
+    /// The revision at which the job was submitted.
     pub submitted: Revision,
-    /// Whether a caller cancelled it while it ran: it is stopped and not started again.
+    /// Whether a caller cancelled the job while it ran; it is stopped and not started again.
     pub cancelled: bool,
-    /// The member that told the worker of the present start.
+    /// The member that sends the current start to the worker.
     pub by: Option<MemberId>,
 }
 
@@ -126,11 +126,11 @@
         self.note_task(name, &vm, end);
         let job = self.job_mut(name)?;
         job.failures += u32::from(end == JobEnd::Failed);
-        let again = job.spec.repeatable;
+        let is_repeatable = job.spec.repeatable;
         job.state = match end {
             JobEnd::Done => JobState::Done,
             _ if job.cancelled => JobState::Cancelled,
-            JobEnd::Failed | JobEnd::Lost | JobEnd::Yielded if again => JobState::Waiting,
+            JobEnd::Failed | JobEnd::Lost | JobEnd::Yielded if is_repeatable => JobState::Waiting,
             JobEnd::Failed | JobEnd::Lost | JobEnd::Yielded => JobState::Failed,
         };
         let waiting = job.state == JobState::Waiting;
@@ -169,7 +169,7 @@
         for name in names {
             let starts = self.jobs[&name].starts;
             let lost = self.job_ended(&name, starts, JobEnd::Lost);
-            assert!(lost.is_ok(), "a running job can always be lost");
+            assert!(lost.is_ok(), "a running job can always be recorded as lost");
         }
     }
 
@@ -191,8 +191,8 @@
         Ok(())
     }
 
-    /// Counts the failures of different jobs in a row on a VM, by which a worker that fails every
-    /// task is told from a job that fails everywhere.
+    /// Counts consecutive failures of different jobs on a VM, to distinguish a worker that fails
+    /// every task from a job that fails everywhere.
     fn note_task(&mut self, job: &JobName, vm: &VmName, end: JobEnd) {
         let Ok(key) = self.vm_key(vm) else { return };
         let tasks = &mut self.vms[key].tasks;
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Keeps the status of the last [`MAX_ENDED_JOBS`] ended jobs and forgets older ones.
+    /// Keeps the status of the last [`MAX_ENDED_JOBS`] ended jobs and removes older ones.
     fn note_ended(&mut self, name: &JobName) {
         self.ended_jobs.push_back(name.clone());
         if self.ended_jobs.len() > MAX_ENDED_JOBS
--- a/crates/fold/src/lib.rs
+++ b/crates/fold/src/lib.rs
@@ -1,7 +1,7 @@
 //! The fold of the platform's log: `state' = apply(state, offset, record)`.
 //!
-//! Pure and deterministic: no I/O, no clock. Every steward that has read the log up to the same
-//! offset holds the same state, and a record that would break a promise is rejected by all alike.
+//! The fold is pure and deterministic: it has no I/O and no clock. All stewards that have read the
+//! log up to the same offset hold the same state and reject the same records.
 
 mod decide;
 pub mod image;
--- a/crates/fold/src/member.rs
+++ b/crates/fold/src/member.rs
@@ -1,9 +1,9 @@
 //! Members and voters.
 //!
-//! A member is a steward with the entry on its VM; each must acknowledge every drain. Voters are a
-//! few members that give promises and hold claims. A set of voters is replaced in two records
-//! (proposed, committed); in between a quorum needs a majority of both sets, so quorums of any two
-//! successive sets meet.
+//! A member is a steward with the entry on its VM; each member must acknowledge every drain. Voters
+//! are a few members that give promises and hold claims. A set of voters is replaced by two records
+//! (proposed, committed); between them a quorum needs a majority of both sets, so quorums of any
+//! two successive sets overlap.
 
 use serde::{Deserialize, Serialize};
 use thistle_model::{MemberFacts, MemberId, Revision};
@@ -11,29 +11,31 @@
 use crate::reject::Reject;
 use crate::state::State;
 
-/// The most voters in one set.
+/// The maximum number of voters in a set.
 pub const MAX_VOTERS: usize = 7;
 
-/// Added to the wall clock of a reset before claims are trusted again, for skewed clocks.
+/// The time after the wall clock of a reset from which claims are trusted again, in milliseconds;
+/// it allows for clock skew.
 pub const RESET_SKEW_MS: u64 = 5_000;
 
-/// Whether a member is counted on.
+/// The state of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It takes part.
+    /// The member takes part.
     Joined,
-    /// A quorum stated that it has no promise; it counts until the fence time has passed.
+    /// A quorum stated that the member has no promise; its acknowledgements are required until the
+    /// fence time has passed.
     Gone,
 }
 
 /// A member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// What it said when it joined.
+    /// The facts with which the member joined.
     pub facts: MemberFacts,
-    /// Whether it is counted on.
+    /// The state of the member.
     pub state: MemberState,
-    /// When it joined.
+    /// The revision at which the member joined.
     pub joined: Revision,
 }
 
@@ -139,10 +141,14 @@
     }
 
     fn check_voter_set(&self, voters: &[MemberId]) -> Result<(), Reject> {
-        let joined =
+        let is_joined =
             |id: &MemberId| self.members.get(id).is_some_and(|m| m.state == MemberState::Joined);
-        let doubled = (1..voters.len()).any(|i| voters[..i].contains(&voters[i]));
-        if voters.is_empty() || voters.len() > MAX_VOTERS || doubled || !voters.iter().all(joined) {
+        let has_duplicate = (1..voters.len()).any(|i| voters[..i].contains(&voters[i]));
+        if voters.is_empty()
+            || voters.len() > MAX_VOTERS
+            || has_duplicate
+            || !voters.iter().all(is_joined)
+        {
             return Err(Reject::BadVoters);
         }
         Ok(())
--- a/crates/fold/src/operator.rs
+++ b/crates/fold/src/operator.rs
@@ -1,4 +1,4 @@
-//! Records of operators: templates, workspaces and quotas, each compare-and-set.
+//! Applies operators' changes of templates, workspaces and quotas, each with compare-and-set.
 
 use std::sync::Arc;
 
@@ -39,10 +39,10 @@
         if !self.templates.contains_key(&workspace.template) {
             return Err(Reject::NoSuchTemplate(workspace.template.clone()));
         }
-        let known = self.pool_keys.get(name).copied();
-        let present = known.map_or(Revision::NONE, |key| self.pools[key].revision);
+        let existing = self.pool_keys.get(name).copied();
+        let present = existing.map_or(Revision::NONE, |key| self.pools[key].revision);
         expect_revision("the workspace", name.as_str(), base, present)?;
-        let key = known.unwrap_or_else(|| self.insert_pool(name, workspace));
+        let key = existing.unwrap_or_else(|| self.insert_pool(name, workspace));
         let revision = self.next_revision();
         let pool = &mut self.pools[key];
         pool.workspace = Some(workspace.clone());
@@ -77,7 +77,7 @@
     }
 }
 
-/// Checks that an object stands at the revision that the writer saw.
+/// Checks that an object is at the revision on which the writer based the change.
 pub(crate) fn expect_revision(
     kind: &str,
     name: &str,
--- a/crates/fold/src/pool.rs
+++ b/crates/fold/src/pool.rs
@@ -1,4 +1,4 @@
-//! Pools: the reserve, and one pool for each workspace.
+//! Pools of VMs: the reserve and one pool for each workspace.
 
 use slotmap::new_key_type;
 use thistle_model::{PoolName, Revision, Workspace};
@@ -11,22 +11,22 @@
 /// A pool of VMs.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    /// The workspace; `None` for the reserve.
+    /// The name of the workspace; `None` for the reserve.
     pub name: Option<PoolName>,
-    /// The workspace's parameters; `None` for the reserve.
+    /// The parameters of the workspace; `None` for the reserve.
     pub workspace: Option<Workspace>,
     /// The revision of the parameters.
     pub revision: Revision,
     /// The revision at which the pool, its template or one of its VMs last changed.
     pub touched: Revision,
-    /// VMs that belong to the pool.
+    /// The number of VMs that belong to the pool.
     pub size: u32,
-    /// VMs of the pool that may be sent new work.
+    /// The number of the pool's VMs that may be sent new work.
     pub available: u32,
 }
 
 impl Pool {
-    /// Makes the reserve, empty.
+    /// Creates an empty reserve.
     pub(crate) fn reserve() -> Self {
         Self {
             name: None,
@@ -38,17 +38,17 @@
         }
     }
 
-    /// Makes a workspace's pool, empty.
+    /// Creates an empty pool of a workspace.
     pub(crate) fn new(name: PoolName, workspace: Workspace) -> Self {
         Self { name: Some(name), workspace: Some(workspace), ..Self::reserve() }
     }
 
-    /// Returns the VMs that must stay available under our own decisions.
+    /// Returns the number of VMs that decisions of the system must leave available.
     pub fn floor(&self) -> u32 {
         self.workspace.as_ref().map_or(0, Workspace::floor)
     }
 
-    /// Returns the VMs that the pool should have.
+    /// Returns the number of VMs that the pool should have.
     pub fn target(&self) -> u32 {
         self.workspace.as_ref().map_or(0, |w| w.vms)
     }
--- a/crates/fold/src/reject.rs
+++ b/crates/fold/src/reject.rs
@@ -1,77 +1,79 @@
-//! Why a record was rejected, in words that name the remedy.
+//! The reasons for which records are rejected, with messages that name the remedy.
 
 use std::fmt;
 
 use thistle_model::parameters::ParameterError;
 use thistle_model::{JobName, MemberId, PoolName, Revision, TemplateName, VmName};
 
-/// Reasons for which the fold rejects a record; every reader rejects it for the same one.
+/// The reason for which the fold rejects a record; every reader rejects the record for the same
+/// reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reject {
-    /// The record's id was read before.
+    /// The record's ID was read before.
     Duplicate,
-    /// The object changed after the writer looked at it.
+    /// The object changed after the writer read it.
     Stale {
-        /// What changed.
+        /// The object that changed.
         what: String,
-        /// The revision that the writer saw.
+        /// The revision on which the change is based.
         base: Revision,
-        /// The present revision.
+        /// The current revision.
         present: Revision,
     },
     /// A parameter is out of range.
     Invalid(ParameterError),
-    /// The template is not known.
+    /// The template does not exist.
     NoSuchTemplate(TemplateName),
-    /// The workspace is not known.
+    /// The workspace does not exist.
     NoSuchPool(PoolName),
-    /// The VM is not known.
+    /// The VM does not exist.
     NoSuchVm(VmName),
-    /// The member is not known.
+    /// The member does not exist.
     NoSuchMember(MemberId),
-    /// The job is not known.
+    /// The job does not exist.
     NoSuchJob(JobName),
-    /// The change would take more of a pool than its availability budget allows.
+    /// The change would make more VMs of a pool unavailable than its availability budget allows.
     BudgetSpent {
         /// The pool.
         pool: PoolName,
-        /// VMs now available.
+        /// The number of available VMs.
         available: u32,
-        /// VMs that must stay available.
+        /// The number of VMs that must stay available.
         floor: u32,
     },
-    /// The VM is not in the stage from which the step is taken.
+    /// The VM's stage does not allow the step.
     WrongStage {
         /// The VM.
         vm: VmName,
-        /// Its present stage, in words.
+        /// The current stage as text.
         stage: String,
     },
     /// Members have not acknowledged the drain.
     MissingAcks(Vec<MemberId>),
     /// Jobs still run on the VM.
     JobsRunning(VmName, u32),
-    /// The statements are not a quorum of the present voters.
+    /// The statements are not from a quorum of the voters.
     NoQuorum,
-    /// The member is in no state for this step.
+    /// The member's state does not allow the step.
     WrongMemberState(MemberId),
-    /// The set of voters is empty, too large, doubled or holds a stranger.
+    /// The set of voters is empty or too large, or has a duplicate or a member that is not joined;
+    /// or no set is proposed.
     BadVoters,
     /// A maintenance wave is under way.
     WaveUnderWay,
     /// No maintenance wave is under way.
     NoWave,
-    /// The job's name is taken.
+    /// A job of the same name exists.
     JobExists(JobName),
-    /// The job cannot be started or ended this way now.
+    /// The job's state does not allow the start or end.
     JobState(JobName),
     /// The worker has too few free slots.
     NoFreeSlot(VmName),
     /// The team's quota is used up.
     QuotaSpent {
-        /// Slots that the team's jobs use.
+        /// The number of slots that the team's jobs use.
         used: u32,
-        /// Slots that they may use.
+        /// The number of slots that the team's jobs may use.
         quota: u32,
     },
 }
@@ -79,10 +81,10 @@
 impl fmt::Display for Reject {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Duplicate => write!(f, "the record was taken before; nothing is to be done"),
+            Self::Duplicate => write!(f, "the record was read before; no action is needed"),
             Self::Stale { what, base, present } => write!(
                 f,
-                "{what} is at revision {present} and the change was made from {base}: look at it again and repeat the change"
+                "{what} is at revision {present}, but the change is based on {base}: check it again and repeat the change"
             ),
             Self::Invalid(e) => e.fmt(f),
             Self::NoSuchTemplate(n) => write!(f, "no template '{n}': publish it first"),
@@ -92,26 +94,26 @@
             Self::NoSuchJob(n) => write!(f, "no job '{n}': see 'thistle job list'"),
             Self::BudgetSpent { pool, available, floor } => write!(
                 f,
-                "the availability budget of '{pool}' is spent ({available} VMs available, {floor} must stay): wait for one to come back or raise max_unavailable"
+                "the availability budget of '{pool}' is used up ({available} VMs available, {floor} must stay): wait until another one is available or raise max_unavailable"
             ),
             Self::WrongStage { vm, stage } => {
-                write!(f, "the VM '{vm}' is {stage}: wait, or take the step that fits this stage")
+                write!(f, "the VM '{vm}' is {stage}: wait, or choose a step that this stage allows")
             }
             Self::MissingAcks(ids) => {
-                write!(f, "not yet acknowledged by ")?;
+                write!(f, "the drain is not yet acknowledged by ")?;
                 for (i, id) in ids.iter().enumerate() {
                     write!(f, "{}{id}", if i == 0 { "" } else { ", " })?;
                 }
-                write!(f, ": wait, or see 'thistle status' for silent members")
+                write!(f, ": wait, or see 'thistle status' for unresponsive members")
             }
             Self::JobsRunning(vm, n) => write!(f, "{n} jobs run on '{vm}': wait for them to end"),
-            Self::NoQuorum => write!(f, "not a quorum of the present voters: ask them again"),
+            Self::NoQuorum => write!(f, "not a quorum of the current voters: query them again"),
             Self::WrongMemberState(id) => {
                 write!(f, "the member {id} is not in the state for this step: see 'thistle status'")
             }
             Self::BadVoters => write!(
                 f,
-                "the set of voters is not 1 to {MAX_VOTERS} joined members, each once: pick others",
+                "the set of voters must be 1 to {MAX_VOTERS} different joined members: choose others",
                 MAX_VOTERS = crate::member::MAX_VOTERS
             ),
             Self::WaveUnderWay => write!(f, "a maintenance wave is under way: wait for its end"),
@@ -119,7 +121,7 @@
                 write!(f, "no maintenance wave is under way: start one with 'thistle wave start'")
             }
             Self::JobExists(n) => {
-                write!(f, "a job '{n}' is known: choose another name, or see its status")
+                write!(f, "a job '{n}' exists already: choose another name, or see its status")
             }
             Self::JobState(n) => {
                 write!(f, "the job '{n}' is not in the state for this step: see 'thistle job list'")
--- a/crates/fold/src/snapshot.rs
+++ b/crates/fold/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the state in the log, so that old entries may expire.
+//! Snapshots of the state in the log, which allow old log entries to expire.
 
 use std::collections::BTreeMap;
 
@@ -9,12 +9,12 @@
 use crate::image;
 use crate::state::State;
 
-/// Bytes of the state in one chunk, before base64.
+/// The maximum number of bytes of the state in a chunk, before base64 encoding.
 pub const CHUNK_BYTES: usize = 36 * 1024;
-/// The most chunks that are put together, a bound on memory.
+/// The maximum number of chunks of a snapshot that is read, to limit memory.
 pub const MAX_CHUNKS: u32 = 1_024;
 
-/// Makes the records of a snapshot of `state`.
+/// Returns the changes that hold a snapshot of `state`.
 pub fn chunks(state: &State) -> Vec<Change> {
     let bytes = image::encode(state);
     let digest = image::digest_of(&bytes);
@@ -30,19 +30,20 @@
     parts.iter().enumerate().map(chunk).collect()
 }
 
-/// Puts the chunks of snapshots together as they are read.
+/// Assembles snapshots from their chunks.
 #[derive(Debug, Default)]
 pub struct Assembler {
     parts: BTreeMap<(Offset, String), BTreeMap<u32, Vec<u8>>>,
 }
 
 impl Assembler {
-    /// Makes an assembler without chunks.
+    /// Creates an assembler without chunks.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a record; returns the state when it completes a snapshot whose digest is right.
+    /// Adds the chunk of a change, if any; returns the state if the chunk completes a snapshot with
+    /// a correct digest.
     pub fn take(&mut self, change: &Change) -> Option<State> {
         let Change::SnapshotChunk { at, digest, index, count, data } = change else {
             return None;
@@ -58,10 +59,10 @@
             return None;
         }
         let parts = self.parts.remove(&key)?;
-        let whole: Vec<u8> = parts.into_values().flatten().collect();
-        if image::digest_of(&whole) != *digest {
+        let encoded: Vec<u8> = parts.into_values().flatten().collect();
+        if image::digest_of(&encoded) != *digest {
             return None;
         }
-        image::decode(&whole).filter(|s| s.next == *at)
+        image::decode(&encoded).filter(|s| s.next == *at)
     }
 }
--- a/crates/fold/src/state.rs
+++ b/crates/fold/src/state.rs
@@ -21,63 +21,65 @@
 use crate::vm::{Vm, VmKey};
 use crate::wave::Wave;
 
-/// Records that a silent writer's mark outlives; a copy of its record cannot come later.
+/// The number of records for which an inactive writer's mark is kept; no copy of its record can
+/// arrive later than that.
 pub const WRITER_MEMORY: u64 = 200_000;
-/// Every this many records, marks of silent writers are dropped and all invariants are checked.
+/// The number of records between two drops of inactive writers' marks, with a check of all
+/// invariants.
 const SWEEP_EVERY: u64 = 1_024;
 
 /// A template with its revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TemplateEntry {
-    /// When it was published.
+    /// The revision at which the template was last published.
     pub revision: Revision,
-    /// Its content.
+    /// The content of the template.
     pub template: Arc<Template>,
 }
 
-/// The slots that a team's jobs may use, and use.
+/// The slots that a team's jobs may use and do use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quota {
-    /// When it was set.
+    /// The revision at which the quota was last set.
     pub revision: Revision,
-    /// Slots that may be in use at one time.
+    /// The number of slots that may be in use at a time.
     pub slots: u32,
-    /// Slots in use.
+    /// The number of slots in use.
     pub used: u32,
 }
 
-/// The last record read of a writer.
+/// The last record that was read from a writer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriterMark {
-    /// The writer's count in that record.
+    /// The sequence number of the record.
     pub seq: u64,
-    /// The number of that record among all records read.
+    /// The number of records that were read up to this one.
     pub at: u64,
 }
 
-/// What became of a record.
+/// The outcome of a record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verdict {
-    /// The record.
+    /// The ID of the record.
     pub id: RecordId,
-    /// The offset at which it was read.
+    /// The offset of the record's log entry.
     pub offset: Offset,
-    /// The revision that it made, or why it was rejected.
+    /// The revision of the change, or the reason for its rejection.
     pub result: Result<Revision, Reject>,
 }
 
-/// All agreed state, as of [`State::next`].
+/// The agreed state after all log entries before [`State::next`].
 #[derive(Clone, Debug)]
 pub struct State {
-    /// The offset of the next entry to apply.
+    /// The offset of the next log entry to apply.
     pub next: Offset,
-    /// Changes accepted so far.
+    /// The number of accepted changes.
     pub accepted: u64,
-    /// Records read so far.
+    /// The number of records that were read.
     pub records: u64,
-    /// Entries that could not be decoded.
+    /// The number of log entries that could not be decoded.
     pub malformed: u64,
-    /// VMs assigned to a workspace's pool so far.
+    /// The number of assignments of VMs to a workspace's pool.
     pub moves: u64,
     /// Templates by name.
     pub templates: BTreeMap<TemplateName, TemplateEntry>,
@@ -85,13 +87,13 @@
     pub pools: SlotMap<PoolKey, Pool>,
     /// Pools of workspaces by name.
     pub pool_keys: BTreeMap<PoolName, PoolKey>,
-    /// The pool of VMs that no workspace has.
+    /// The pool of VMs that belong to no workspace.
     pub reserve: PoolKey,
     /// The arena of VMs.
     pub vms: SlotMap<VmKey, Vm>,
     /// VMs by name.
     pub vm_keys: BTreeMap<VmName, VmKey>,
-    /// Members by id.
+    /// Members by ID.
     pub members: BTreeMap<MemberId, Member>,
     /// The voters.
     pub voters: Voters,
@@ -101,9 +103,9 @@
     pub quotas: BTreeMap<TeamName, Quota>,
     /// Jobs by name.
     pub jobs: BTreeMap<JobName, Job>,
-    /// Jobs that wait: urgent ones first, then by age.
+    /// Waiting jobs: urgent ones first, then by age.
     pub waiting_jobs: BTreeSet<(Urgency, Revision, JobName)>,
-    /// Jobs that run, by VM.
+    /// Running jobs by VM.
     pub running_jobs: BTreeSet<(VmName, JobName)>,
     /// Ended jobs whose status is kept, the oldest first.
     pub ended_jobs: VecDeque<JobName>,
@@ -118,7 +120,7 @@
 }
 
 impl State {
-    /// Makes the state before the first record.
+    /// Creates the state before the first record.
     pub fn new() -> Self {
         let mut pools = SlotMap::with_key();
         let reserve = pools.insert(Pool::reserve());
@@ -146,13 +148,13 @@
         }
     }
 
-    /// Applies the log's entry at `offset` and returns what became of each of its records.
+    /// Applies the log entry at `offset` and returns the verdicts on its records.
     ///
     /// # Panics
     ///
-    /// When `offset` is not the next one, or when an invariant is broken.
+    /// Panics if `offset` is not the next one or if an invariant is broken.
     pub fn apply_entry(&mut self, offset: Offset, entry: &[u8]) -> Vec<Verdict> {
-        assert_eq!(offset, self.next, "entries are applied in order, none left out");
+        assert_eq!(offset, self.next, "log entries must be applied in order without gaps");
         let verdicts = match decode(entry) {
             Some(records) => records.iter().map(|r| self.apply(offset, r)).collect(),
             None => {
@@ -164,7 +166,7 @@
         verdicts
     }
 
-    /// Applies one record of the entry at `offset`.
+    /// Applies a record of the log entry at `offset`.
     pub fn apply(&mut self, offset: Offset, record: &Record) -> Verdict {
         self.records += 1;
         let result = self.take(record);
@@ -184,6 +186,7 @@
         Ok(Revision(self.accepted))
     }
 
+    /// Records the sequence number of a writer's record; rejects one that was read before.
     fn mark_writer(&mut self, id: RecordId) -> Result<(), Reject> {
         let at = self.records;
         let mark = self.writers.entry(id.writer).or_insert(WriterMark { seq: 0, at });
@@ -199,7 +202,7 @@
         self.writers.retain(|_, mark| mark.at >= oldest);
     }
 
-    /// Returns the revision that the change under way makes when it is accepted.
+    /// Returns the revision that the change in progress gets if it is accepted.
     pub(crate) fn next_revision(&self) -> Revision {
         Revision(self.accepted + 1)
     }
--- a/crates/fold/src/view.rs
+++ b/crates/fold/src/view.rs
@@ -1,4 +1,4 @@
-//! The view that an entry needs, made from the state.
+//! Builds the view that an entry needs from the state.
 
 use thistle_model::view::{ViewDrain, ViewPool, ViewUpdate, ViewVm, ViewVoter};
 use thistle_model::{MemberId, PoolName, Revision};
@@ -8,7 +8,7 @@
 use crate::state::State;
 use crate::vm::Stage;
 
-/// Returns what changed for an entry since `revision`; everything when it is 0.
+/// Returns the changes of the view since `revision`, or the whole view if `revision` is 0.
 ///
 /// Hints of leaving VMs are not part of the state and are left empty.
 pub fn changed_since(state: &State, revision: Revision) -> ViewUpdate {
@@ -37,9 +37,9 @@
 fn view_pools(state: &State, changed: &[(&PoolName, &PoolKey)]) -> Vec<ViewPool> {
     let mut pools: Vec<ViewPool> =
         changed.iter().filter_map(|(_, key)| view_pool(state, &state.pools[**key])).collect();
-    let slot = |key: PoolKey| changed.iter().position(|(_, k)| **k == key);
+    let index = |key: PoolKey| changed.iter().position(|(_, k)| **k == key);
     for vm in state.vm_keys.values().map(|&key| &state.vms[key]) {
-        let Some(pool) = slot(vm.pool).and_then(|i| pools.get_mut(i)) else {
+        let Some(pool) = index(vm.pool).and_then(|i| pools.get_mut(i)) else {
             continue;
         };
         if vm.is_available() {
--- a/crates/fold/src/vm.rs
+++ b/crates/fold/src/vm.rs
@@ -1,4 +1,4 @@
-//! VMs and the steps by which one leaves a pool.
+//! VMs and the stages in which a VM leaves its pool.
 
 use slotmap::new_key_type;
 use thistle_model::{
@@ -14,21 +14,21 @@
     pub struct VmKey;
 }
 
-/// How far a VM is on its way out of service.
+/// The stage of a VM on its way out of service.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Stage {
-    /// It serves.
+    /// The VM is in service.
     InService,
-    /// It gets no new work; members acknowledge when theirs is finished.
+    /// The VM gets no new work; each member acknowledges when its requests there are finished.
     Draining(DrainReason),
-    /// Every member has acknowledged.
+    /// Every member has acknowledged the drain.
     Drained(DrainReason),
-    /// The platform reboots it.
+    /// The platform reboots the VM.
     InMaintenance,
 }
 
 impl Stage {
-    /// Returns the stage in words for tables and messages.
+    /// Returns the stage as text for tables and messages.
     pub fn describe(&self) -> String {
         match self {
             Self::InService => "in service".to_owned(),
@@ -51,32 +51,32 @@
 /// A VM of the fleet.
 #[derive(Clone, Debug)]
 pub struct Vm {
-    /// Its name.
+    /// The name of the VM.
     pub name: VmName,
-    /// What the platform says of it.
+    /// The facts that the platform reports.
     pub facts: VmFacts,
-    /// Live or leaving, as the platform says.
+    /// The status that the platform reports: live or leaving.
     pub status: PlatformStatus,
-    /// The one pool to which it belongs.
+    /// The pool to which the VM belongs.
     pub pool: PoolKey,
     /// Whether an operator forbids new work.
     pub cordoned: bool,
-    /// How far it is on its way out.
+    /// The stage of the VM on its way out of service.
     pub stage: Stage,
-    /// When it last changed.
+    /// The revision at which the VM last changed.
     pub revision: Revision,
-    /// The number of the last wave that maintained it.
+    /// The number of the last wave that maintained the VM.
     pub wave: u32,
-    /// Slots that running jobs use.
+    /// The number of slots that running jobs use.
     pub job_slots: u32,
-    /// How tasks of jobs end there.
+    /// How tasks of jobs have ended on the VM.
     pub tasks: TaskRecord,
 }
 
-/// How tasks of jobs end on a VM.
+/// How tasks of jobs have ended on a VM.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct TaskRecord {
-    /// Failures of different jobs since a task was done.
+    /// The number of failures of different jobs since the last task that was done.
     pub failed_in_row: u32,
     /// The job that failed last.
     pub last_failed: Option<JobName>,
@@ -183,10 +183,10 @@
         let Stage::Draining(reason) = self.vms[key].stage.clone() else {
             return Err(self.wrong_stage(key));
         };
-        // No entry sends anything to the reserve, so nobody need acknowledge there.
+        // Entries send no requests to VMs of the reserve, so no acknowledgement is needed for them.
         let in_reserve = self.vms[key].pool == self.reserve;
-        let silent = |id: &&MemberId| !in_reserve && !acks.contains(id);
-        let missing: Vec<_> = self.members.keys().filter(silent).copied().collect();
+        let has_not_acked = |id: &&MemberId| !in_reserve && !acks.contains(id);
+        let missing: Vec<_> = self.members.keys().filter(has_not_acked).copied().collect();
         if !missing.is_empty() {
             return Err(Reject::MissingAcks(missing));
         }
@@ -210,8 +210,8 @@
             None => self.reserve,
         };
         let vm = &self.vms[key];
-        let idle_spare = vm.pool == self.reserve && vm.stage == Stage::InService;
-        if !idle_spare && !matches!(vm.stage, Stage::Drained(_)) {
+        let is_spare = vm.pool == self.reserve && vm.stage == Stage::InService;
+        if !is_spare && !matches!(vm.stage, Stage::Drained(_)) {
             return Err(self.wrong_stage(key));
         }
         self.moves += u64::from(to.is_some());
@@ -246,7 +246,7 @@
         Ok(())
     }
 
-    /// Returns the VM of that name at that revision.
+    /// Returns the key of the named VM, or an error if its revision is not `base`.
     fn vm_at(&self, name: &VmName, base: Revision) -> Result<VmKey, Reject> {
         let key = self.vm_key(name)?;
         let present = self.vms[key].revision;
@@ -256,12 +256,12 @@
         Ok(key)
     }
 
-    /// Returns the key of the VM of that name.
+    /// Returns the key of the named VM.
     pub fn vm_key(&self, name: &VmName) -> Result<VmKey, Reject> {
         self.vm_keys.get(name).copied().ok_or_else(|| Reject::NoSuchVm(name.clone()))
     }
 
-    /// Checks that taking `key` out of service leaves its pool at its floor.
+    /// Checks that the pool of `key` stays at or above its floor without this VM.
     pub fn check_budget(&self, key: VmKey) -> Result<(), Reject> {
         let vm = &self.vms[key];
         let pool = &self.pools[vm.pool];
@@ -284,7 +284,7 @@
         Reject::WrongStage { vm: vm.name.clone(), stage: vm.stage.describe() }
     }
 
-    /// Changes a VM and keeps the counts and revisions of its old and its new pool.
+    /// Changes a VM and updates the counts and revisions of its old and its new pool.
     pub(crate) fn change_vm(&mut self, key: VmKey, change: impl FnOnce(&mut Vm)) {
         self.count_out(key);
         change(&mut self.vms[key]);
--- a/crates/fold/src/wave.rs
+++ b/crates/fold/src/wave.rs
@@ -1,4 +1,4 @@
-//! The maintenance wave: every VM once, as wide as the budgets allow.
+//! The maintenance wave: maintains every VM once, as many at a time as the budgets allow.
 
 use serde::{Deserialize, Serialize};
 use thistle_model::Revision;
@@ -7,14 +7,14 @@
 use crate::reject::Reject;
 use crate::state::State;
 
-/// The present maintenance wave, or the last one.
+/// The current maintenance wave, or the last one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Wave {
-    /// Its number; 0 before the first.
+    /// The number of the wave; 0 before the first.
     pub number: u32,
-    /// When it was started or paused.
+    /// The revision at which the wave was last started, paused or resumed.
     pub revision: Revision,
-    /// Whether an operator paused it.
+    /// Whether an operator has paused the wave.
     pub paused: bool,
 }
 
@@ -39,7 +39,7 @@
         Ok(())
     }
 
-    /// Returns the VMs that the present wave has yet to maintain.
+    /// Returns the number of VMs that the current wave has yet to maintain.
     pub fn wave_left(&self) -> usize {
         self.vms.values().filter(|vm| vm.wave < self.wave.number).count()
     }
--- a/crates/fold/tests/common/mod.rs
+++ b/crates/fold/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of the fold's tests.
+//! Helpers for the tests of the fold.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// A state with a writer that numbers its records.
+/// A state with the log of one writer, which numbers its records.
 pub struct Log {
     pub state: State,
     pub records: Vec<Record>,
@@ -68,14 +68,14 @@
         Self { state: State::new(), records: Vec::new(), seq: 0 }
     }
 
-    /// Applies a change under a new id.
+    /// Applies a change under a new record ID.
     pub fn apply(&mut self, change: Change) -> Verdict {
         self.seq += 1;
         let record = Record { id: RecordId { writer: 1, seq: self.seq }, at_ms: 0, change };
         self.apply_record(record)
     }
 
-    /// Applies a record as the next entry of the log.
+    /// Applies a record as the next log entry.
     pub fn apply_record(&mut self, record: Record) -> Verdict {
         let offset = Offset(self.records.len() as u64);
         let entry = thistle_model::record::encode(std::slice::from_ref(&record));
@@ -105,7 +105,7 @@
         self.accept(Change::MemberJoin { member: MemberId(i), facts: member_facts(i) });
     }
 
-    /// Publishes a template and pools of four VMs with a budget of one.
+    /// Publishes a template and sets up pools of four VMs with a budget of one.
     pub fn with_pools(pools: usize) -> Self {
         let mut log = Self::new();
         let name = TemplateName::new("t").unwrap();
--- a/crates/fold/tests/random.rs
+++ b/crates/fold/tests/random.rs
@@ -1,6 +1,6 @@
-//! Long random runs: racing writers, stale views, doubled and malformed records.
+//! Long random runs with racing writers, stale views, and duplicate and malformed records.
 //!
-//! The fold's own assertions run after each record; the model here checks them from outside.
+//! The fold asserts its invariants after each record; these tests check them from outside as well.
 
 mod common;
 
@@ -22,7 +22,7 @@
 const MEMBERS: u64 = 5;
 const WRITERS: u64 = 4;
 
-/// Cases of one run: few in CI, many with THISTLE_LONG_RUN=1.
+/// Returns the number of cases of a run: few in CI, many with THISTLE_LONG_RUN=1.
 fn cases() -> u32 {
     if std::env::var_os("THISTLE_LONG_RUN").is_some() { 20_000 } else { 150 }
 }
@@ -33,7 +33,7 @@
     TestRunner::new_with_rng(config, rng)
 }
 
-/// A change whose revisions are filled in from a state, perhaps an old one.
+/// A change whose revisions are filled in from a state, which may be old.
 #[derive(Clone, Debug)]
 enum Step {
     Vm(usize, VmStep),
@@ -64,7 +64,7 @@
     Rebooted,
 }
 
-/// What a record of a run does wrong, if anything.
+/// The fault of a record in a run, if any.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     None,
@@ -196,7 +196,7 @@
     }
 }
 
-/// The pool of each VM, counted from the state by name.
+/// Returns the label of the pool of each VM by name.
 fn pool_of_each(state: &State) -> BTreeMap<VmName, String> {
     let label = |k| state.pools[state.vms[k].pool].label().to_owned();
     state.vm_keys.iter().map(|(n, &k)| (n.clone(), label(k))).collect()
@@ -278,7 +278,7 @@
         .unwrap();
 }
 
-/// Steps of jobs, with VMs that come and go beneath them.
+/// Steps of jobs, and removals of the VMs on which they run.
 fn job_step() -> impl Strategy<Value = Step> {
     let end = prop_oneof![Just(JobEnd::Done), Just(JobEnd::Failed), Just(JobEnd::Yielded)];
     prop_oneof![
@@ -292,7 +292,7 @@
 #[test]
 fn job_that_may_not_be_repeated_starts_at_most_once() {
     let steps = prop::collection::vec(job_step(), 1..200);
-    let all = std::cell::Cell::new(0u32);
+    let total_starts = std::cell::Cell::new(0u32);
     runner()
         .run(&steps, |steps| {
             let mut log = Log::with_pools(POOLS);
@@ -306,17 +306,17 @@
             }
             for (name, job) in &log.state.jobs {
                 let count = starts.get(name).copied().unwrap_or(0);
-                all.set(all.get() + count);
+                total_starts.set(total_starts.get() + count);
                 prop_assert!(job.spec.repeatable || count <= 1, "{} started {} times", name, count);
             }
             log.state.assert_all();
             Ok(())
         })
         .unwrap();
-    assert!(all.get() > cases(), "only {} starts", all.get());
+    assert!(total_starts.get() > cases(), "only {} starts", total_starts.get());
 }
 
-/// Folds entries and returns the state's digest.
+/// Returns the state after log entries.
 fn fold(entries: &[Vec<u8>]) -> State {
     let mut state = State::new();
     for (i, entry) in entries.iter().enumerate() {
@@ -341,16 +341,16 @@
                 .map(|r| thistle_model::record::encode(std::slice::from_ref(r)))
                 .collect();
             let cut = cut.min(entries.len());
-            let middle = fold(&entries[..cut]);
+            let state_at_cut = fold(&entries[..cut]);
             let mut assembler = Assembler::new();
-            let chunks = snapshot::chunks(&middle);
+            let chunks = snapshot::chunks(&state_at_cut);
             let mut restored = chunks
                 .iter()
                 .rev()
                 .filter_map(|c| assembler.take(c))
                 .next_back()
-                .expect("the chunks make a whole, in any order");
-            prop_assert_eq!(digest(&restored), digest(&middle));
+                .expect("the chunks complete the snapshot in any order");
+            prop_assert_eq!(digest(&restored), digest(&state_at_cut));
             for (i, entry) in entries.iter().enumerate().skip(cut) {
                 restored.apply_entry(Offset(i as u64), entry);
             }
--- a/crates/fold/tests/steps.rs
+++ b/crates/fold/tests/steps.rs
@@ -1,4 +1,4 @@
-//! The steps of a VM, budgets, acknowledgements and compare-and-set, one by one.
+//! Tests of the stages of a VM, budgets, acknowledgements and compare-and-set, case by case.
 
 mod common;
 
@@ -27,10 +27,10 @@
 #[gtest]
 fn drain_from_a_stale_view_is_rejected() {
     let mut log = Log::with_pools(1);
-    let paused_writers_drain = drain(&log, 0);
+    let stale_drain = drain(&log, 0);
     let base = log.revision(0);
     log.accept(Change::Cordon { vm: vm_name(0), base, on: true, force: false });
-    let verdict = log.apply(paused_writers_drain);
+    let verdict = log.apply(stale_drain);
     expect_that!(verdict.result, err(matches_pattern!(Reject::Stale { .. })));
 }
 
@@ -87,7 +87,7 @@
         voters,
         statements: statements.iter().copied().map(MemberId).collect(),
     };
-    // The old revision, and each majority without the other, do not do.
+    // The old revision is rejected, and so is a majority of only one of the two sets.
     expect_that!(log.apply(gone(old, &[2, 3])).result, err(matches_pattern!(Reject::Stale { .. })));
     expect_that!(log.apply(gone(present, &[3, 4, 5])).result, err(eq(&Reject::NoQuorum)));
     expect_that!(log.apply(gone(present, &[2, 3])).result, err(eq(&Reject::NoQuorum)));
--- a/crates/plan/src/explain.rs
+++ b/crates/plan/src/explain.rs
@@ -1,4 +1,4 @@
-//! Why a VM can or cannot leave now.
+//! Explains why a VM cannot leave its pool.
 
 use thistle_fold::{Stage, State, VmKey};
 use thistle_model::PlatformStatus;
@@ -6,17 +6,17 @@
 use crate::scope::Scope;
 use crate::wave::hall_allows;
 
-/// Returns the reasons for which a VM cannot leave its pool for maintenance now, each with its
-/// remedy; none when it can.
+/// Returns the reasons why a VM cannot leave its pool for maintenance now, each with its remedy;
+/// the list is empty if the VM can leave.
 pub fn obstacles(state: &State, key: VmKey, minute: u16) -> Vec<String> {
     let vm = &state.vms[key];
     let pool = &state.pools[vm.pool];
     let mut reasons = Vec::new();
     if vm.stage != Stage::InService {
-        reasons.push(format!("it is {} already", vm.stage.describe()));
+        reasons.push(format!("it is already {}", vm.stage.describe()));
     }
     if vm.status == PlatformStatus::Leaving {
-        reasons.push("the platform is taking it away: nothing is to be done".to_owned());
+        reasons.push("the platform is removing it: no action is needed".to_owned());
     }
     if let Err(e) = state.check_budget(key) {
         reasons.push(e.to_string());
--- a/crates/plan/src/jobs.rs
+++ b/crates/plan/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Where jobs start, which ones yield, and which can never run.
+//! Plans where jobs start and which jobs yield, and explains which jobs can never run.
 
 use std::collections::BTreeMap;
 
@@ -6,15 +6,17 @@
 use thistle_model::job::Urgency;
 use thistle_model::{JobName, VmName};
 
-/// Failed starts after which a repeatable job waits no more without an operator's look.
+/// The number of failed starts after which a repeatable job is not started again, so that an
+/// operator can check it.
 pub const MAX_FAILURES: u32 = 5;
 
-/// Failures of different jobs in a row after which a VM is started on no more.
+/// The number of consecutive failures of different jobs on a VM after which no job is started
+/// there.
 pub const MAX_FAILED_IN_ROW: u32 = 3;
-/// The most starts of one planning step.
+/// The maximum number of starts in a planning step.
 const MAX_STARTS: usize = 128;
 
-/// A start that is planned.
+/// A planned start of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedStart {
     /// The job.
@@ -25,45 +27,46 @@
     pub attempt: u32,
 }
 
-/// What is to be done about jobs now.
+/// The planned starts and yields of jobs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JobPlan {
     /// Starts to record.
     pub starts: Vec<PlannedStart>,
-    /// Night jobs that are to yield to urgent ones.
+    /// Night jobs that must yield to urgent jobs.
     pub yields: Vec<JobName>,
 }
 
-/// Plans starts: urgent jobs first, then by age; night jobs yield where urgent ones find no room.
+/// Plans starts, urgent jobs first, then by age. Night jobs yield if an urgent job has no free
+/// slots.
 pub fn plan_jobs(state: &State) -> JobPlan {
-    let mut room = Room::new(state);
+    let mut free_slots = Room::new(state);
     let mut plan = JobPlan::default();
     for (urgency, _, name) in &state.waiting_jobs {
         if plan.starts.len() >= MAX_STARTS {
             break;
         }
         let job = &state.jobs[name];
-        if job.failures >= MAX_FAILURES || !room.quota_allows(state, job) {
+        if job.failures >= MAX_FAILURES || !free_slots.quota_allows(state, job) {
             continue;
         }
-        if let Some(vm) = room.take(state, job) {
+        if let Some(vm) = free_slots.take(state, job) {
             let attempt = job.starts + 1;
             plan.starts.push(PlannedStart { job: name.clone(), vm, attempt });
         } else if *urgency == Urgency::Urgent {
-            room.make_yield(state, job, &mut plan.yields);
+            free_slots.make_yield(state, job, &mut plan.yields);
         }
     }
     plan
 }
 
-/// Returns why a job can never run on any worker of its pool, if so.
+/// Returns the reason why a job can never run on a worker of its pool, or `None` if it can.
 pub fn cannot_run(state: &State, job: &Job) -> Option<String> {
     if job.state != JobState::Waiting {
         return None;
     }
     if job.failures >= MAX_FAILURES {
         return Some(format!(
-            "it failed {} times on different workers: look at the job",
+            "it failed {} times on different workers: check the job",
             job.failures
         ));
     }
@@ -85,7 +88,7 @@
     })
 }
 
-/// Free slots as one planning step uses them up.
+/// The free slots of VMs and the planned use of quotas during a planning step.
 struct Room {
     free: BTreeMap<VmKey, u32>,
     quota_used: BTreeMap<thistle_model::TeamName, u32>,
@@ -93,15 +96,16 @@
 
 impl Room {
     fn new(state: &State) -> Self {
-        let fit = state
+        let usable = state
             .vms
             .iter()
             .filter(|(_, vm)| vm.is_available() && vm.tasks.failed_in_row < MAX_FAILED_IN_ROW);
         let free =
-            fit.map(|(key, vm)| (key, u32::from(vm.facts.slots).saturating_sub(vm.job_slots)));
+            usable.map(|(key, vm)| (key, u32::from(vm.facts.slots).saturating_sub(vm.job_slots)));
         Self { free: free.collect(), quota_used: BTreeMap::new() }
     }
 
+    /// Adds a job to the planned use of its team's quota; returns `false` if the quota is exceeded.
     fn quota_allows(&mut self, state: &State, job: &Job) -> bool {
         let Some(quota) = state.quotas.get(&job.spec.team) else {
             return true;
@@ -115,20 +119,20 @@
         true
     }
 
-    /// Takes slots for a job on the VM of its pool with the most free slots.
+    /// Allocates slots for a job on the VM of its pool with the most free slots.
     fn take(&mut self, state: &State, job: &Job) -> Option<VmName> {
         let pool = state.pool_key(&job.spec.pool).ok()?;
         let slots = u32::from(job.spec.slots);
-        let fits = self
+        let candidates = self
             .free
             .iter_mut()
             .filter(|(key, free)| state.vms[**key].pool == pool && **free >= slots);
-        let (key, free) = fits.max_by_key(|(_, free)| **free)?;
+        let (key, free) = candidates.max_by_key(|(_, free)| **free)?;
         *free -= slots;
         Some(state.vms[*key].name.clone())
     }
 
-    /// Chooses night jobs on one VM whose slots would hold an urgent job.
+    /// Selects night jobs on one VM that must yield to make room for an urgent job.
     fn make_yield(&mut self, state: &State, job: &Job, yields: &mut Vec<JobName>) {
         let Ok(pool) = state.pool_key(&job.spec.pool) else {
             return;
@@ -146,8 +150,8 @@
     }
 }
 
-/// Returns night jobs on a VM that free `need` slots together, or `None`.
-fn night_jobs(state: &State, key: VmKey, need: u32, taken: &[JobName]) -> Option<Vec<JobName>> {
+/// Returns night jobs on a VM that together free `need` slots, or `None` if there are too few.
+fn night_jobs(state: &State, key: VmKey, need: u32, yielding: &[JobName]) -> Option<Vec<JobName>> {
     let vm = &state.vms[key].name;
     let on_vm = state.running_jobs.iter().filter(|(v, _)| v == vm).map(|(_, job)| job);
     let mut freed = 0;
@@ -157,7 +161,7 @@
         if freed >= need {
             break;
         }
-        if spec.urgency == Urgency::Night && spec.repeatable && !taken.contains(name) {
+        if spec.urgency == Urgency::Night && spec.repeatable && !yielding.contains(name) {
             freed += u32::from(spec.slots);
             jobs.push(name.clone());
         }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,7 +1,7 @@
-//! The planner: from the agreed state it proposes records; the fold decides.
+//! The planner: proposes changes to the agreed state, which the fold accepts or rejects.
 //!
-//! Pure: no I/O, no clock; the minute of the day is passed in. Any member can run it, and a
-//! proposal made from an old state is rejected by the fold.
+//! The planner is pure: it has no I/O and no clock, and the minute of the day is passed in. Any
+//! member can run it; the fold rejects proposals that are based on an old state.
 
 pub mod explain;
 mod jobs;
@@ -21,10 +21,10 @@
 pub use reserve::{largest_rack, reserve_target};
 use scope::Scope;
 
-/// The most proposals of one planning step.
+/// The maximum number of proposals in a planning step.
 pub const MAX_PROPOSALS: usize = 256;
 
-/// Returns the steps to take now, the most pressing first.
+/// Returns the proposed changes, the most urgent first.
 pub fn plan(state: &State, cfg: &PlanConfig, minute: u16) -> Vec<Proposal> {
     let mut scope = Scope::new(state);
     let mut proposals = Vec::new();
--- a/crates/plan/src/progress.rs
+++ b/crates/plan/src/progress.rs
@@ -1,4 +1,4 @@
-//! The step after a drain: reboot, or the new pool.
+//! Proposes the step that follows a drain: a reboot or the assignment to the new pool.
 
 use thistle_fold::{Stage, Vm};
 use thistle_model::{Change, DrainReason};
@@ -28,7 +28,7 @@
         }
         DrainReason::Surplus => {
             let change = Change::Assign { vm: name, base, to: None };
-            (change, "assign", "its pool has more VMs than it should".to_owned())
+            (change, "assign", "its pool has more VMs than its target".to_owned())
         }
         DrainReason::Operator => return None,
     };
--- a/crates/plan/src/proposal.rs
+++ b/crates/plan/src/proposal.rs
@@ -1,50 +1,50 @@
-//! Proposals of the planner and the policies that it can follow.
+//! Proposals and policies of the planner.
 
 use thistle_model::{Change, VmName};
 
-/// A record that the planner proposes, with its reason for logs and `thistle wave plan`.
+/// A change that the planner proposes, with its reason for logs and `thistle wave plan`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proposal {
-    /// What is proposed.
+    /// The proposed change.
     pub change: Change,
-    /// The VM that it is about.
+    /// The VM that the change concerns.
     pub vm: VmName,
-    /// The step in one word.
+    /// The name of the step.
     pub step: &'static str,
-    /// Why, for people.
+    /// The reason, as text for operators.
     pub why: String,
 }
 
-/// How wide a maintenance wave is.
+/// How many VMs a maintenance wave takes out of service at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WavePolicy {
-    /// Racks across pools, as wide as the budgets allow.
+    /// Rack by rack across pools, as many VMs as the budgets allow.
     ByRack,
-    /// One VM at a time: the baseline.
+    /// One VM at a time; a baseline for comparisons.
     OneAtATime,
 }
 
-/// Which spare VM a short pool gets.
+/// Which spare VM is assigned to a pool that has too few VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefillPolicy {
-    /// The one that spreads the pool best over data halls and racks.
+    /// The VM that spreads the pool best over data halls and racks.
     Spread,
-    /// The first one: the baseline.
+    /// The first VM; a baseline for comparisons.
     Greedy,
 }
 
-/// What the planner weighs and the policies that it follows.
+/// The weights and policies of the planner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlanConfig {
-    /// The weight of the time that waves take.
+    /// The weight of the duration of waves.
     pub roll_out_time: u32,
-    /// The weight of capacity held in reserve.
+    /// The weight of the capacity that is held in reserve.
     pub buffer_cost: u32,
-    /// Racks of spare VMs that the reserve should hold.
+    /// The number of racks whose VMs the reserve should be able to replace.
     pub spare_racks: u32,
-    /// How wide a wave is.
+    /// How many VMs a wave takes out of service at a time.
     pub wave: WavePolicy,
-    /// Which spare VM a short pool gets.
+    /// Which spare VM is assigned to a pool that has too few VMs.
     pub refill: RefillPolicy,
 }
 
@@ -69,10 +69,11 @@
         self
     }
 
-    /// Returns the VMs of a pool's slack that a wave leaves for a failure within it.
+    /// Returns the number of VMs of a pool's slack that a wave leaves for a failure during the
+    /// wave.
     ///
-    /// Where buffer cost weighs more than roll-out time there are few spares to make up for a
-    /// failure, so one of a slack of two or more is left.
+    /// If buffer cost weighs more than roll-out time, there are few spares to replace a failed VM,
+    /// so one VM of a slack of two or more is left.
     pub(crate) fn kept_slack(&self, slack: u32) -> u32 {
         u32::from(self.buffer_cost > self.roll_out_time && slack >= 2)
     }
--- a/crates/plan/src/recover.rs
+++ b/crates/plan/src/recover.rs
@@ -1,4 +1,4 @@
-//! Giving drains back when failures have used up a pool's budget.
+//! Cancels drains of pools whose availability budget is used up by failures.
 
 use thistle_fold::{Stage, Vm, VmKey};
 use thistle_model::{Change, PlatformStatus};
@@ -6,20 +6,20 @@
 use crate::proposal::Proposal;
 use crate::scope::Scope;
 
-/// Proposes to take back drains of pools that are below their floor.
+/// Proposes to return draining and drained VMs to service in pools that are below their floor.
 pub(crate) fn give_back(scope: &mut Scope<'_>, proposals: &mut Vec<Proposal>) {
     let state = scope.state;
-    let mut short: Vec<_> = state
+    let mut below_floor: Vec<_> = state
         .pools
         .iter()
         .filter(|(_, p)| p.available < p.floor())
         .map(|(key, p)| (key, p.floor() - p.available))
         .collect();
-    if short.is_empty() {
+    if below_floor.is_empty() {
         return;
     }
     for (key, vm) in &state.vms {
-        let Some((_, missing)) = short.iter_mut().find(|(pool, _)| *pool == vm.pool) else {
+        let Some((_, missing)) = below_floor.iter_mut().find(|(pool, _)| *pool == vm.pool) else {
             continue;
         };
         if *missing > 0 && is_returnable(vm) {
@@ -31,8 +31,8 @@
 }
 
 fn is_returnable(vm: &Vm) -> bool {
-    let out = matches!(vm.stage, Stage::Draining(_) | Stage::Drained(_));
-    out && vm.status == PlatformStatus::Live && !vm.cordoned
+    let is_leaving_service = matches!(vm.stage, Stage::Draining(_) | Stage::Drained(_));
+    is_leaving_service && vm.status == PlatformStatus::Live && !vm.cordoned
 }
 
 fn note(scope: &mut Scope<'_>, key: VmKey) {
--- a/crates/plan/src/refill.rs
+++ b/crates/plan/src/refill.rs
@@ -1,4 +1,4 @@
-//! Filling short pools from the reserve, and releasing what a pool has too much.
+//! Refills pools from the reserve, and releases surplus VMs of pools.
 
 use std::cmp::Reverse;
 
@@ -9,23 +9,24 @@
 use crate::scope::Scope;
 use crate::spread::Spread;
 
-/// Proposes to fill short pools: the furthest below its floor first, then by tier.
+/// Proposes to refill pools that are below their target, the furthest below its floor first, then
+/// by tier.
 pub(crate) fn refill(scope: &mut Scope<'_>, cfg: &PlanConfig, proposals: &mut Vec<Proposal>) {
     let counted = scope.counted();
     let count = |key: PoolKey| counted.get(&key).copied().unwrap_or(0);
-    let mut short: Vec<_> = scope
+    let mut below_target: Vec<_> = scope
         .state
         .pools
         .iter()
         .filter(|(key, p)| count(*key) < p.target())
         .map(|(key, p)| (urgency(p), key, p.target() - count(key)))
         .collect();
-    short.sort();
+    below_target.sort();
     let mut spares = spare_vms(scope);
-    let mut spreads: Vec<_> = short.iter().map(|s| Spread::of(scope.state, s.1)).collect();
-    // One VM for each pool in turn, so that the last pool is not left with one rack.
-    while !spares.is_empty() && short.iter().any(|s| s.2 > 0) {
-        for ((_, pool, missing), spread) in short.iter_mut().zip(&mut spreads) {
+    let mut spreads: Vec<_> = below_target.iter().map(|s| Spread::of(scope.state, s.1)).collect();
+    // Each pool gets one VM in turn, so that the last pool is not left with VMs of one rack only.
+    while !spares.is_empty() && below_target.iter().any(|s| s.2 > 0) {
+        for ((_, pool, missing), spread) in below_target.iter_mut().zip(&mut spreads) {
             if *missing > 0 && assign_one(scope, cfg, *pool, spread, &mut spares, proposals) {
                 *missing -= 1;
             }
@@ -33,23 +34,23 @@
     }
 }
 
-/// Returns the order in which short pools are filled; the least comes first.
+/// Returns the sort key for refilling pools; the pool with the least key is refilled first.
 fn urgency(pool: &Pool) -> (Reverse<u32>, Option<Tier>) {
     let below = pool.floor().saturating_sub(pool.available);
     (Reverse(below), pool.workspace.as_ref().map(|w| w.tier))
 }
 
-/// Returns the VMs of the reserve that are fit for use.
+/// Returns the available VMs of the reserve that have no proposal yet.
 fn spare_vms(scope: &Scope<'_>) -> Vec<VmKey> {
     let state = scope.state;
-    let fit = |key: &VmKey| {
+    let is_usable = |key: &VmKey| {
         let vm = &state.vms[*key];
         vm.pool == state.reserve && vm.is_available() && !scope.used.contains(key)
     };
-    state.vm_keys.values().copied().filter(fit).collect()
+    state.vm_keys.values().copied().filter(is_usable).collect()
 }
 
-/// Proposes the best spare VM for a pool; false when there is none.
+/// Proposes to assign the best spare VM to a pool; returns `false` if there is none.
 fn assign_one(
     scope: &mut Scope<'_>,
     cfg: &PlanConfig,
@@ -58,15 +59,15 @@
     spares: &mut Vec<VmKey>,
     proposals: &mut Vec<Proposal>,
 ) -> bool {
-    let Some(at) = best_spare(scope, cfg, spread, spares) else {
+    let Some(index) = best_spare(scope, cfg, spread, spares) else {
         return false;
     };
-    let key = spares.swap_remove(at);
+    let key = spares.swap_remove(index);
     let vm = &scope.state.vms[key];
     spread.add(vm);
     scope.used.insert(key);
     let to = scope.state.pools[pool].name.clone();
-    let why = format!("'{}' is short of VMs", scope.state.pools[pool].label());
+    let why = format!("'{}' has too few VMs", scope.state.pools[pool].label());
     let change = Change::Assign { vm: vm.name.clone(), base: vm.revision, to };
     proposals.push(Proposal { change, vm: vm.name.clone(), step: "assign", why });
     true
@@ -88,7 +89,7 @@
     }
 }
 
-/// Proposes to drain VMs of pools that have more than they should, from the most crowded racks.
+/// Proposes to drain surplus VMs of pools, from the most crowded halls and racks first.
 pub(crate) fn release_surplus(scope: &mut Scope<'_>, proposals: &mut Vec<Proposal>) {
     let counted = scope.counted();
     let state = scope.state;
@@ -105,11 +106,11 @@
 fn release_one(scope: &mut Scope<'_>, pool: PoolKey, proposals: &mut Vec<Proposal>) {
     let state = scope.state;
     let spread = Spread::of(state, pool);
-    let movable = |key: &VmKey| {
+    let is_movable = |key: &VmKey| {
         let vm = &state.vms[*key];
         vm.pool == pool && vm.is_available() && vm.stage == Stage::InService
     };
-    let candidates = state.vm_keys.values().copied().filter(movable);
+    let candidates = state.vm_keys.values().copied().filter(is_movable);
     let unused = candidates.filter(|key| !scope.used.contains(key));
     let Some(key) = unused.max_by_key(|&key| spread.crowding(&state.vms[key])) else {
         return;
@@ -119,6 +120,6 @@
     scope.slack[pool] -= 1;
     let reason = DrainReason::Surplus;
     let change = Change::Drain { vm: vm.name.clone(), base: vm.revision, reason };
-    let why = format!("'{}' has more VMs than it should", state.pools[pool].label());
+    let why = format!("'{}' has more VMs than its target", state.pools[pool].label());
     proposals.push(Proposal { change, vm: vm.name.clone(), step: "drain", why });
 }
--- a/crates/plan/src/scope.rs
+++ b/crates/plan/src/scope.rs
@@ -1,4 +1,4 @@
-//! The state with the counts that one planning step uses up as it proposes.
+//! The state and the counts that a planning step updates with each proposal.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,20 +6,20 @@
 use thistle_fold::{PoolKey, Stage, State, Vm, VmKey};
 use thistle_model::{DrainReason, HallName};
 
-/// One planning step's view of the state.
+/// The data of a planning step.
 pub(crate) struct Scope<'a> {
     /// The agreed state.
     pub state: &'a State,
-    /// For each pool, VMs that may still be taken out of service.
+    /// For each pool, the number of VMs that may still be taken out of service.
     pub slack: SecondaryMap<PoolKey, u32>,
     /// For each pool, the data halls in which VMs are out for maintenance.
     pub halls_out: SecondaryMap<PoolKey, BTreeSet<HallName>>,
-    /// VMs about which this step has proposed something.
+    /// The VMs for which this step has a proposal.
     pub used: BTreeSet<VmKey>,
 }
 
 impl<'a> Scope<'a> {
-    /// Counts the state.
+    /// Creates the data of a planning step from the state.
     pub fn new(state: &'a State) -> Self {
         let mut slack = SecondaryMap::new();
         let mut halls_out: SecondaryMap<PoolKey, BTreeSet<HallName>> = SecondaryMap::new();
@@ -33,7 +33,7 @@
         Self { state, slack, halls_out, used: BTreeSet::new() }
     }
 
-    /// Returns the VMs of each pool that will serve it again without our doing.
+    /// Returns the number of VMs of each pool that count towards its target.
     pub fn counted(&self) -> BTreeMap<PoolKey, u32> {
         let mut counts = BTreeMap::new();
         for vm in self.state.vms.values().filter(|vm| is_counted(vm)) {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Returns whether a VM is on its way to, in, or before its reboot.
+/// Returns whether a VM is draining, drained or rebooting for maintenance.
 pub(crate) fn is_out_for_maintenance(vm: &Vm) -> bool {
     matches!(
         vm.stage,
@@ -53,8 +53,9 @@
     )
 }
 
-/// Returns whether a VM counts towards its pool's target: in service, or back after maintenance.
+/// Returns whether a VM counts towards its pool's target: it is available, or will be after its
+/// maintenance.
 pub(crate) fn is_counted(vm: &Vm) -> bool {
-    let live = vm.status == thistle_model::PlatformStatus::Live;
-    (vm.is_available()) || (is_out_for_maintenance(vm) && !vm.cordoned && live)
+    let is_live = vm.status == thistle_model::PlatformStatus::Live;
+    (vm.is_available()) || (is_out_for_maintenance(vm) && !vm.cordoned && is_live)
 }
--- a/crates/plan/src/spread.rs
+++ b/crates/plan/src/spread.rs
@@ -1,4 +1,4 @@
-//! How a pool's VMs are spread over data halls and racks.
+//! The spread of a pool's VMs over data halls and racks.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 use crate::scope::is_counted;
 
-/// Counts of one pool's VMs by data hall and rack.
+/// The number of a pool's VMs by data hall and rack.
 #[derive(Default)]
 pub(crate) struct Spread {
     halls: BTreeMap<HallName, u32>,
@@ -15,7 +15,7 @@
 }
 
 impl Spread {
-    /// Counts a pool's VMs.
+    /// Counts the VMs of a pool.
     pub fn of(state: &State, pool: PoolKey) -> Self {
         let mut spread = Self::default();
         for vm in state.vms.values().filter(|vm| vm.pool == pool && is_counted(vm)) {
@@ -24,13 +24,14 @@
         spread
     }
 
-    /// Counts one VM more.
+    /// Adds a VM to the counts.
     pub fn add(&mut self, vm: &Vm) {
         *self.halls.entry(vm.facts.hall.clone()).or_default() += 1;
         *self.racks.entry(vm.facts.rack.clone()).or_default() += 1;
     }
 
-    /// Returns how crowded a VM's rack and hall are; the least is the best place for a new VM.
+    /// Returns the counts in a VM's hall and rack; the VM with the least counts is the best one to
+    /// add.
     pub fn crowding(&self, vm: &Vm) -> (u32, u32) {
         let rack = self.racks.get(&vm.facts.rack).copied().unwrap_or(0);
         let hall = self.halls.get(&vm.facts.hall).copied().unwrap_or(0);
--- a/crates/plan/src/wave.rs
+++ b/crates/plan/src/wave.rs
@@ -1,4 +1,4 @@
-//! Which VMs a maintenance wave drains now.
+//! Selects the VMs that a maintenance wave drains.
 
 use thistle_fold::{PoolKey, Vm, VmKey};
 use thistle_model::{Change, DrainReason, HallName, RackName};
@@ -7,7 +7,8 @@
 use crate::reserve::reserve_target;
 use crate::scope::{Scope, is_out_for_maintenance};
 
-/// Proposes drains for the wave: rack by rack across pools, within slack, windows and halls.
+/// Proposes drains for the wave, rack by rack across pools, within the slack and the maintenance
+/// window of each pool and one data hall at a time.
 pub(crate) fn drain_for_wave(
     scope: &mut Scope<'_>,
     cfg: &PlanConfig,
@@ -38,7 +39,7 @@
     }
 }
 
-/// Returns how many more VMs may be out at one time under the policy.
+/// Returns how many more VMs may be out of service under the policy.
 fn width_left(scope: &Scope<'_>, cfg: &PlanConfig) -> usize {
     match cfg.wave {
         WavePolicy::ByRack => usize::MAX,
@@ -49,36 +50,39 @@
     }
 }
 
-/// Returns how many spare VMs may be maintained now; at least half of the reserve stays fit.
+/// Returns how many VMs of the reserve may be drained now; at least half of the wanted reserve
+/// stays available, except that a single VM may always be drained.
 fn reserve_slack(scope: &Scope<'_>, cfg: &PlanConfig) -> u32 {
     let reserve = &scope.state.pools[scope.state.reserve];
     let keep = reserve_target(scope.state, cfg).min(reserve.size).div_ceil(2);
     reserve.available.saturating_sub(keep).max(u32::from(reserve.size == 1))
 }
 
-/// Returns the VMs that the wave may drain now: racks already begun first, then by hall.
+/// Returns the VMs that the wave may drain now: those of racks that the wave has started first,
+/// then by hall and rack.
 ///
-/// What a pool does not allow now is left out before the sorting, as within a wave that is most.
+/// VMs that their pool does not allow now are excluded before the sorting, as they are the majority
+/// during a wave.
 fn candidates(scope: &Scope<'_>, cfg: &PlanConfig, minute: u16) -> Vec<VmKey> {
     let state = scope.state;
-    let begun = |vm: &&Vm| is_out_for_maintenance(vm) || vm.wave == state.wave.number;
-    let racks_begun: std::collections::BTreeSet<&RackName> =
-        state.vms.values().filter(begun).map(|vm| &vm.facts.rack).collect();
-    let waits = |key: &VmKey| {
+    let is_started = |vm: &&Vm| is_out_for_maintenance(vm) || vm.wave == state.wave.number;
+    let started_racks: std::collections::BTreeSet<&RackName> =
+        state.vms.values().filter(is_started).map(|vm| &vm.facts.rack).collect();
+    let is_candidate = |key: &VmKey| {
         let vm = &state.vms[*key];
         let allowed = vm.pool == state.reserve || pool_allows(scope, cfg, vm, minute);
         vm.wave < state.wave.number && vm.is_available() && allowed && !scope.used.contains(key)
     };
-    let mut keys: Vec<_> = state.vm_keys.values().copied().filter(waits).collect();
+    let mut keys: Vec<_> = state.vm_keys.values().copied().filter(is_candidate).collect();
     let order = |key: &VmKey| -> (bool, &HallName, &RackName) {
         let facts = &state.vms[*key].facts;
-        (!racks_begun.contains(&facts.rack), &facts.hall, &facts.rack)
+        (!started_racks.contains(&facts.rack), &facts.hall, &facts.rack)
     };
     keys.sort_by(|a, b| order(a).cmp(&order(b)));
     keys
 }
 
-/// Returns whether a pool lets one more of its VMs go now.
+/// Returns whether a pool allows the drain of one more of its VMs now.
 fn pool_allows(scope: &Scope<'_>, cfg: &PlanConfig, vm: &Vm, minute: u16) -> bool {
     let pool = &scope.state.pools[vm.pool];
     let open = pool.workspace.as_ref().is_none_or(|w| w.window_open(minute));
@@ -87,13 +91,14 @@
 
 fn has_slack(scope: &Scope<'_>, cfg: &PlanConfig, pool: PoolKey) -> bool {
     let slack = scope.slack[pool];
-    let all = scope.state.pools[pool].target() - scope.state.pools[pool].floor();
-    slack > cfg.kept_slack(all)
+    let full_slack = scope.state.pools[pool].target() - scope.state.pools[pool].floor();
+    slack > cfg.kept_slack(full_slack)
 }
 
 /// Returns whether no VM of the pool is out for maintenance in another data hall.
 ///
-/// A hall that fails within a wave then takes VMs that are out already, or leaves the rest.
+/// If a hall fails during a wave, it is then either the hall whose VMs are already out, or the
+/// pool's VMs in the other halls are all in service.
 pub(crate) fn hall_allows(scope: &Scope<'_>, vm: &Vm) -> bool {
     scope.halls_out[vm.pool].iter().all(|hall| *hall == vm.facts.hall)
 }
--- a/crates/plan/tests/plan.rs
+++ b/crates/plan/tests/plan.rs
@@ -1,4 +1,4 @@
-//! What the planner proposes, case by case.
+//! Tests of the planner's proposals, case by case.
 
 use googletest::prelude::*;
 use thistle_fold::{Stage, State};
@@ -32,7 +32,7 @@
     apply(state, Change::VmSeen { vm: vm(i), facts, status: PlatformStatus::Live });
 }
 
-/// Sets the one workspace's parameters.
+/// Sets the parameters of the only workspace.
 fn set(state: &mut State, vms: u32, max_unavailable: u32, windows: Vec<Window>) {
     let name = PoolName::new("pool").unwrap();
     let base = state.pool_key(&name).map_or(Revision::NONE, |k| state.pools[k].revision);
@@ -46,7 +46,7 @@
     apply(state, Change::SetWorkspace { name, base, workspace });
 }
 
-/// A pool of `vms` VMs that are all in service, and as many spares as asked.
+/// Returns a state with a pool of `vms` VMs that are all in service, and with `spares` spare VMs.
 fn fleet(vms: u32, max_unavailable: u32, spares: usize) -> State {
     let mut state = State::new();
     let service = Service {
@@ -83,7 +83,7 @@
 
 #[gtest]
 fn wave_keeps_a_pool_to_one_hall() {
-    // The budget would allow five, but each hall has four VMs of the pool.
+    // The budget allows five VMs, but each hall has only four VMs of the pool.
     let mut state = fleet(8, 5, 0);
     apply(&mut state, Change::WaveStart { base: Revision::NONE });
     let proposals = plan(&state, &PlanConfig::default(), NOON);
@@ -117,8 +117,8 @@
 fn buffer_cost_above_roll_out_time_leaves_a_vm_of_the_slack() {
     let mut state = fleet(8, 3, 0);
     apply(&mut state, Change::WaveStart { base: Revision::NONE });
-    let careful = PlanConfig::default().with_weights(1, 3, 1);
-    expect_that!(steps(&plan(&state, &careful, NOON), "drain").len(), eq(2));
+    let high_buffer_cost = PlanConfig::default().with_weights(1, 3, 1);
+    expect_that!(steps(&plan(&state, &high_buffer_cost, NOON), "drain").len(), eq(2));
 }
 
 #[gtest]
@@ -155,9 +155,9 @@
     let mut state = fleet(6, 1, 0);
     set(&mut state, 4, 1, Vec::new());
     let proposals = plan(&state, &PlanConfig::default(), NOON);
-    let reason =
+    let is_surplus_drain =
         |p: &Proposal| matches!(p.change, Change::Drain { reason: DrainReason::Surplus, .. });
-    expect_that!(proposals.iter().filter(|p| reason(p)).count(), eq(2));
+    expect_that!(proposals.iter().filter(|p| is_surplus_drain(p)).count(), eq(2));
 }
 
 #[gtest]
