--- a/crates/fold/src/lib.rs
+++ b/crates/fold/src/lib.rs
@@ -3,8 +3,8 @@
 //! The fold is pure and deterministic: it has no I/O and no clock. All stewards that have read the
 //! log up to the same offset hold the same state and reject the same records.
 
-mod decide;
 pub mod image;
+mod invariants;
 mod job;
 mod member;
 mod operator;
--- a/crates/fold/src/state.rs
+++ b/crates/fold/src/state.rs
@@ -13,7 +13,7 @@
     TemplateName, VmName,
 };
 
-use crate::decide::Guard;
+use crate::invariants::Guard;
 use crate::job::Job;
 use crate::member::Member;
 use crate::pool::{Pool, PoolKey};
