--- a/crates/steward/src/appender.rs
+++ b/crates/steward/src/appender.rs
@@ -12,13 +12,13 @@
 use crate::shared::Shared;
 
 /// How long an appended batch may take to be read back before it is appended again.
-const READ_BACK: Duration = Duration::from_millis(1_500);
+const READ_BACK_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The pause after a failed append.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// How long the append of a batch is repeated; later copies would only be rejected as stale.
-const GIVE_UP: Duration = Duration::from_secs(15);
+const RETRY_TIMEOUT: Duration = Duration::from_secs(15);
 /// The maximum size of a batch in bytes; leaves room for the brackets around the records.
-const BATCH_BYTES: usize = MAX_ENTRY_BYTES - 1024;
+const MAX_BATCH_BYTES: usize = MAX_ENTRY_BYTES - 1024;
 
 /// Appends the records from a channel until it closes.
 pub async fn run<L: LogService>(
@@ -48,10 +48,10 @@
     records: &mut mpsc::Receiver<Vec<Record>>,
     carried: &mut Option<Vec<Record>>,
 ) -> Vec<Record> {
-    let mut bytes = size(&batch);
+    let mut bytes = encoded_size(&batch);
     while let Ok(more) = records.try_recv() {
-        bytes += size(&more);
-        if bytes > BATCH_BYTES {
+        bytes += encoded_size(&more);
+        if bytes > MAX_BATCH_BYTES {
             *carried = Some(more);
             return batch;
         }
@@ -65,7 +65,7 @@
     let mut parts: Vec<Vec<Record>> = Vec::new();
     let mut bytes = usize::MAX;
     for record in records {
-        let more = size(std::slice::from_ref(&record));
+        let more = encoded_size(std::slice::from_ref(&record));
         if more > MAX_ENTRY_BYTES {
             log::error!(
                 "append record={} bytes={more} too large for a log entry, dropped",
@@ -73,7 +73,7 @@
             );
             continue;
         }
-        if bytes.saturating_add(more) > BATCH_BYTES {
+        if bytes.saturating_add(more) > MAX_BATCH_BYTES {
             parts.push(Vec::new());
             bytes = 0;
         }
@@ -85,7 +85,7 @@
     parts
 }
 
-fn size(records: &[Record]) -> usize {
+fn encoded_size(records: &[Record]) -> usize {
     encode(records).len()
 }
 
@@ -94,14 +94,14 @@
     let started_at = Instant::now();
     let entry = encode(records);
     let ids: Vec<_> = records.iter().map(|r| r.id).collect();
-    while Instant::now().since(started_at) < GIVE_UP {
+    while Instant::now().since(started_at) < RETRY_TIMEOUT {
         if let Err(e) = log.append(entry.clone()).await {
             // The append may have taken effect nevertheless; only reading the log shows whether it
             // did.
             log::warn!("append records={} result=unknown reason=\"{e}\"", ids.len());
             tokio::time::sleep(RETRY_PAUSE).await;
         }
-        if read_back(shared, &ids).await {
+        if wait_until_read(shared, &ids).await {
             return;
         }
     }
@@ -109,7 +109,7 @@
 }
 
 /// Waits until records are read back; returns `false` after the timeout.
-async fn read_back(shared: &Shared, ids: &[RecordId]) -> bool {
+async fn wait_until_read(shared: &Shared, ids: &[RecordId]) -> bool {
     let mut changed = shared.changed.subscribe();
     let all_read = || {
         let core = shared.core();
@@ -122,5 +122,5 @@
             }
         }
     };
-    tokio::time::timeout(READ_BACK, wait).await.is_ok()
+    tokio::time::timeout(READ_BACK_TIMEOUT, wait).await.is_ok()
 }
--- a/crates/steward/src/catch_up.rs
+++ b/crates/steward/src/catch_up.rs
@@ -62,7 +62,7 @@
 pub async fn from_peers(shared: &Shared) {
     let mut best: Option<State> = None;
     for &addr in &shared.settings.seeds {
-        if let Some(state) = fetch(shared, addr).await {
+        if let Some(state) = fetch_state(shared, addr).await {
             let newer = best.as_ref().is_none_or(|b| state.next > b.next);
             best = if newer { Some(state) } else { best };
         }
@@ -86,7 +86,7 @@
     for id in voters.all() {
         let addr = shared.core().state.members.get(&id).map(|m| m.facts.peer_addr);
         let Some(addr) = addr else { continue };
-        let connection = shared.line(addr);
+        let connection = shared.connection(addr);
         let Ok(client) = connection.client().await else {
             continue;
         };
@@ -101,8 +101,8 @@
 }
 
 /// Fetches a peer's whole state in parts; returns `None` if the state changes meanwhile.
-async fn fetch(shared: &Shared, addr: SocketAddr) -> Option<State> {
-    let connection = shared.line(addr);
+async fn fetch_state(shared: &Shared, addr: SocketAddr) -> Option<State> {
+    let connection = shared.connection(addr);
     let client = connection.client().await.ok()?;
     let mut bytes: Vec<u8> = Vec::new();
     let mut at = None;
--- a/crates/steward/src/core.rs
+++ b/crates/steward/src/core.rs
@@ -11,7 +11,7 @@
 
 use crate::hints::Hints;
 use crate::promise::{Promises, Proof};
-use crate::recent::Recent;
+use crate::recent::RecentEntries;
 use crate::rollout::Rollouts;
 use crate::verdicts::Verdicts;
 
@@ -19,9 +19,9 @@
 #[derive(Clone, Debug)]
 pub struct PeerReport {
     /// When the heartbeat was received.
-    pub heard: Instant,
+    pub last_contact: Instant,
     /// The heartbeat.
-    pub beat: Heartbeat,
+    pub heartbeat: Heartbeat,
 }
 
 /// The entry on this VM.
@@ -30,7 +30,7 @@
     /// The random ID that the entry drew at its start; `None` before the first call.
     pub id: Option<u64>,
     /// When the entry last called.
-    pub heard: Instant,
+    pub last_contact: Instant,
     /// The time from which acknowledgements count; a previous entry may act until then.
     pub ack_from: Instant,
     /// The last report of the entry.
@@ -58,7 +58,7 @@
     /// The agreed state.
     pub state: State,
     /// The newest entries of the log.
-    pub recent: Recent,
+    pub recent: RecentEntries,
     /// Whether the last read of the log succeeded.
     pub log_up: bool,
     /// Whether the log was once read to its end, or the state was restored from peers up to the
@@ -79,7 +79,7 @@
     /// The revision of the voters whose claims this voter has taken over.
     pub merged: Revision,
     /// When the `MemberGone` record of a member was read.
-    pub gone_read: BTreeMap<MemberId, Instant>,
+    pub gone_read_at: BTreeMap<MemberId, Instant>,
     /// When the set of members last changed.
     pub members_changed: Instant,
     /// Whether a voter refuses promises to this member, which must rejoin.
@@ -100,7 +100,7 @@
         Self {
             me,
             state: State::new(),
-            recent: Recent::default(),
+            recent: RecentEntries::default(),
             log_up: false,
             caught_up: false,
             proof: Proof::new(fence),
@@ -110,7 +110,7 @@
             entry,
             verdicts: Verdicts::default(),
             merged: Revision::NONE,
-            gone_read: BTreeMap::new(),
+            gone_read_at: BTreeMap::new(),
             members_changed: now,
             must_rejoin: false,
             snapshot: SnapshotPoint::default(),
@@ -128,13 +128,13 @@
         self.check_snapshot(&records);
         let verdicts = self.state.apply_entry(offset, &entry);
         for (verdict, record) in verdicts.iter().zip(&records) {
-            self.verdicts.note(verdict);
+            self.verdicts.record(verdict);
             if verdict.result.is_ok() {
-                self.rollouts.note(&record.change, offset, now);
+                self.rollouts.record(&record.change, offset, now);
             }
         }
         self.recent.push(offset, entry);
-        self.note_members(&members, now);
+        self.record_member_changes(&members, now);
         if self.state.next.0.is_multiple_of(self.snapshot_every) {
             self.take_snapshot();
         }
@@ -146,8 +146,8 @@
             return;
         }
         self.state = state;
-        self.recent = Recent::default();
-        self.note_members(&BTreeSet::new(), now);
+        self.recent = RecentEntries::default();
+        self.record_member_changes(&BTreeSet::new(), now);
     }
 
     /// Returns whether this member is joined by the agreed state.
@@ -166,13 +166,13 @@
 
     /// Returns the smallest offset that a joined member's entry uses; `None` while the offset of
     /// one is not known.
-    pub fn least_entry_offset(&self) -> Option<Offset> {
+    pub fn min_entry_offset(&self) -> Option<Offset> {
         let joined = self.state.members.iter().filter(|(_, m)| m.state == MemberState::Joined);
         let offset = |id: &MemberId| {
             if *id == self.me {
                 return Some(self.entry.report.offset);
             }
-            self.peers.get(id).map(|p| p.beat.entry.offset)
+            self.peers.get(id).map(|p| p.heartbeat.entry.offset)
         };
         let offsets: Option<Vec<Offset>> = joined.map(|(id, _)| offset(id)).collect();
         offsets?.into_iter().min()
@@ -185,9 +185,10 @@
 
     /// Returns the planner on duty: a voter picked by hash among those with contact within
     /// `contact_timeout`. A single planner only saves work; correctness does not depend on it.
-    pub fn duty(&self, contact_timeout: Duration, now: Instant) -> Option<MemberId> {
-        let is_live =
-            |id: &MemberId| *id == self.me || self.promises.is_heard(*id, contact_timeout, now);
+    pub fn planner_on_duty(&self, contact_timeout: Duration, now: Instant) -> Option<MemberId> {
+        let is_live = |id: &MemberId| {
+            *id == self.me || self.promises.had_contact_within(*id, contact_timeout, now)
+        };
         let is_joined = |id: &MemberId| {
             self.state.members.get(id).is_some_and(|m| m.state == MemberState::Joined)
         };
@@ -196,17 +197,17 @@
         thistle_model::rendezvous::pick(b"duty", live, |id| id.0)
     }
 
-    fn note_members(&mut self, before: &BTreeSet<MemberId>, now: Instant) {
+    fn record_member_changes(&mut self, before: &BTreeSet<MemberId>, now: Instant) {
         let current: BTreeSet<_> = self.state.members.keys().copied().collect();
         let gone = self.state.members.iter().filter(|(_, m)| m.state == MemberState::Gone);
         for (&id, _) in gone {
-            self.gone_read.entry(id).or_insert(now);
+            self.gone_read_at.entry(id).or_insert(now);
         }
         if current == *before {
             return;
         }
         self.members_changed = now;
-        self.gone_read.retain(|id, _| current.contains(id));
+        self.gone_read_at.retain(|id, _| current.contains(id));
         self.peers.retain(|id, _| current.contains(id));
         self.promises.retain(&current);
     }
--- a/crates/steward/src/duty/drains.rs
+++ b/crates/steward/src/duty/drains.rs
@@ -13,11 +13,11 @@
 pub fn proposals(shared: &Shared) -> Vec<Change> {
     let core = shared.core();
     let draining = core.state.vms.values().filter(|vm| matches!(vm.stage, Stage::Draining(_)));
-    draining.filter_map(|vm| drained(&core, vm)).collect()
+    draining.filter_map(|vm| drained_change(&core, vm)).collect()
 }
 
-fn drained(core: &Core, vm: &Vm) -> Option<Change> {
-    let acks = acknowledged(core, vm);
+fn drained_change(core: &Core, vm: &Vm) -> Option<Change> {
+    let acks = acknowledging_members(core, vm);
     let needs_no_acks = vm.pool == core.state.reserve;
     let all_acked = core.state.members.keys().all(|id| acks.contains(id));
     if vm.job_slots > 0 || !(needs_no_acks || all_acked) {
@@ -29,9 +29,9 @@
 }
 
 /// Returns the members whose entries have acknowledged the drain of a VM.
-pub fn acknowledged(core: &Core, vm: &Vm) -> BTreeSet<MemberId> {
+pub fn acknowledging_members(core: &Core, vm: &Vm) -> BTreeSet<MemberId> {
     let ack = DrainAck { vm: vm.name.clone(), revision: vm.revision };
-    let peers = core.peers.iter().filter(|(_, p)| p.beat.entry.acks.contains(&ack));
+    let peers = core.peers.iter().filter(|(_, p)| p.heartbeat.entry.acks.contains(&ack));
     let mut ids: BTreeSet<_> = peers.map(|(&id, _)| id).collect();
     if core.entry.report.acks.contains(&ack) {
         ids.insert(core.me);
--- a/crates/steward/src/duty/jobs.rs
+++ b/crates/steward/src/duty/jobs.rs
@@ -8,7 +8,7 @@
 
 use crate::core::Core;
 use crate::shared::Shared;
-use crate::tasks::{Step, ask, ended, task_of};
+use crate::tasks::{TaskCommand, call_worker, job_ended, running_task};
 
 /// Returns changes for job starts and for the ends of night work that yielded.
 pub async fn proposals(shared: &Shared) -> Vec<Change> {
@@ -23,14 +23,14 @@
         });
         let starts: Vec<_> = starts.collect();
         let yields: Vec<_> =
-            plan.yields.iter().filter_map(|job| task_of(&core.state, job)).collect();
+            plan.yields.iter().filter_map(|job| running_task(&core.state, job)).collect();
         (starts, yields)
     };
     for (addr, id) in yields {
         log::info!("decision step=job-yield job={} worker={addr}", id.job);
-        let answers = ask(addr, Step::Yield, vec![id]).await;
+        let answers = call_worker(addr, TaskCommand::Yield, vec![id]).await;
         let yielded = answers.iter().filter(|(_, s)| *s == Some(TaskState::Yielded));
-        changes.extend(yielded.map(|(id, _)| ended(id, JobEnd::Yielded)));
+        changes.extend(yielded.map(|(id, _)| job_ended(id, JobEnd::Yielded)));
     }
     changes
 }
--- a/crates/steward/src/duty/mod.rs
+++ b/crates/steward/src/duty/mod.rs
@@ -9,7 +9,7 @@
 mod plan;
 mod snapshots;
 
-pub use drains::acknowledged;
+pub use drains::acknowledging_members;
 pub use plan::{config, minute_of_day};
 
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 use crate::shared::Shared;
 
 /// The longest time between two runs of the planner; each change of the state triggers one too.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 /// The shortest time between two runs of the planner.
 const MIN_PAUSE: Duration = Duration::from_millis(20);
 /// How long the planner waits for a proposal to be read back before it runs again.
@@ -33,7 +33,7 @@
     tokio::spawn(observe::run(shared.clone(), vms.clone()));
     let mut changed = shared.changed.subscribe();
     loop {
-        let _ = tokio::time::timeout(LOOK_EVERY, changed.changed()).await;
+        let _ = tokio::time::timeout(PLAN_INTERVAL, changed.changed()).await;
         tokio::time::sleep(MIN_PAUSE).await;
         if !is_on_duty(&shared) {
             continue;
@@ -59,7 +59,8 @@
 fn is_first_or_on_duty(core: &crate::core::Core, contact_timeout: Duration, now: Instant) -> bool {
     // While there are no voters, each of the first members may propose itself; the fold accepts one
     // proposal.
-    core.state.voters.current.is_empty() || core.duty(contact_timeout, now) == Some(core.me)
+    core.state.voters.current.is_empty()
+        || core.planner_on_duty(contact_timeout, now) == Some(core.me)
 }
 
 fn proposals(shared: &Shared) -> Vec<Change> {
--- a/crates/steward/src/duty/observe.rs
+++ b/crates/steward/src/duty/observe.rs
@@ -18,8 +18,8 @@
 /// than a node's share of the network if each steward read it.
 pub async fn run<V: VmService>(shared: Arc<Shared>, vms: Arc<V>) {
     loop {
-        if reads_the_list(&shared) {
-            look(&shared, vms.as_ref()).await;
+        if polls_vm_list(&shared) {
+            poll_vm_list(&shared, vms.as_ref()).await;
         }
         tokio::time::sleep(shared.settings.vm_list_every.0).await;
     }
@@ -27,20 +27,21 @@
 
 /// Returns whether this steward polls the list. The planner on duty does so also while the log is
 /// down, as the list gives hints.
-fn reads_the_list(shared: &Shared) -> bool {
+fn polls_vm_list(shared: &Shared) -> bool {
     let contact_timeout = shared.settings.heartbeat.0 * 3;
     let core = shared.core();
-    let on_duty_without_log = core.duty(contact_timeout, Instant::now()) == Some(core.me);
+    let on_duty_without_log =
+        core.planner_on_duty(contact_timeout, Instant::now()) == Some(core.me);
     drop(core);
     on_duty_without_log || is_on_duty(shared)
 }
 
-async fn look<V: VmService>(shared: &Arc<Shared>, vms: &V) {
+async fn poll_vm_list<V: VmService>(shared: &Arc<Shared>, vms: &V) {
     let listed = match vms.list().await {
         Ok(listed) => listed,
         Err(e) => return log::warn!("vm-list result=failed reason=\"{e}\""),
     };
-    pass_on_leaving(shared, &listed);
+    broadcast_leaving(shared, &listed);
     if !shared.core().log_up {
         return;
     }
@@ -52,26 +53,26 @@
 }
 
 /// Sends hints of VMs that the list shows as leaving to the entry and the other voters.
-fn pass_on_leaving(shared: &Arc<Shared>, listed: &[ListedVm]) {
+fn broadcast_leaving(shared: &Arc<Shared>, listed: &[ListedVm]) {
     let mut core = shared.core();
     let leaving = listed.iter().filter(|vm| vm.status == PlatformStatus::Leaving);
     let serving = leaving.filter(|vm| {
         core.state.vm_key(&vm.name).is_ok_and(|key| core.state.vms[key].is_available())
     });
     let serving: Vec<_> = serving.map(|vm| vm.name.clone()).collect();
-    let new = core.hints.learn(serving, Instant::now());
+    let new = core.hints.add(serving, Instant::now());
     drop(core);
     if !new.is_empty() {
         log::info!("hint vms={new:?} state=leaving source=vm-list");
         shared.notify();
-        heartbeat::pass_on(shared, &new);
+        heartbeat::broadcast_hints(shared, &new);
     }
 }
 
 /// Returns the changes that make the state match the list.
 fn changes(state: &State, listed: &[ListedVm]) -> Vec<Change> {
     let by_name: BTreeMap<&VmName, &ListedVm> = listed.iter().map(|vm| (&vm.name, vm)).collect();
-    let mut changes: Vec<_> = listed.iter().filter_map(|vm| seen(state, vm)).collect();
+    let mut changes: Vec<_> = listed.iter().filter_map(|vm| vm_change(state, vm)).collect();
     let missing = state.vms.values().filter(|vm| !by_name.contains_key(&vm.name));
     // A VM in maintenance may be missing from the list while it reboots.
     let gone = missing.filter(|vm| vm.stage != Stage::InMaintenance);
@@ -79,7 +80,7 @@
     changes
 }
 
-fn seen(state: &State, listed: &ListedVm) -> Option<Change> {
+fn vm_change(state: &State, listed: &ListedVm) -> Option<Change> {
     let seen = Change::VmSeen {
         vm: listed.name.clone(),
         facts: listed.facts.clone(),
--- a/crates/steward/src/follower.rs
+++ b/crates/steward/src/follower.rs
@@ -75,7 +75,7 @@
     let Some((addr, from)) = peer_ahead(shared) else {
         return;
     };
-    let connection = shared.line(addr);
+    let connection = shared.connection(addr);
     let Ok(client) = connection.client().await else {
         return;
     };
@@ -100,8 +100,8 @@
 fn peer_ahead(shared: &Shared) -> Option<(std::net::SocketAddr, thistle_model::Offset)> {
     let core = shared.core();
     let next = core.state.next;
-    let ahead = core.peers.iter().filter(|(_, p)| p.beat.offset > next);
-    let (id, _) = ahead.max_by_key(|(_, p)| p.beat.offset)?;
+    let ahead = core.peers.iter().filter(|(_, p)| p.heartbeat.offset > next);
+    let (id, _) = ahead.max_by_key(|(_, p)| p.heartbeat.offset)?;
     let member = core.state.members.get(id)?;
     Some((member.facts.peer_addr, next))
 }
--- a/crates/steward/src/heartbeat.rs
+++ b/crates/steward/src/heartbeat.rs
@@ -17,32 +17,32 @@
     loop {
         tokio::select! {
             _ = ticks.tick() => {}
-            () = shared.beat_now.notified() => {}
+            () = shared.heartbeat_now.notified() => {}
         }
-        look_around(&shared);
-        for addr in targets(&shared) {
-            tokio::spawn(beat(shared.clone(), addr));
+        check_peers_and_hints(&shared);
+        for addr in other_voter_addrs(&shared) {
+            tokio::spawn(send_heartbeat(shared.clone(), addr));
         }
     }
 }
 
 /// Refuses promises to unresponsive members, records completed rollouts and drops expired hints.
-fn look_around(shared: &Shared) {
+fn check_peers_and_hints(shared: &Shared) {
     let mut core = shared.core();
     let now = Instant::now();
     let me = core.me;
     let others: Vec<_> = core.state.members.keys().copied().filter(|&id| id != me).collect();
     if core.state.voters.contains(me) {
-        core.promises.refuse_silent(others.into_iter(), shared.settings.silence.0, now);
+        core.promises.refuse_unresponsive(others.into_iter(), shared.settings.silence.0, now);
     } else {
-        core.promises.stop_listening();
+        core.promises.forget_contacts();
     }
     let core = &mut *core;
     if !core.log_up {
-        core.hints.hold(now);
+        core.hints.refresh_all(now);
     }
-    if let Some(min_offset) = core.least_entry_offset() {
-        for duration in core.rollouts.done(min_offset, now) {
+    if let Some(min_offset) = core.min_entry_offset() {
+        for duration in core.rollouts.take_completed(min_offset, now) {
             metrics::histogram!("thistle_roll_out_seconds").record(duration.as_secs_f64());
         }
     }
@@ -54,7 +54,7 @@
 }
 
 /// Returns the addresses of the voters other than this one.
-fn targets(shared: &Shared) -> Vec<SocketAddr> {
+fn other_voter_addrs(shared: &Shared) -> Vec<SocketAddr> {
     let core = shared.core();
     let voters = core.state.voters.all().into_iter().filter(|&id| id != core.me);
     let members = &core.state.members;
@@ -62,7 +62,7 @@
 }
 
 /// Returns this steward's current heartbeat.
-pub fn own_beat(shared: &Shared) -> Heartbeat {
+pub fn own_heartbeat(shared: &Shared) -> Heartbeat {
     let core = shared.core();
     Heartbeat {
         from: core.me,
@@ -76,22 +76,22 @@
     }
 }
 
-async fn beat(shared: Arc<Shared>, addr: SocketAddr) {
-    let connection = shared.line(addr);
+async fn send_heartbeat(shared: Arc<Shared>, addr: SocketAddr) {
+    let connection = shared.connection(addr);
     let sent_at = Instant::now();
     let Ok(client) = connection.client().await else {
         return;
     };
-    let heartbeat = own_beat(&shared);
+    let heartbeat = own_heartbeat(&shared);
     let from = heartbeat.from;
     let call = client.heartbeat(context(shared.settings.heartbeat.0 * 2), heartbeat).await;
     match connection.check(call).await {
-        Ok(reply) => on_reply(&shared, from, &reply, sent_at),
+        Ok(reply) => handle_reply(&shared, from, &reply, sent_at),
         Err(e) => log::debug!("heartbeat to={addr} result=failed reason=\"{e}\""),
     }
 }
 
-fn on_reply(shared: &Shared, sender: MemberId, reply: &HeartbeatReply, sent_at: Instant) {
+fn handle_reply(shared: &Shared, sender: MemberId, reply: &HeartbeatReply, sent_at: Instant) {
     let now = Instant::now();
     let mut core = shared.core();
     if core.me != sender {
@@ -101,7 +101,7 @@
         core.proof.on_promise(reply.from, reply.voters, sent_at);
     }
     core.must_rejoin |= reply.stated;
-    let new = core.hints.learn(reply.leaving.iter().cloned(), now);
+    let new = core.hints.add(reply.leaving.iter().cloned(), now);
     let is_peer_ahead = reply.offset > core.state.next && !core.log_up;
     drop(core);
     if is_peer_ahead {
@@ -113,11 +113,11 @@
 }
 
 /// Sends hints to the other voters without waiting for the next heartbeat.
-pub fn pass_on(shared: &Arc<Shared>, vms: &[thistle_model::VmName]) {
-    for addr in targets(shared) {
+pub fn broadcast_hints(shared: &Arc<Shared>, vms: &[thistle_model::VmName]) {
+    for addr in other_voter_addrs(shared) {
         let (shared, vms) = (shared.clone(), vms.to_vec());
         tokio::spawn(async move {
-            let connection = shared.line(addr);
+            let connection = shared.connection(addr);
             let Ok(client) = connection.client().await else {
                 return;
             };
--- a/crates/steward/src/hints.rs
+++ b/crates/steward/src/hints.rs
@@ -7,7 +7,7 @@
 use thistle_model::clock::Instant;
 
 /// How long a hint is kept after it was added or last refreshed.
-const HINT_LIFE: Duration = Duration::from_secs(120);
+const HINT_TTL: Duration = Duration::from_secs(120);
 /// The maximum number of hints that are kept.
 const MAX_HINTS: usize = 4_096;
 
@@ -20,7 +20,7 @@
 
 impl Hints {
     /// Adds hints; returns those that are new.
-    pub fn learn(&mut self, vms: impl IntoIterator<Item = VmName>, now: Instant) -> Vec<VmName> {
+    pub fn add(&mut self, vms: impl IntoIterator<Item = VmName>, now: Instant) -> Vec<VmName> {
         let mut new = Vec::new();
         for vm in vms {
             let known = self.vms.contains_key(&vm);
@@ -38,14 +38,14 @@
 
     /// Restarts the lifetime of all hints: while the log is down, only hints show that a VM is
     /// leaving.
-    pub fn hold(&mut self, now: Instant) {
+    pub fn refresh_all(&mut self, now: Instant) {
         self.vms.values_mut().for_each(|t| *t = now);
     }
 
     /// Drops hints that have expired or whose VM gets no new work by the state.
     pub fn expire(&mut self, now: Instant, is_settled: impl Fn(&VmName) -> bool) {
         let before = self.vms.len();
-        self.vms.retain(|vm, &mut t| now.since(t) < HINT_LIFE && !is_settled(vm));
+        self.vms.retain(|vm, &mut t| now.since(t) < HINT_TTL && !is_settled(vm));
         if self.vms.len() != before {
             self.version += 1;
         }
--- a/crates/steward/src/info.rs
+++ b/crates/steward/src/info.rs
@@ -12,14 +12,14 @@
 use crate::core::Core;
 
 /// The number of VMs or jobs in a page.
-const PAGE: usize = 500;
+const PAGE_SIZE: usize = 500;
 
 /// Returns the status of this steward and its members.
 pub fn status(core: &Core, contact_timeout: Duration, now: Instant) -> StatusInfo {
     let reserve = &core.state.pools[core.state.reserve];
     StatusInfo {
         member: core.me,
-        duty: core.duty(contact_timeout, now),
+        duty: core.planner_on_duty(contact_timeout, now),
         offset: core.state.next,
         log_up: core.log_up,
         proof: core.proof_until(now) > now,
@@ -36,9 +36,9 @@
 
 fn members(core: &Core, contact_timeout: Duration, now: Instant) -> Vec<MemberInfo> {
     let info = |(&id, m): (&thistle_model::MemberId, &thistle_fold::Member)| {
-        let peer = core.peers.get(&id).filter(|p| now.since(p.heard) <= contact_timeout);
+        let peer = core.peers.get(&id).filter(|p| now.since(p.last_contact) <= contact_timeout);
         let own = (id == core.me).then_some(&core.entry.report);
-        let report = peer.map(|p| &p.beat.entry).or(own);
+        let report = peer.map(|p| &p.heartbeat.entry).or(own);
         MemberInfo {
             id,
             name: m.facts.name.to_string(),
@@ -106,7 +106,7 @@
 /// Returns the page of VMs that follows `after`.
 pub fn vms(state: &State, after: Option<&VmName>) -> Vec<VmInfo> {
     let rest = state.vm_keys.iter().filter(|(name, _)| after.is_none_or(|a| *name > a));
-    rest.take(PAGE).map(|(_, &key)| vm(state, &state.vms[key])).collect()
+    rest.take(PAGE_SIZE).map(|(_, &key)| vm(state, &state.vms[key])).collect()
 }
 
 fn vm(state: &State, vm: &Vm) -> VmInfo {
@@ -133,5 +133,5 @@
         starts: job.starts,
         cannot_run: thistle_plan::cannot_run(state, job),
     };
-    rest.take(PAGE).map(info).collect()
+    rest.take(PAGE_SIZE).map(info).collect()
 }
--- a/crates/steward/src/link_server.rs
+++ b/crates/steward/src/link_server.rs
@@ -14,9 +14,9 @@
 use crate::shared::Shared;
 
 /// The longest time that a view request waits for a change.
-const MAX_WAIT: Duration = Duration::from_millis(200);
+const VIEW_WAIT_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time since the last request of the attached entry after which another entry may attach.
-const ENTRY_SILENCE: Duration = Duration::from_secs(1);
+const ENTRY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The server of the link between a steward and its entry.
 #[derive(Clone)]
@@ -31,12 +31,12 @@
     }
 
     /// Records the entry's report; returns `false` if another entry is attached.
-    fn attach(&self, entry: u64, report: EntryReport) -> bool {
+    fn attach_entry(&self, entry: u64, report: EntryReport) -> bool {
         let now = Instant::now();
         let mut core = self.shared.core();
         if core.entry.id != Some(entry) {
             let other_is_alive =
-                core.entry.id.is_some() && now.since(core.entry.heard) < ENTRY_SILENCE;
+                core.entry.id.is_some() && now.since(core.entry.last_contact) < ENTRY_TIMEOUT;
             if other_is_alive {
                 return false;
             }
@@ -48,7 +48,7 @@
                 core.entry.ack_from = core.entry.ack_from.max(now + self.shared.settings.fence.0);
             }
         }
-        core.entry.heard = now;
+        core.entry.last_contact = now;
         let mut report = report;
         if now < core.entry.ack_from {
             report.acks.clear();
@@ -57,12 +57,12 @@
         core.entry.report = report;
         drop(core);
         if changed {
-            self.shared.beat_now.notify_one();
+            self.shared.heartbeat_now.notify_one();
         }
         true
     }
 
-    fn has_news(&self, have: Revision, hints: u64) -> bool {
+    fn has_changes(&self, have: Revision, hints: u64) -> bool {
         let core = self.shared.core();
         core.state.accepted > have.0 || core.hints.version() > hints
     }
@@ -88,19 +88,19 @@
 
 impl Link for LinkServer {
     async fn view(self, _: Context, req: ViewRequest) -> ViewReply {
-        let attached = self.attach(req.entry, req.report.clone());
-        let new = self.shared.core().hints.learn(req.leaving.iter().cloned(), Instant::now());
+        let attached = self.attach_entry(req.entry, req.report.clone());
+        let new = self.shared.core().hints.add(req.leaving.iter().cloned(), Instant::now());
         if !new.is_empty() {
             log::info!("hint vms={new:?} state=leaving source=entry");
             self.shared.notify();
-            heartbeat::pass_on(&self.shared, &new);
+            heartbeat::broadcast_hints(&self.shared, &new);
         }
         let mut changed = self.shared.changed.subscribe();
         let wait = async {
-            while !self.has_news(req.have, req.hints) && changed.changed().await.is_ok() {}
+            while !self.has_changes(req.have, req.hints) && changed.changed().await.is_ok() {}
         };
         // A reply without changes still renews the proof.
-        let _ = tokio::time::timeout(MAX_WAIT, wait).await;
+        let _ = tokio::time::timeout(VIEW_WAIT_TIMEOUT, wait).await;
         self.reply(&req, attached)
     }
 }
--- a/crates/steward/src/membership.rs
+++ b/crates/steward/src/membership.rs
@@ -10,15 +10,15 @@
 use crate::shared::Shared;
 
 /// How often the membership is checked.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a proposal to join may take to be read back from the log.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Keeps this steward a member until the process ends.
 pub async fn run(shared: Arc<Shared>) {
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
-        let Some(changes) = needed(&shared) else {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        let Some(changes) = join_changes(&shared) else {
             continue;
         };
         let Some(id) = shared.propose(changes) else {
@@ -31,7 +31,7 @@
 }
 
 /// Returns the changes that make this steward a member, or `None` if it is one or cannot join yet.
-fn needed(shared: &Shared) -> Option<Vec<Change>> {
+fn join_changes(shared: &Shared) -> Option<Vec<Change>> {
     let mut core = shared.core();
     if !core.log_up || !core.caught_up {
         return None;
--- a/crates/steward/src/operator_server.rs
+++ b/crates/steward/src/operator_server.rs
@@ -33,13 +33,13 @@
     }
 
     /// Returns a message about the members that have not acknowledged the drain of a VM, if any.
-    fn silent_members(&self, core: &Core, vm: &VmName) -> Option<String> {
+    fn missing_acks(&self, core: &Core, vm: &VmName) -> Option<String> {
         let key = core.state.vm_key(vm).ok()?;
         let vm = &core.state.vms[key];
         if !matches!(vm.stage, Stage::Draining(_)) {
             return None;
         }
-        let acks = duty::acknowledged(core, vm);
+        let acks = duty::acknowledging_members(core, vm);
         let missing = core.state.members.iter().filter(|(id, _)| !acks.contains(id));
         let names: Vec<_> = missing.map(|(_, m)| m.facts.name.to_string()).collect();
         (!names.is_empty()).then(|| {
@@ -95,7 +95,7 @@
         let minute = duty::minute_of_day();
         let mut reasons = thistle_plan::explain::obstacles(&core.state, key, minute);
         let can_leave = reasons.is_empty();
-        reasons.extend(self.silent_members(&core, &vm));
+        reasons.extend(self.missing_acks(&core, &vm));
         let pool = core.state.pools[core.state.vms[key].pool].label().to_owned();
         let stage = core.state.vms[key].stage.describe();
         Some(Explanation { vm, pool, stage, can_leave, reasons })
--- a/crates/steward/src/peer_server.rs
+++ b/crates/steward/src/peer_server.rs
@@ -31,20 +31,20 @@
     }
 
     /// Adds hints and sends the new ones to the other voters.
-    fn learn(&self, vms: Vec<VmName>) {
-        let new = self.shared.core().hints.learn(vms, Instant::now());
+    fn add_hints(&self, vms: Vec<VmName>) {
+        let new = self.shared.core().hints.add(vms, Instant::now());
         if new.is_empty() {
             return;
         }
         log::info!("hint vms={new:?} state=leaving");
         self.shared.notify();
-        heartbeat::pass_on(&self.shared, &new);
+        heartbeat::broadcast_hints(&self.shared, &new);
     }
 }
 
 impl Peer for PeerServer {
     async fn heartbeat(self, _: Context, beat: Heartbeat) -> HeartbeatReply {
-        self.learn(beat.leaving.clone());
+        self.add_hints(beat.leaving.clone());
         let now = Instant::now();
         let mut core = self.shared.core();
         let from = beat.from;
@@ -52,7 +52,7 @@
         let is_known = core.state.members.contains_key(&from);
         let promise = is_voter && is_known && core.promises.on_heartbeat(from, now);
         if is_known {
-            core.peers.insert(from, PeerReport { heard: now, beat });
+            core.peers.insert(from, PeerReport { last_contact: now, heartbeat: beat });
         }
         HeartbeatReply {
             from: core.me,
@@ -66,12 +66,12 @@
     }
 
     async fn leaving(self, _: Context, vms: Vec<VmName>) {
-        self.learn(vms);
+        self.add_hints(vms);
     }
 
     async fn entries(self, _: Context, from: Offset) -> Entries {
         let core = self.shared.core();
-        core.recent.from(from).map_or(Entries::Expired, Entries::Some)
+        core.recent.page_from(from).map_or(Entries::Expired, Entries::Some)
     }
 
     async fn image(self, _: Context, from_byte: u64) -> ImagePart {
@@ -127,11 +127,11 @@
         let core = self.shared.core();
         let now = Instant::now();
         let open_at = core.members_changed + self.shared.settings.fence.0 + SLOT_LEASE;
-        let joined = joined(&core);
-        let mut homes = self.shared.homes();
+        let joined = joined_members(&core);
+        let mut homes = self.shared.slot_home();
         homes.retain(|vm| is_home(&core, &joined, vm));
         let mut grant = |want: &SlotWant| {
-            let slots = slots_of(&core, &want.vm)?;
+            let slots = request_slots(&core, &want.vm)?;
             if !is_home(&core, &joined, &want.vm) {
                 return None;
             }
@@ -143,7 +143,7 @@
 }
 
 /// Returns the members that are joined.
-fn joined(core: &Core) -> Vec<MemberId> {
+fn joined_members(core: &Core) -> Vec<MemberId> {
     let members = core.state.members.iter();
     members.filter(|(_, m)| m.state == MemberState::Joined).map(|(&id, _)| id).collect()
 }
@@ -155,7 +155,7 @@
 }
 
 /// Returns the number of a VM's slots that are not used by jobs, or `None` if the VM is unknown.
-fn slots_of(core: &Core, vm: &VmName) -> Option<u16> {
+fn request_slots(core: &Core, vm: &VmName) -> Option<u16> {
     let key = core.state.vm_key(vm).ok()?;
     let vm = &core.state.vms[key];
     let jobs = u16::try_from(vm.job_slots).unwrap_or(u16::MAX);
--- a/crates/steward/src/promise.rs
+++ b/crates/steward/src/promise.rs
@@ -82,7 +82,7 @@
 pub struct Promises {
     fence: Duration,
     given: BTreeMap<MemberId, Instant>,
-    heard: BTreeMap<MemberId, Instant>,
+    last_contacts: BTreeMap<MemberId, Instant>,
     refused: BTreeSet<MemberId>,
 }
 
@@ -92,7 +92,12 @@
     /// A restarted voter is a new member, so it need not know the promises of its previous
     /// incarnation.
     pub fn new(fence: Duration) -> Self {
-        Self { fence, given: BTreeMap::new(), heard: BTreeMap::new(), refused: BTreeSet::new() }
+        Self {
+            fence,
+            given: BTreeMap::new(),
+            last_contacts: BTreeMap::new(),
+            refused: BTreeSet::new(),
+        }
     }
 
     /// Handles a heartbeat; returns whether a promise for the fence time is given.
@@ -100,27 +105,27 @@
         if self.refused.contains(&from) {
             return false;
         }
-        self.heard.insert(from, now);
+        self.last_contacts.insert(from, now);
         self.given.insert(from, now + self.fence);
         true
     }
 
     /// Returns whether the last heartbeat of `id` is no older than `timeout`.
-    pub fn is_heard(&self, id: MemberId, timeout: Duration, now: Instant) -> bool {
-        self.heard.get(&id).is_some_and(|&t| now.since(t) <= timeout)
+    pub fn had_contact_within(&self, id: MemberId, timeout: Duration, now: Instant) -> bool {
+        self.last_contacts.get(&id).is_some_and(|&t| now.since(t) <= timeout)
     }
 
     /// Refuses further promises to members whose last contact is longer ago than `timeout`. A
     /// refused member stays refused, as the statement that it is gone may reach the log at any
     /// later time.
-    pub fn refuse_silent(
+    pub fn refuse_unresponsive(
         &mut self,
         members: impl Iterator<Item = MemberId>,
         timeout: Duration,
         now: Instant,
     ) {
         for id in members {
-            let last_contact = *self.heard.entry(id).or_insert(now);
+            let last_contact = *self.last_contacts.entry(id).or_insert(now);
             if now.since(last_contact) > timeout {
                 self.refused.insert(id);
             }
@@ -131,8 +136,8 @@
     ///
     /// Otherwise a member that becomes a voter again would at once regard all others as
     /// unresponsive.
-    pub fn stop_listening(&mut self) {
-        self.heard.clear();
+    pub fn forget_contacts(&mut self) {
+        self.last_contacts.clear();
     }
 
     /// Returns whether `id` is refused further promises.
@@ -149,7 +154,7 @@
     /// Drops the data of all but `members`.
     pub fn retain(&mut self, members: &BTreeSet<MemberId>) {
         self.given.retain(|id, _| members.contains(id));
-        self.heard.retain(|id, _| members.contains(id));
+        self.last_contacts.retain(|id, _| members.contains(id));
         self.refused.retain(|id| members.contains(id));
     }
 }
--- a/crates/steward/src/recent.rs
+++ b/crates/steward/src/recent.rs
@@ -9,17 +9,17 @@
 /// The maximum size of the kept entries in bytes.
 const MAX_BYTES: usize = 1024 * 1024;
 /// The maximum size in bytes of the entries in an answer to a peer.
-const PAGE_BYTES: usize = 256 * 1024;
+const MAX_PAGE_BYTES: usize = 256 * 1024;
 
 /// A bounded queue of consecutive log entries.
 #[derive(Debug, Default)]
-pub struct Recent {
+pub struct RecentEntries {
     entries: VecDeque<Vec<u8>>,
     bytes: usize,
     next: Offset,
 }
 
-impl Recent {
+impl RecentEntries {
     /// Adds the entry at `offset`; drops the kept entries if it does not follow them.
     pub fn push(&mut self, offset: Offset, entry: Vec<u8>) {
         if offset != self.next {
@@ -38,13 +38,13 @@
     }
 
     /// Returns a page of entries from `from` on, or `None` if they are no longer kept.
-    pub fn from(&self, from: Offset) -> Option<Vec<Vec<u8>>> {
+    pub fn page_from(&self, from: Offset) -> Option<Vec<Vec<u8>>> {
         let first = self.next.0 - self.entries.len() as u64;
         let skip = usize::try_from(from.0.checked_sub(first)?).ok()?;
         let mut bytes = 0;
         let page = self.entries.iter().skip(skip).take_while(|e| {
             bytes += e.len();
-            bytes <= PAGE_BYTES
+            bytes <= MAX_PAGE_BYTES
         });
         Some(page.cloned().collect())
     }
--- a/crates/steward/src/rollout.rs
+++ b/crates/steward/src/rollout.rs
@@ -7,35 +7,35 @@
 use thistle_model::{Change, Offset};
 
 /// The maximum number of changes that are tracked at a time.
-const MAX_FOLLOWED: usize = 256;
+const MAX_TRACKED: usize = 256;
 
 /// Operators' changes that some entry does not use yet.
 #[derive(Debug, Default)]
 pub struct Rollouts {
-    open: VecDeque<(Offset, Instant)>,
+    pending: VecDeque<(Offset, Instant)>,
 }
 
 impl Rollouts {
     /// Starts to track the change at `offset` if an operator made it.
-    pub fn note(&mut self, change: &Change, offset: Offset, now: Instant) {
+    pub fn record(&mut self, change: &Change, offset: Offset, now: Instant) {
         let is_operators = matches!(
             change,
             Change::PublishTemplate { .. } | Change::SetWorkspace { .. } | Change::SetQuota { .. }
         );
-        if is_operators && self.open.len() < MAX_FOLLOWED {
-            self.open.push_back((offset, now));
+        if is_operators && self.pending.len() < MAX_TRACKED {
+            self.pending.push_back((offset, now));
         }
     }
 
     /// Removes the changes that all entries use now and returns how long each took; `min_offset` is
     /// the smallest offset that an entry uses.
-    pub fn done(&mut self, min_offset: Offset, now: Instant) -> Vec<Duration> {
+    pub fn take_completed(&mut self, min_offset: Offset, now: Instant) -> Vec<Duration> {
         let mut durations = Vec::new();
-        while let Some(&(offset, since)) = self.open.front() {
+        while let Some(&(offset, since)) = self.pending.front() {
             if offset >= min_offset {
                 break;
             }
-            self.open.pop_front();
+            self.pending.pop_front();
             durations.push(now.since(since));
         }
         durations
--- a/crates/steward/src/run.rs
+++ b/crates/steward/src/run.rs
@@ -22,17 +22,17 @@
 use crate::{appender, duty, follower, heartbeat, membership, metrics_server, take_over, tasks};
 
 /// The maximum number of batches of records that wait to be appended.
-const MAX_WAITING_APPENDS: usize = 256;
+const MAX_WAITING_BATCHES: usize = 256;
 /// How long a leaving steward waits for its entry to stop and its `MemberLeave` to be read back.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The bucket bounds of the metric for roll-out times, in seconds.
-const SECONDS: [f64; 8] = [0.05, 0.1, 0.25, 0.5, 1.0, 5.0, 15.0, 60.0];
+const ROLL_OUT_BUCKETS: [f64; 8] = [0.05, 0.1, 0.25, 0.5, 1.0, 5.0, 15.0, 60.0];
 
 /// Runs a steward until it receives a signal to stop.
 pub async fn run(settings: StewardSettings) -> Result<(), RunError> {
     let handle = PrometheusBuilder::new()
-        .set_buckets(&SECONDS)
+        .set_buckets(&ROLL_OUT_BUCKETS)
         .and_then(PrometheusBuilder::install_recorder)
         .map_err(|e| RunError::Metrics(e.to_string()))?;
     let peers = TcpListener::bind(settings.peer_listen).await?;
@@ -41,7 +41,7 @@
     let log = Arc::new(HttpLog::new(settings.log_service));
     let vms = Arc::new(HttpVms::new(settings.vm_list));
     let metrics_addr = settings.metrics_listen;
-    let (tx, rx) = mpsc::channel(MAX_WAITING_APPENDS);
+    let (tx, rx) = mpsc::channel(MAX_WAITING_BATCHES);
     let shared = Arc::new(Shared::new(settings, tx));
     log::info!("steward name={} step=start", shared.settings.name);
 
@@ -69,10 +69,10 @@
 async fn leave(shared: &Shared) {
     log::info!("steward name={} step=leave", shared.settings.name);
     let deadline = tokio::time::Instant::now() + LEAVE_TIMEOUT;
-    while tokio::time::Instant::now() < deadline && entry_runs(shared) {
+    while tokio::time::Instant::now() < deadline && entry_may_send(shared) {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    if entry_runs(shared) {
+    if entry_may_send(shared) {
         // The entry may still send; the voters remove this member when its heartbeats stop.
         return log::warn!("steward step=leave result=entry-still-runs");
     }
@@ -86,8 +86,8 @@
 
 /// Returns whether the entry on this VM may still send new work: an entry that does not call may be
 /// frozen, and its last proof holds for the fence time.
-fn entry_runs(shared: &Shared) -> bool {
+fn entry_may_send(shared: &Shared) -> bool {
     let core = shared.core();
     let now = thistle_model::clock::Instant::now();
-    core.entry.id.is_some() && now.since(core.entry.heard) < shared.settings.fence.0
+    core.entry.id.is_some() && now.since(core.entry.last_contact) < shared.settings.fence.0
 }
--- a/crates/steward/src/shared.rs
+++ b/crates/steward/src/shared.rs
@@ -16,9 +16,9 @@
 use crate::core::Core;
 
 /// The maximum total size of the kept answers of claims, in bytes.
-const MAX_KEPT_ANSWERS: usize = 4 * 1024 * 1024;
+const MAX_KEPT_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 /// How much longer voters keep claims than entries rely on, to allow for clock skew.
-const KEEP_MARGIN: std::time::Duration = std::time::Duration::from_secs(300);
+const CLAIM_KEEP_MARGIN: std::time::Duration = std::time::Duration::from_secs(300);
 
 /// The data shared by all asynchronous tasks of a steward.
 pub struct Shared {
@@ -26,15 +26,15 @@
     pub settings: StewardSettings,
     core: Mutex<Core>,
     claims: Mutex<ClaimTable>,
-    homes: Mutex<SlotHome>,
-    lines: Mutex<HashMap<SocketAddr, Arc<PeerLine>>>,
+    slot_home: Mutex<SlotHome>,
+    connections: Mutex<HashMap<SocketAddr, Arc<PeerLine>>>,
     appends: mpsc::Sender<Vec<Record>>,
     writer: u64,
     seq: AtomicU64,
     /// A version that increases with each applied page of log entries and each new hint.
     pub changed: watch::Sender<u64>,
     /// Triggers heartbeats before the next interval.
-    pub beat_now: Notify,
+    pub heartbeat_now: Notify,
     /// Wakes the follower to read log entries from peers.
     pub peers_ahead: Notify,
 }
@@ -45,19 +45,19 @@
         let me = MemberId(rand::random());
         let now = Instant::now();
         let core = Core::new(me, settings.fence.0, settings.snapshot_every, now);
-        let keep = settings.claim_keep.0 + KEEP_MARGIN;
-        let claims = ClaimTable::new(keep, settings.max_claims, MAX_KEPT_ANSWERS);
+        let keep = settings.claim_keep.0 + CLAIM_KEEP_MARGIN;
+        let claims = ClaimTable::new(keep, settings.max_claims, MAX_KEPT_ANSWER_BYTES);
         Self {
             settings,
             core: Mutex::new(core),
             claims: Mutex::new(claims),
-            homes: Mutex::new(SlotHome::new()),
-            lines: Mutex::new(HashMap::new()),
+            slot_home: Mutex::new(SlotHome::new()),
+            connections: Mutex::new(HashMap::new()),
             appends,
             writer: rand::random(),
             seq: AtomicU64::new(0),
             changed: watch::Sender::new(0),
-            beat_now: Notify::new(),
+            heartbeat_now: Notify::new(),
             peers_ahead: Notify::new(),
         }
     }
@@ -73,8 +73,8 @@
     }
 
     /// Locks the slot home; the last in the lock order.
-    pub fn homes(&self) -> MutexGuard<'_, SlotHome> {
-        lock(&self.homes)
+    pub fn slot_home(&self) -> MutexGuard<'_, SlotHome> {
+        lock(&self.slot_home)
     }
 
     /// Returns the facts with which this steward joins.
@@ -87,8 +87,8 @@
     }
 
     /// Returns the connection to a peer's address.
-    pub fn line(&self, addr: SocketAddr) -> Arc<PeerLine> {
-        let mut lines = lock(&self.lines);
+    pub fn connection(&self, addr: SocketAddr) -> Arc<PeerLine> {
+        let mut lines = lock(&self.connections);
         lines.entry(addr).or_insert_with(|| Arc::new(PeerLine::new(addr))).clone()
     }
 
--- a/crates/steward/src/take_over.rs
+++ b/crates/steward/src/take_over.rs
@@ -12,27 +12,27 @@
 use crate::shared::Shared;
 
 /// How often the set of voters is checked.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// The timeout for a page of claims.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Takes over claims whenever this voter has not yet adopted a proposed set of voters.
 pub async fn run(shared: Arc<Shared>) {
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
-        let Some(voters) = to_take_over(&shared) else {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        let Some(voters) = pending_voters(&shared) else {
             continue;
         };
-        if take_over(&shared, &voters).await {
+        if merge_majority(&shared, &voters).await {
             log::info!("claims step=taken-over voters={}", voters.revision);
             shared.core().merged = voters.revision;
-            shared.beat_now.notify_one();
+            shared.heartbeat_now.notify_one();
         }
     }
 }
 
 /// Returns the sets of voters if a change of them waits for this voter's takeover.
-fn to_take_over(shared: &Shared) -> Option<Voters> {
+fn pending_voters(shared: &Shared) -> Option<Voters> {
     let core = shared.core();
     let voters = &core.state.voters;
     let is_pending = voters.next.is_some() && core.merged != voters.revision;
@@ -41,7 +41,7 @@
 
 /// Merges the claims of a majority of the current voters, each read after its voter has applied the
 /// change.
-async fn take_over(shared: &Shared, voters: &Voters) -> bool {
+async fn merge_majority(shared: &Shared, voters: &Voters) -> bool {
     let me = shared.core().me;
     let mut merged: Vec<MemberId> = Vec::new();
     if voters.current.contains(&me) {
@@ -62,7 +62,7 @@
 async fn merge_from(shared: &Shared, id: MemberId, revision: Revision) -> bool {
     let addr = shared.core().state.members.get(&id).map(|m| m.facts.peer_addr);
     let Some(addr) = addr else { return false };
-    let connection = shared.line(addr);
+    let connection = shared.connection(addr);
     let Ok(client) = connection.client().await else {
         return false;
     };
--- a/crates/steward/src/tasks.rs
+++ b/crates/steward/src/tasks.rs
@@ -19,16 +19,16 @@
 use crate::shared::Shared;
 
 /// The longest time between two checks of the tasks; each change of the state triggers one too.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// The interval between two renewals of a task's lease.
-const RENEW_EVERY: Duration = Duration::from_secs(2);
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(2);
 /// How long a worker runs a task without a renewal.
-const LEASE: Duration = Duration::from_secs(8);
+const TASK_LEASE: Duration = Duration::from_secs(8);
 /// Time without a renewal after which a start is recorded as lost; longer than the lease.
 const LOST_AFTER: Duration = Duration::from_secs(10);
 
 /// A task that this steward tracks.
-struct Followed {
+struct TrackedTask {
     vm: VmName,
     addr: SocketAddr,
     sends_start: bool,
@@ -39,14 +39,14 @@
 
 /// Tracks the tasks until the process ends.
 pub async fn run(shared: Arc<Shared>) {
-    let mut tracked: BTreeMap<TaskId, Followed> = BTreeMap::new();
+    let mut tracked: BTreeMap<TaskId, TrackedTask> = BTreeMap::new();
     let mut started: BTreeSet<TaskId> = BTreeSet::new();
     let mut changed = shared.changed.subscribe();
     loop {
-        let _ = tokio::time::timeout(LOOK_EVERY, changed.changed()).await;
-        update(&shared, &mut tracked);
+        let _ = tokio::time::timeout(CHECK_INTERVAL, changed.changed()).await;
+        update_tracked(&shared, &mut tracked);
         started.retain(|id| tracked.contains_key(id));
-        let ends = look(&mut tracked, &mut started).await;
+        let ends = call_workers(&mut tracked, &mut started).await;
         if !ends.is_empty() {
             for end in &ends {
                 log::info!("decision step=job-ended change={end:?}");
@@ -54,18 +54,18 @@
             shared.propose(ends);
             // The next check sees these ends if they are read back by then; a repeated record is
             // safe.
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
     }
 }
 
 /// Updates the tracked tasks to match the state.
-fn update(shared: &Shared, tracked: &mut BTreeMap<TaskId, Followed>) {
+fn update_tracked(shared: &Shared, tracked: &mut BTreeMap<TaskId, TrackedTask>) {
     let core = shared.core();
     let now = Instant::now();
     let mut current = BTreeSet::new();
     let contact_timeout = shared.settings.silence.0;
-    let on_duty = core.duty(shared.settings.heartbeat.0 * 3, now) == Some(core.me);
+    let on_duty = core.planner_on_duty(shared.settings.heartbeat.0 * 3, now) == Some(core.me);
     let members: Vec<MemberId> = core.state.members.keys().copied().collect();
     for (vm, name) in &core.state.running_jobs {
         let job = &core.state.jobs[name];
@@ -73,14 +73,16 @@
         let sends_start = job.by == Some(core.me);
         let is_own = home == Some(core.me) || sends_start;
         // The planner on duty tracks the tasks of an unresponsive home.
-        let is_orphan =
-            || on_duty && home.is_some_and(|h| !core.promises.is_heard(h, contact_timeout, now));
+        let is_orphan = || {
+            on_duty
+                && home.is_some_and(|h| !core.promises.had_contact_within(h, contact_timeout, now))
+        };
         if !is_own && !is_orphan() {
             continue;
         }
-        let Some(addr) = address(&core.state, vm) else { continue };
+        let Some(addr) = vm_addr(&core.state, vm) else { continue };
         let id = TaskId { job: name.clone(), attempt: job.starts };
-        let entry = tracked.entry(id.clone()).or_insert_with(|| Followed {
+        let entry = tracked.entry(id.clone()).or_insert_with(|| TrackedTask {
             vm: vm.clone(),
             addr,
             sends_start,
@@ -94,51 +96,52 @@
     tracked.retain(|id, _| current.contains(id));
 }
 
-fn address(state: &State, vm: &VmName) -> Option<SocketAddr> {
+fn vm_addr(state: &State, vm: &VmName) -> Option<SocketAddr> {
     Some(state.vms[state.vm_key(vm).ok()?].facts.addr)
 }
 
 /// Starts, renews or stops the tasks that are due, and returns the ends that were found.
-async fn look(
-    tracked: &mut BTreeMap<TaskId, Followed>,
+async fn call_workers(
+    tracked: &mut BTreeMap<TaskId, TrackedTask>,
     started: &mut BTreeSet<TaskId>,
 ) -> Vec<Change> {
     let now = Instant::now();
-    let due = |f: &Followed| f.last_call.is_none_or(|t| now.since(t) >= RENEW_EVERY);
-    let mut calls: BTreeMap<(SocketAddr, Step), Vec<TaskId>> = BTreeMap::new();
+    let due = |f: &TrackedTask| f.last_call.is_none_or(|t| now.since(t) >= RENEWAL_INTERVAL);
+    let mut calls: BTreeMap<(SocketAddr, TaskCommand), Vec<TaskId>> = BTreeMap::new();
     for (id, f) in tracked.iter_mut().filter(|(_, f)| due(f) || f.stop) {
         // A start is sent once, even when its answer is lost: the worker may have started the task.
         let step = match (f.stop, f.sends_start && started.insert(id.clone())) {
-            (true, _) => Step::Yield,
-            (false, true) => Step::Start,
-            (false, false) => Step::Renew,
+            (true, _) => TaskCommand::Yield,
+            (false, true) => TaskCommand::Start,
+            (false, false) => TaskCommand::Renew,
         };
         f.last_call = Some(now);
         calls.entry((f.addr, step)).or_default().push(id.clone());
     }
-    let answers = join_all(calls.into_iter().map(|((addr, step), ids)| ask(addr, step, ids)));
+    let answers =
+        join_all(calls.into_iter().map(|((addr, step), ids)| call_worker(addr, step, ids)));
     let mut ends = Vec::new();
     for (id, state) in answers.await.into_iter().flatten() {
         let Some(f) = tracked.get_mut(&id) else { continue };
         match state {
             Some(TaskState::Running) => f.last_renewal = now,
-            Some(TaskState::Done) => ends.push(ended(&id, JobEnd::Done)),
-            Some(TaskState::Failed) => ends.push(ended(&id, JobEnd::Failed)),
-            Some(TaskState::Yielded) => ends.push(ended(&id, JobEnd::Yielded)),
+            Some(TaskState::Done) => ends.push(job_ended(&id, JobEnd::Done)),
+            Some(TaskState::Failed) => ends.push(job_ended(&id, JobEnd::Failed)),
+            Some(TaskState::Yielded) => ends.push(job_ended(&id, JobEnd::Yielded)),
             Some(TaskState::Unknown) | None => {}
         }
     }
     let lost = tracked.iter().filter(|(_, f)| now.since(f.last_renewal) > LOST_AFTER);
     for (id, f) in lost {
         log::warn!("job={} attempt={} vm={} state=lost", id.job, id.attempt, f.vm);
-        ends.push(ended(id, JobEnd::Lost));
+        ends.push(job_ended(id, JobEnd::Lost));
     }
     ends
 }
 
 /// A command to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Step {
+pub enum TaskCommand {
     /// Starts tasks.
     Start,
     /// Renews the leases of tasks.
@@ -148,18 +151,18 @@
 }
 
 /// Sends a command to a worker; returns no state for a task if the worker's answer has none.
-pub async fn ask(
+pub async fn call_worker(
     addr: SocketAddr,
-    step: Step,
+    step: TaskCommand,
     ids: Vec<TaskId>,
 ) -> Vec<(TaskId, Option<TaskState>)> {
     let worker = WorkerTasks::new(addr);
-    let lease_ms = u64::try_from(LEASE.as_millis()).unwrap_or(u64::MAX);
+    let lease_ms = u64::try_from(TASK_LEASE.as_millis()).unwrap_or(u64::MAX);
     let call = TaskCall { tasks: ids.clone(), lease_ms };
     let answer = match step {
-        Step::Start => worker.start(&call).await,
-        Step::Renew => worker.renew(&call).await,
-        Step::Yield => worker.make_yield(&call).await,
+        TaskCommand::Start => worker.start(&call).await,
+        TaskCommand::Renew => worker.renew(&call).await,
+        TaskCommand::Yield => worker.make_yield(&call).await,
     };
     let states = answer.unwrap_or_else(|e| {
         log::warn!("tasks worker={addr} step={step:?} result=unknown reason=\"{e}\"");
@@ -170,14 +173,14 @@
 }
 
 /// Returns the change that records a task's end.
-pub fn ended(id: &TaskId, end: JobEnd) -> Change {
+pub fn job_ended(id: &TaskId, end: JobEnd) -> Change {
     Change::JobEnded { job: id.job.clone(), attempt: id.attempt, end }
 }
 
 /// Returns the task of a job with its worker's address, or `None` if the job does not run.
-pub fn task_of(state: &State, job: &thistle_model::JobName) -> Option<(SocketAddr, TaskId)> {
+pub fn running_task(state: &State, job: &thistle_model::JobName) -> Option<(SocketAddr, TaskId)> {
     let known = state.jobs.get(job)?;
     let JobState::Running(vm) = &known.state else { return None };
     let id = TaskId { job: job.clone(), attempt: known.starts };
-    Some((address(state, vm)?, id))
+    Some((vm_addr(state, vm)?, id))
 }
--- a/crates/steward/src/verdicts.rs
+++ b/crates/steward/src/verdicts.rs
@@ -8,7 +8,7 @@
 use tokio::sync::oneshot;
 
 /// The maximum number of verdicts that are kept.
-const MAX_REMEMBERED: usize = 4_096;
+const MAX_KEPT: usize = 4_096;
 
 /// Verdicts on the records that were read from the log.
 #[derive(Debug, Default)]
@@ -34,18 +34,18 @@
 
     /// Records a verdict; the rejection of a duplicate is ignored, as the first copy has its own
     /// verdict.
-    pub fn note(&mut self, verdict: &Verdict) {
+    pub fn record(&mut self, verdict: &Verdict) {
         if verdict.result == Err(Reject::Duplicate) {
             return;
         }
-        let submitted = describe(verdict);
+        let submitted = to_submitted(verdict);
         for tx in self.waiting.remove(&verdict.id).into_iter().flatten() {
             // The receiver may have been dropped.
             let _ = tx.send(submitted.clone());
         }
         self.known.insert(verdict.id, submitted);
         self.order.push_back(verdict.id);
-        if self.order.len() > MAX_REMEMBERED
+        if self.order.len() > MAX_KEPT
             && let Some(old) = self.order.pop_front()
         {
             self.known.remove(&old);
@@ -53,7 +53,7 @@
     }
 }
 
-fn describe(verdict: &Verdict) -> Submitted {
+fn to_submitted(verdict: &Verdict) -> Submitted {
     let offset = verdict.offset;
     match &verdict.result {
         Ok(revision) => Submitted::Accepted { offset, revision: *revision },
--- a/crates/steward/tests/fence.rs
+++ b/crates/steward/tests/fence.rs
@@ -24,13 +24,13 @@
         .run(&steps, |steps| {
             let mut world = World::new();
             steps.iter().for_each(|s| world.step(s));
-            let key = world.truth.vm_key(&vm()).unwrap();
-            let drained = matches!(world.truth.vms[key].stage, Stage::Drained(_));
+            let key = world.agreed.vm_key(&vm()).unwrap();
+            let drained = matches!(world.agreed.vms[key].stage, Stage::Drained(_));
             let (s, d, r) = counts.get();
             counts.set((
                 s + u64::from(world.sends),
                 d + u64::from(drained),
-                r + u64::from(world.drained_past_silent),
+                r + u64::from(world.fenced_out),
             ));
             Ok(())
         })
--- a/crates/steward/tests/fence_world/mod.rs
+++ b/crates/steward/tests/fence_world/mod.rs
@@ -19,7 +19,7 @@
 const SILENCE: Duration = Duration::from_millis(20);
 
 /// A reply to a log read or to a heartbeat that has not been delivered yet.
-enum Flight {
+enum Reply {
     Read { node: usize, called_at: Instant, entries: Vec<Vec<u8>>, from: Offset, to_end: bool },
     Promise { node: usize, from: usize, called_at: Instant, voters: Revision },
 }
@@ -29,7 +29,7 @@
     state: State,
     proof: Proof,
     promises: Promises,
-    gone_read: Option<(MemberId, Instant)>,
+    gone_read_at: Option<(MemberId, Instant)>,
     log_cut: bool,
     frozen: bool,
 }
@@ -37,14 +37,14 @@
 pub struct World {
     now: Instant,
     log: Vec<Vec<u8>>,
-    pub truth: State,
+    pub agreed: State,
     seq: u64,
     log_down: bool,
     nodes: Vec<Node>,
     cut: [[bool; NODES]; NODES],
-    flights: Vec<Flight>,
+    undelivered: Vec<Reply>,
     pub sends: u32,
-    pub drained_past_silent: u32,
+    pub fenced_out: u32,
 }
 
 fn id(i: usize) -> MemberId {
@@ -55,7 +55,7 @@
     VmName::new("vm").unwrap()
 }
 
-fn set_up() -> Vec<Change> {
+fn initial_changes() -> Vec<Change> {
     let template = TemplateName::new("t").unwrap();
     let pool = PoolName::new("p").unwrap();
     let base = Revision::NONE;
--- a/crates/steward/tests/fence_world/steps.rs
+++ b/crates/steward/tests/fence_world/steps.rs
@@ -8,30 +8,30 @@
             state: State::new(),
             proof: Proof::new(FENCE),
             promises: Promises::new(FENCE),
-            gone_read: None,
+            gone_read_at: None,
             log_cut: false,
             frozen: false,
         };
         let mut world = Self {
             now: Instant::from_micros(1_000_000),
             log: Vec::new(),
-            truth: State::new(),
+            agreed: State::new(),
             seq: 0,
             log_down: false,
             nodes: (0..NODES).map(|_| node()).collect(),
             cut: [[false; NODES]; NODES],
-            flights: Vec::new(),
+            undelivered: Vec::new(),
             sends: 0,
-            drained_past_silent: 0,
+            fenced_out: 0,
         };
-        for change in set_up() {
+        for change in initial_changes() {
             world.append(change);
         }
         for i in 0..NODES {
-            world.ask_log(i);
+            world.request_log(i);
         }
-        while !world.flights.is_empty() {
-            world.land(0);
+        while !world.undelivered.is_empty() {
+            world.deliver(0);
         }
         world
     }
@@ -40,20 +40,20 @@
         self.seq += 1;
         let record = Record { id: RecordId { writer: 1, seq: self.seq }, at_ms: 0, change };
         let entry = thistle_model::record::encode(&[record]);
-        let before = self.truth.members.len();
-        self.truth.apply_entry(Offset(self.log.len() as u64), &entry);
-        self.drained_past_silent += u32::from(self.truth.members.len() < before);
+        let before = self.agreed.members.len();
+        self.agreed.apply_entry(Offset(self.log.len() as u64), &entry);
+        self.fenced_out += u32::from(self.agreed.members.len() < before);
         self.log.push(entry);
     }
 
-    fn ask_log(&mut self, i: usize) {
+    fn request_log(&mut self, i: usize) {
         let node = &self.nodes[i];
         if node.frozen || node.log_cut || self.log_down {
             return;
         }
         let from = node.state.next;
         let entries = self.log[usize::try_from(from.0).unwrap()..].to_vec();
-        self.flights.push(Flight::Read {
+        self.undelivered.push(Reply::Read {
             node: i,
             called_at: self.now,
             entries,
@@ -63,7 +63,7 @@
     }
 
     /// Delivers a heartbeat to a voter at once; the promise is delivered later, or never.
-    fn beat(&mut self, from: usize, to: usize) {
+    fn send_heartbeat(&mut self, from: usize, to: usize) {
         let blocked = from == to || self.cut[from][to] || self.nodes[from].frozen;
         if blocked || self.nodes[to].frozen {
             return;
@@ -76,16 +76,16 @@
             && voter.promises.on_heartbeat(id(from), now)
         {
             let voters = voter.state.voters.revision;
-            self.flights.push(Flight::Promise { node: from, from: to, called_at: now, voters });
+            self.undelivered.push(Reply::Promise { node: from, from: to, called_at: now, voters });
         }
     }
 
-    fn land(&mut self, pick: usize) {
-        if self.flights.is_empty() {
+    fn deliver(&mut self, pick: usize) {
+        if self.undelivered.is_empty() {
             return;
         }
-        match self.flights.swap_remove(pick % self.flights.len()) {
-            Flight::Read { node, called_at, entries, from, to_end } => {
+        match self.undelivered.swap_remove(pick % self.undelivered.len()) {
+            Reply::Read { node, called_at, entries, from, to_end } => {
                 let n = &mut self.nodes[node];
                 if n.frozen || n.state.next != from {
                     return;
@@ -98,11 +98,11 @@
                 }
                 let gone = n.state.members.iter().find(|(_, m)| m.state == MemberState::Gone);
                 let gone = gone.map(|(&g, _)| g);
-                if n.gone_read.map(|(g, _)| g) != gone {
-                    n.gone_read = gone.map(|g| (g, self.now));
+                if n.gone_read_at.map(|(g, _)| g) != gone {
+                    n.gone_read_at = gone.map(|g| (g, self.now));
                 }
             }
-            Flight::Promise { node, from, called_at, voters } => {
+            Reply::Promise { node, from, called_at, voters } => {
                 if !self.nodes[node].frozen {
                     self.nodes[node].proof.on_promise(id(from), voters, called_at);
                 }
@@ -136,7 +136,7 @@
 
     /// Appends the end of the drain with the acknowledgements of all entries that the planner can
     /// reach.
-    fn drained(&mut self, by: usize) {
+    fn record_drained(&mut self, by: usize) {
         let Some((vm, base, Stage::Draining(_))) = self.writable(by) else {
             return;
         };
@@ -153,7 +153,7 @@
         self.append(Change::Drained { vm, base, acks });
     }
 
-    fn state_against(&mut self, by: usize, target: usize) {
+    fn state_gone(&mut self, by: usize, target: usize) {
         if self.writable(by).is_none() || by == target {
             return;
         }
@@ -170,8 +170,8 @@
         }
     }
 
-    fn fenced(&mut self, by: usize) {
-        let Some((gone, read)) = self.nodes[by].gone_read else {
+    fn record_fenced(&mut self, by: usize) {
+        let Some((gone, read)) = self.nodes[by].gone_read_at else {
             return;
         };
         if self.writable(by).is_some() && self.now.since(read) > FENCE {
@@ -199,60 +199,60 @@
         }
     }
 
-    fn look_around(&mut self, i: usize) {
+    fn refuse_unresponsive(&mut self, i: usize) {
         let n = &mut self.nodes[i];
         if n.frozen || !n.state.voters.contains(id(i)) {
             return;
         }
         let others: Vec<_> = n.state.members.keys().copied().filter(|&m| m != id(i)).collect();
-        n.promises.refuse_silent(others.into_iter(), SILENCE, self.now);
+        n.promises.refuse_unresponsive(others.into_iter(), SILENCE, self.now);
     }
 
     /// Every member sends a heartbeat to every voter that it can reach, and gets the replies at
     /// once.
-    fn all_beat(&mut self) {
+    fn send_all_heartbeats(&mut self) {
         for from in 0..NODES {
             for to in 0..NODES {
-                self.beat(from, to);
+                self.send_heartbeat(from, to);
             }
         }
-        self.land_all();
+        self.deliver_all();
     }
 
-    fn land_all(&mut self) {
-        while !self.flights.is_empty() {
-            self.land(0);
+    fn deliver_all(&mut self) {
+        while !self.undelivered.is_empty() {
+            self.deliver(0);
         }
     }
 
-    fn read_now(&mut self, i: usize) {
-        self.ask_log(i);
-        if let Some(last) = self.flights.len().checked_sub(1) {
-            self.land(last);
+    fn read_log(&mut self, i: usize) {
+        self.request_log(i);
+        if let Some(last) = self.undelivered.len().checked_sub(1) {
+            self.deliver(last);
         }
     }
 
     /// Runs a planner once; it reads the log before each record that it appends.
     fn plan(&mut self, by: usize, also_drain: bool) {
-        (0..NODES).for_each(|voter| self.look_around(voter));
-        self.read_now(by);
-        (0..NODES).for_each(|target| self.state_against(by, target));
-        self.read_now(by);
-        self.fenced(by);
+        (0..NODES).for_each(|voter| self.refuse_unresponsive(voter));
+        self.read_log(by);
+        (0..NODES).for_each(|target| self.state_gone(by, target));
+        self.read_log(by);
+        self.record_fenced(by);
         if also_drain {
             self.drain(by);
         }
-        (0..NODES).filter(|i| i % 2 == 0).for_each(|i| self.read_now(i));
-        self.read_now(by);
-        self.drained(by);
+        (0..NODES).filter(|i| i % 2 == 0).for_each(|i| self.read_log(i));
+        self.read_log(by);
+        self.record_drained(by);
     }
 
     fn change_voters(&mut self, by: usize, bits: u32) {
         self.propose(by, bits);
-        (0..NODES).filter(|i| bits >> (i + 8) & 1 == 1).for_each(|i| self.read_now(i));
-        self.read_now(by);
+        (0..NODES).filter(|i| bits >> (i + 8) & 1 == 1).for_each(|i| self.read_log(i));
+        self.read_log(by);
         self.commit(by);
-        self.read_now(by);
+        self.read_log(by);
     }
 
     fn isolate(&mut self, i: usize, with_log: bool) {
@@ -281,11 +281,11 @@
         let (i, k) = (a as usize % NODES, b as usize % NODES);
         match kind % 32 {
             0..=5 => self.now = self.now + Duration::from_millis(u64::from(b % 24)),
-            6..=8 => self.all_beat(),
-            9 => (0..NODES).for_each(|to| self.beat(i, to)),
-            10..=11 => self.ask_log(i),
-            12 => self.land(a as usize),
-            13..=14 => self.read_now(i),
+            6..=8 => self.send_all_heartbeats(),
+            9 => (0..NODES).for_each(|to| self.send_heartbeat(i, to)),
+            10..=11 => self.request_log(i),
+            12 => self.deliver(a as usize),
+            13..=14 => self.read_log(i),
             15..=20 => self.plan(i, a.is_multiple_of(2)),
             21..=22 => self.change_voters(i, b),
             23 => self.propose(i, b),
@@ -301,8 +301,8 @@
     }
 
     fn assert_no_late_send(&mut self) {
-        let key = self.truth.vm_key(&vm()).unwrap();
-        let is_drained = matches!(self.truth.vms[key].stage, Stage::Drained(_));
+        let key = self.agreed.vm_key(&vm()).unwrap();
+        let is_drained = matches!(self.agreed.vms[key].stage, Stage::Drained(_));
         for i in 0..NODES {
             if self.would_send(i) {
                 self.sends += 1;
--- a/crates/steward/tests/hints.rs
+++ b/crates/steward/tests/hints.rs
@@ -16,15 +16,15 @@
 }
 
 #[gtest]
-fn hint_goes_when_it_is_old_or_settled() {
+fn hint_expires_when_it_is_old_or_settled() {
     let mut hints = Hints::default();
-    expect_that!(hints.learn([vm()], at(0)), elements_are![eq(&vm())]);
-    expect_that!(hints.learn([vm()], at(1)), is_empty());
+    expect_that!(hints.add([vm()], at(0)), elements_are![eq(&vm())]);
+    expect_that!(hints.add([vm()], at(1)), is_empty());
     hints.expire(at(60), |_| false);
     expect_that!(hints.all(), elements_are![eq(&vm())]);
     hints.expire(at(121), |_| false);
     expect_that!(hints.all(), is_empty());
-    hints.learn([vm()], at(200));
+    hints.add([vm()], at(200));
     hints.expire(at(201), |_| true);
     expect_that!(hints.all(), is_empty());
 }
@@ -34,9 +34,9 @@
 #[gtest]
 fn hint_outlasts_an_outage_of_the_log() {
     let mut hints = Hints::default();
-    hints.learn([vm()], at(0));
+    hints.add([vm()], at(0));
     for now in (0..3_600).step_by(100) {
-        hints.hold(at(now));
+        hints.refresh_all(at(now));
         hints.expire(at(now), |_| false);
         expect_that!(hints.all(), elements_are![eq(&vm())]);
     }
--- a/crates/steward/tests/promises.rs
+++ b/crates/steward/tests/promises.rs
@@ -18,13 +18,13 @@
 /// If the last contacts were kept, a member that becomes a voter again after a minute would at once
 /// state that another member is gone, and that member would have to rejoin.
 #[gtest]
-fn voter_that_becomes_one_again_refuses_nobody_at_once() {
+fn member_that_votes_again_refuses_nobody_at_once() {
     let mut promises = Promises::new(FENCE);
-    promises.refuse_silent([MemberId(2)].into_iter(), SILENCE, at(0));
-    promises.stop_listening();
-    promises.refuse_silent([MemberId(2)].into_iter(), SILENCE, at(60));
+    promises.refuse_unresponsive([MemberId(2)].into_iter(), SILENCE, at(0));
+    promises.forget_contacts();
+    promises.refuse_unresponsive([MemberId(2)].into_iter(), SILENCE, at(60));
     expect_that!(promises.is_refused(MemberId(2)), eq(false));
-    promises.refuse_silent([MemberId(2)].into_iter(), SILENCE, at(67));
+    promises.refuse_unresponsive([MemberId(2)].into_iter(), SILENCE, at(67));
     expect_that!(promises.is_refused(MemberId(2)), eq(true));
 }
 
@@ -33,14 +33,14 @@
     let mut promises = Promises::new(FENCE);
     let id = MemberId(2);
     expect_that!(promises.on_heartbeat(id, at(0)), eq(true));
-    promises.refuse_silent([id].into_iter(), Duration::from_secs(1), at(2));
+    promises.refuse_unresponsive([id].into_iter(), Duration::from_secs(1), at(2));
     expect_that!(promises.stated(at(3)), is_empty());
     expect_that!(promises.stated(at(4)), elements_are![eq(&id)]);
     expect_that!(promises.on_heartbeat(id, at(5)), eq(false));
 }
 
 #[gtest]
-fn promises_of_another_set_of_voters_are_no_proof() {
+fn promises_under_another_revision_of_voters_are_no_proof() {
     let ids: Vec<_> = (1..=3).map(MemberId).collect();
     let voters = Voters { revision: Revision(9), current: ids, next: None, claims_from_ms: 0 };
     let mut proof = Proof::new(FENCE);
