--- a/crates/fold/src/invariants.rs
+++ b/crates/fold/src/invariants.rs
@@ -9,25 +9,25 @@
 use crate::state::State;
 
 /// The counts before a change, to assert the invariants after it.
-pub(crate) struct Guard {
-    ours: bool,
+pub(crate) struct InvariantGuard {
+    checks_budgets: bool,
     available: Vec<(PoolKey, u32)>,
     templates: usize,
     pools: usize,
     vms: usize,
-    grows: bool,
+    changes_vm_count: bool,
 }
 
-impl Guard {
+impl InvariantGuard {
     /// Records the counts before `change`.
     pub(crate) fn new(state: &State, change: &Change) -> Self {
         Self {
-            ours: is_our_decision(change),
+            checks_budgets: is_system_decision(change),
             available: state.pools.iter().map(|(k, p)| (k, p.available)).collect(),
             templates: state.templates.len(),
             pools: state.pool_keys.len(),
             vms: state.vms.len(),
-            grows: matches!(change, Change::VmSeen { .. } | Change::VmGone { .. }),
+            changes_vm_count: matches!(change, Change::VmSeen { .. } | Change::VmGone { .. }),
         }
     }
 
@@ -35,14 +35,17 @@
     pub(crate) fn assert_held(&self, state: &State) {
         assert!(state.templates.len() >= self.templates, "a template was removed");
         assert!(state.pool_keys.len() >= self.pools, "a workspace was removed");
-        assert!(self.grows || state.vms.len() == self.vms, "a VM was removed or duplicated");
+        assert!(
+            self.changes_vm_count || state.vms.len() == self.vms,
+            "a VM was removed or duplicated"
+        );
         let sizes: u32 = state.pools.values().map(|p| p.size).sum();
         assert_eq!(
             sizes as usize,
             state.vms.len(),
             "the sizes of the pools do not add up to the number of VMs"
         );
-        if self.ours {
+        if self.checks_budgets {
             self.assert_budgets(state);
         }
     }
@@ -59,7 +62,7 @@
 /// Returns whether a change is a decision of the system, which must keep the budgets.
 ///
 /// VMs that the platform removes or that an operator forces out of service are not such decisions.
-fn is_our_decision(change: &Change) -> bool {
+fn is_system_decision(change: &Change) -> bool {
     matches!(
         change,
         Change::Drain { .. }
--- a/crates/fold/src/job.rs
+++ b/crates/fold/src/job.rs
@@ -85,7 +85,7 @@
         if !fits || !vm.is_available() || vm.pool != self.pool_key(&spec.pool)? {
             return Err(Reject::NoFreeSlot(start.vm.clone()));
         }
-        self.take_quota(&spec)?;
+        self.charge_quota(&spec)?;
         let job = self.job_mut(&start.job)?;
         job.starts = start.attempt;
         job.by = Some(start.by);
@@ -97,7 +97,7 @@
         Ok(())
     }
 
-    fn take_quota(&mut self, spec: &JobSpec) -> Result<(), Reject> {
+    fn charge_quota(&mut self, spec: &JobSpec) -> Result<(), Reject> {
         let Some(quota) = self.quotas.get_mut(&spec.team) else {
             return Ok(());
         };
@@ -122,8 +122,8 @@
         if job.starts != attempt {
             return Err(Reject::JobState(name.clone()));
         }
-        self.release_job(name, &vm)?;
-        self.note_task(name, &vm, end);
+        self.release_slots(name, &vm)?;
+        self.record_task_end(name, &vm, end);
         let job = self.job_mut(name)?;
         job.failures += u32::from(end == JobEnd::Failed);
         let is_repeatable = job.spec.repeatable;
@@ -138,7 +138,7 @@
         if waiting {
             self.waiting_jobs.insert(entry);
         } else {
-            self.note_ended(name);
+            self.record_ended_job(name);
         }
         Ok(())
     }
@@ -156,13 +156,13 @@
             let entry = (job.spec.urgency, job.submitted, name.clone());
             self.waiting_jobs.remove(&entry);
             self.job_mut(name)?.state = JobState::Cancelled;
-            self.note_ended(name);
+            self.record_ended_job(name);
         }
         Ok(())
     }
 
     /// Marks the jobs on a VM that is gone as lost.
-    pub(crate) fn lose_jobs_on(&mut self, vm: &VmName) {
+    pub(crate) fn record_jobs_lost(&mut self, vm: &VmName) {
         let on_vm = |(v, _): &&(VmName, JobName)| v == vm;
         let names: Vec<_> =
             self.running_jobs.iter().filter(on_vm).map(|(_, j)| j.clone()).collect();
@@ -174,12 +174,12 @@
     }
 
     /// Returns how many jobs run on a VM.
-    pub fn running_on(&self, vm: &VmName) -> u32 {
+    pub fn running_job_count(&self, vm: &VmName) -> u32 {
         let on_vm = self.running_jobs.iter().filter(|(v, _)| v == vm);
         u32::try_from(on_vm.count()).unwrap_or(u32::MAX)
     }
 
-    fn release_job(&mut self, name: &JobName, vm: &VmName) -> Result<(), Reject> {
+    fn release_slots(&mut self, name: &JobName, vm: &VmName) -> Result<(), Reject> {
         let spec = self.job(name)?.spec.clone();
         self.running_jobs.remove(&(vm.clone(), name.clone()));
         if let Ok(key) = self.vm_key(vm) {
@@ -193,7 +193,7 @@
 
     /// Counts consecutive failures of different jobs on a VM, to distinguish a worker that fails
     /// every task from a job that fails everywhere.
-    fn note_task(&mut self, job: &JobName, vm: &VmName, end: JobEnd) {
+    fn record_task_end(&mut self, job: &JobName, vm: &VmName, end: JobEnd) {
         let Ok(key) = self.vm_key(vm) else { return };
         let tasks = &mut self.vms[key].tasks;
         match end {
@@ -207,7 +207,7 @@
     }
 
     /// Keeps the status of the last [`MAX_ENDED_JOBS`] ended jobs and removes older ones.
-    fn note_ended(&mut self, name: &JobName) {
+    fn record_ended_job(&mut self, name: &JobName) {
         self.ended_jobs.push_back(name.clone());
         if self.ended_jobs.len() > MAX_ENDED_JOBS
             && let Some(old) = self.ended_jobs.pop_front()
--- a/crates/fold/src/member.rs
+++ b/crates/fold/src/member.rs
@@ -60,7 +60,7 @@
         voters: Revision,
         statements: &[MemberId],
     ) -> Result<(), Reject> {
-        self.expect_voters(voters)?;
+        self.expect_voters_revision(voters)?;
         if self.voters.current.is_empty() || !self.voters.is_quorum(statements) {
             return Err(Reject::NoQuorum);
         }
@@ -88,7 +88,7 @@
         base: Revision,
         voters: &[MemberId],
     ) -> Result<(), Reject> {
-        self.expect_voters(base)?;
+        self.expect_voters_revision(base)?;
         self.check_voter_set(voters)?;
         self.voters.revision = self.next_revision();
         if self.voters.current.is_empty() {
@@ -104,7 +104,7 @@
         base: Revision,
         adopted: &[MemberId],
     ) -> Result<(), Reject> {
-        self.expect_voters(base)?;
+        self.expect_voters_revision(base)?;
         let Some(next) = self.voters.next.clone() else {
             return Err(Reject::BadVoters);
         };
@@ -123,7 +123,7 @@
         voters: &[MemberId],
         at_ms: u64,
     ) -> Result<(), Reject> {
-        self.expect_voters(base)?;
+        self.expect_voters_revision(base)?;
         self.check_voter_set(voters)?;
         self.voters.revision = self.next_revision();
         self.voters.current = voters.to_vec();
@@ -132,7 +132,7 @@
         Ok(())
     }
 
-    fn expect_voters(&self, base: Revision) -> Result<(), Reject> {
+    fn expect_voters_revision(&self, base: Revision) -> Result<(), Reject> {
         let present = self.voters.revision;
         if base == present {
             return Ok(());
--- a/crates/fold/src/snapshot.rs
+++ b/crates/fold/src/snapshot.rs
@@ -44,7 +44,7 @@
 
     /// Adds the chunk of a change, if any; returns the state if the chunk completes a snapshot with
     /// a correct digest.
-    pub fn take(&mut self, change: &Change) -> Option<State> {
+    pub fn add_chunk(&mut self, change: &Change) -> Option<State> {
         let Change::SnapshotChunk { at, digest, index, count, data } = change else {
             return None;
         };
--- a/crates/fold/src/state.rs
+++ b/crates/fold/src/state.rs
@@ -13,7 +13,7 @@
     TemplateName, VmName,
 };
 
-use crate::invariants::Guard;
+use crate::invariants::InvariantGuard;
 use crate::job::Job;
 use crate::member::Member;
 use crate::pool::{Pool, PoolKey};
@@ -23,10 +23,10 @@
 
 /// The number of records for which an inactive writer's mark is kept; no copy of its record can
 /// arrive later than that.
-pub const WRITER_MEMORY: u64 = 200_000;
+pub const WRITER_MARK_RECORDS: u64 = 200_000;
 /// The number of records between two drops of inactive writers' marks, with a check of all
 /// invariants.
-const SWEEP_EVERY: u64 = 1_024;
+const CLEANUP_INTERVAL: u64 = 1_024;
 
 /// A template with its revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -169,17 +169,17 @@
     /// Applies a record of the log entry at `offset`.
     pub fn apply(&mut self, offset: Offset, record: &Record) -> Verdict {
         self.records += 1;
-        let result = self.take(record);
-        if self.records.is_multiple_of(SWEEP_EVERY) {
-            self.drop_silent_writers();
+        let result = self.try_apply(record);
+        if self.records.is_multiple_of(CLEANUP_INTERVAL) {
+            self.drop_inactive_writers();
             self.assert_all();
         }
         Verdict { id: record.id, offset, result }
     }
 
-    fn take(&mut self, record: &Record) -> Result<Revision, Reject> {
+    fn try_apply(&mut self, record: &Record) -> Result<Revision, Reject> {
         self.mark_writer(record.id)?;
-        let guard = Guard::new(self, &record.change);
+        let guard = InvariantGuard::new(self, &record.change);
         self.dispatch(record)?;
         self.accepted += 1;
         guard.assert_held(self);
@@ -197,8 +197,8 @@
         Ok(())
     }
 
-    fn drop_silent_writers(&mut self) {
-        let oldest = self.records.saturating_sub(WRITER_MEMORY);
+    fn drop_inactive_writers(&mut self) {
+        let oldest = self.records.saturating_sub(WRITER_MARK_RECORDS);
         self.writers.retain(|_, mark| mark.at >= oldest);
     }
 
--- a/crates/fold/src/view.rs
+++ b/crates/fold/src/view.rs
@@ -19,17 +19,17 @@
         pools: view_pools(state, &changed),
         leaving: Vec::new(),
         voters: state.voters.clone(),
-        voter_addrs: state.voters.all().iter().filter_map(|&id| peer(state, id)).collect(),
-        members: joined(state),
+        voter_addrs: state.voters.all().iter().filter_map(|&id| view_voter(state, id)).collect(),
+        members: joined_members(state),
     }
 }
 
-fn joined(state: &State) -> Vec<ViewVoter> {
+fn joined_members(state: &State) -> Vec<ViewVoter> {
     let joined = state.members.iter().filter(|(_, m)| m.state == MemberState::Joined);
-    joined.filter_map(|(&id, _)| peer(state, id)).collect()
+    joined.filter_map(|(&id, _)| view_voter(state, id)).collect()
 }
 
-fn peer(state: &State, id: MemberId) -> Option<ViewVoter> {
+fn view_voter(state: &State, id: MemberId) -> Option<ViewVoter> {
     let facts = &state.members.get(&id)?.facts;
     Some(ViewVoter { id, peer_addr: facts.peer_addr, hall: facts.hall.clone() })
 }
--- a/crates/fold/src/vm.rs
+++ b/crates/fold/src/vm.rs
@@ -122,13 +122,13 @@
             tasks: TaskRecord::default(),
         });
         self.vm_keys.insert(name.clone(), key);
-        self.count_in(key);
+        self.add_to_counts(key);
     }
 
     pub(crate) fn vm_gone(&mut self, name: &VmName, base: Revision) -> Result<(), Reject> {
-        let key = self.vm_at(name, base)?;
-        self.count_out(key);
-        self.lose_jobs_on(name);
+        let key = self.vm_at_revision(name, base)?;
+        self.remove_from_counts(key);
+        self.record_jobs_lost(name);
         self.vms.remove(key);
         self.vm_keys.remove(name);
         Ok(())
@@ -141,7 +141,7 @@
         on: bool,
         force: bool,
     ) -> Result<(), Reject> {
-        let key = self.vm_at(name, base)?;
+        let key = self.vm_at_revision(name, base)?;
         if on && !force {
             self.check_budget(key)?;
         }
@@ -155,7 +155,7 @@
         base: Revision,
         reason: &DrainReason,
     ) -> Result<(), Reject> {
-        let key = self.vm_at(name, base)?;
+        let key = self.vm_at_revision(name, base)?;
         self.expect_stage(key, |s| *s == Stage::InService)?;
         if let DrainReason::Move(to) = reason {
             self.pool_key(to)?;
@@ -167,7 +167,7 @@
     }
 
     pub(crate) fn give_back(&mut self, name: &VmName, base: Revision) -> Result<(), Reject> {
-        let key = self.vm_at(name, base)?;
+        let key = self.vm_at_revision(name, base)?;
         self.expect_stage(key, |s| matches!(s, Stage::Draining(_) | Stage::Drained(_)))?;
         self.change_vm(key, |vm| vm.stage = Stage::InService);
         Ok(())
@@ -179,7 +179,7 @@
         base: Revision,
         acks: &[MemberId],
     ) -> Result<(), Reject> {
-        let key = self.vm_at(name, base)?;
+        let key = self.vm_at_revision(name, base)?;
         let Stage::Draining(reason) = self.vms[key].stage.clone() else {
             return Err(self.wrong_stage(key));
         };
@@ -191,7 +191,7 @@
             return Err(Reject::MissingAcks(missing));
         }
         if self.vms[key].job_slots > 0 {
-            let running = self.running_on(name);
+            let running = self.running_job_count(name);
             return Err(Reject::JobsRunning(name.clone(), running));
         }
         self.change_vm(key, |vm| vm.stage = Stage::Drained(reason));
@@ -204,7 +204,7 @@
         base: Revision,
         to: Option<&PoolName>,
     ) -> Result<(), Reject> {
-        let key = self.vm_at(name, base)?;
+        let key = self.vm_at_revision(name, base)?;
         let pool = match to {
             Some(to) => self.pool_key(to)?,
             None => self.reserve,
@@ -227,14 +227,14 @@
         name: &VmName,
         base: Revision,
     ) -> Result<(), Reject> {
-        let key = self.vm_at(name, base)?;
+        let key = self.vm_at_revision(name, base)?;
         self.expect_stage(key, |s| *s == Stage::Drained(DrainReason::Maintenance))?;
         self.change_vm(key, |vm| vm.stage = Stage::InMaintenance);
         Ok(())
     }
 
     pub(crate) fn maintenance_done(&mut self, name: &VmName, base: Revision) -> Result<(), Reject> {
-        let key = self.vm_at(name, base)?;
+        let key = self.vm_at_revision(name, base)?;
         self.expect_stage(key, |s| *s == Stage::InMaintenance)?;
         let wave = self.wave.number;
         self.change_vm(key, |vm| {
@@ -247,7 +247,7 @@
     }
 
     /// Returns the key of the named VM, or an error if its revision is not `base`.
-    fn vm_at(&self, name: &VmName, base: Revision) -> Result<VmKey, Reject> {
+    fn vm_at_revision(&self, name: &VmName, base: Revision) -> Result<VmKey, Reject> {
         let key = self.vm_key(name)?;
         let present = self.vms[key].revision;
         if present != base {
@@ -286,13 +286,13 @@
 
     /// Changes a VM and updates the counts and revisions of its old and its new pool.
     pub(crate) fn change_vm(&mut self, key: VmKey, change: impl FnOnce(&mut Vm)) {
-        self.count_out(key);
+        self.remove_from_counts(key);
         change(&mut self.vms[key]);
         self.vms[key].revision = self.next_revision();
-        self.count_in(key);
+        self.add_to_counts(key);
     }
 
-    fn count_out(&mut self, key: VmKey) {
+    fn remove_from_counts(&mut self, key: VmKey) {
         let vm = &self.vms[key];
         let available = u32::from(vm.is_available());
         let touched = self.next_revision();
@@ -302,7 +302,7 @@
         pool.touched = touched;
     }
 
-    fn count_in(&mut self, key: VmKey) {
+    fn add_to_counts(&mut self, key: VmKey) {
         let vm = &self.vms[key];
         let available = u32::from(vm.is_available());
         let touched = self.next_revision();
--- a/crates/fold/tests/common/mod.rs
+++ b/crates/fold/tests/common/mod.rs
@@ -89,7 +89,7 @@
         self.apply(change).result.expect("accepted")
     }
 
-    pub fn see_vm(&mut self, i: usize) {
+    pub fn add_vm(&mut self, i: usize) {
         self.accept(Change::VmSeen {
             vm: vm_name(i),
             facts: facts(i),
@@ -115,7 +115,7 @@
             let (name, workspace) = (pool_name(p), workspace(4, 1));
             log.accept(Change::SetWorkspace { name, base, workspace });
             for i in p * 4..p * 4 + 4 {
-                log.see_vm(i);
+                log.add_vm(i);
                 let base = log.revision(i);
                 log.accept(Change::Assign { vm: vm_name(i), base, to: Some(pool_name(p)) });
             }
--- a/crates/fold/tests/random.rs
+++ b/crates/fold/tests/random.rs
@@ -197,12 +197,12 @@
 }
 
 /// Returns the label of the pool of each VM by name.
-fn pool_of_each(state: &State) -> BTreeMap<VmName, String> {
+fn pool_labels_by_vm(state: &State) -> BTreeMap<VmName, String> {
     let label = |k| state.pools[state.vms[k].pool].label().to_owned();
     state.vm_keys.iter().map(|(n, &k)| (n.clone(), label(k))).collect()
 }
 
-fn is_ours(change: &Change) -> bool {
+fn is_system_decision(change: &Change) -> bool {
     matches!(
         change,
         Change::Drain { .. }
@@ -247,7 +247,7 @@
     let after = &log.state;
     if verdict.result.is_err() {
         assert_eq!(after.accepted, before.accepted);
-        assert_eq!(pool_of_each(after), pool_of_each(&before));
+        assert_eq!(pool_labels_by_vm(after), pool_labels_by_vm(&before));
         return;
     }
     for (name, t) in &before.templates {
@@ -257,18 +257,18 @@
         let now = &after.pools[key];
         assert!(now.revision >= pool.revision, "a workspace went back");
         let fell = now.available < pool.available;
-        let held = !is_ours(&record.change) || !fell || now.available >= now.floor();
+        let held = !is_system_decision(&record.change) || !fell || now.available >= now.floor();
         assert!(held, "{:?} took a pool below its floor", record.change);
     }
-    let moved = pool_of_each(&before)
+    let moved = pool_labels_by_vm(&before)
         .into_iter()
-        .filter(|(vm, pool)| pool_of_each(after).get(vm).is_some_and(|p| p != pool))
+        .filter(|(vm, pool)| pool_labels_by_vm(after).get(vm).is_some_and(|p| p != pool))
         .count();
     assert!(moved <= 1, "one record moved {moved} VMs");
 }
 
 #[test]
-fn random_records_never_break_a_promise() {
+fn random_records_never_break_an_invariant() {
     let steps = prop::collection::vec((step(), fault(), 0..WRITERS), 1..200);
     runner()
         .run(&steps, |steps| {
@@ -347,7 +347,7 @@
             let mut restored = chunks
                 .iter()
                 .rev()
-                .filter_map(|c| assembler.take(c))
+                .filter_map(|c| assembler.add_chunk(c))
                 .next_back()
                 .expect("the chunks complete the snapshot in any order");
             prop_assert_eq!(digest(&restored), digest(&state_at_cut));
--- a/crates/fold/tests/steps.rs
+++ b/crates/fold/tests/steps.rs
@@ -106,7 +106,7 @@
 }
 
 #[gtest]
-fn of_two_racing_operators_one_is_told() {
+fn second_of_two_racing_operators_is_rejected() {
     let mut log = Log::with_pools(1);
     let name = TemplateName::new("t").unwrap();
     let base = log.state.templates[&name].revision;
--- a/crates/plan/src/jobs.rs
+++ b/crates/plan/src/jobs.rs
@@ -39,21 +39,21 @@
 /// Plans starts, urgent jobs first, then by age. Night jobs yield if an urgent job has no free
 /// slots.
 pub fn plan_jobs(state: &State) -> JobPlan {
-    let mut free_slots = Room::new(state);
+    let mut free_slots = FreeSlots::new(state);
     let mut plan = JobPlan::default();
     for (urgency, _, name) in &state.waiting_jobs {
         if plan.starts.len() >= MAX_STARTS {
             break;
         }
         let job = &state.jobs[name];
-        if job.failures >= MAX_FAILURES || !free_slots.quota_allows(state, job) {
+        if job.failures >= MAX_FAILURES || !free_slots.charge_quota(state, job) {
             continue;
         }
-        if let Some(vm) = free_slots.take(state, job) {
+        if let Some(vm) = free_slots.allocate(state, job) {
             let attempt = job.starts + 1;
             plan.starts.push(PlannedStart { job: name.clone(), vm, attempt });
         } else if *urgency == Urgency::Urgent {
-            free_slots.make_yield(state, job, &mut plan.yields);
+            free_slots.plan_yields(state, job, &mut plan.yields);
         }
     }
     plan
@@ -89,12 +89,12 @@
 }
 
 /// The free slots of VMs and the planned use of quotas during a planning step.
-struct Room {
+struct FreeSlots {
     free: BTreeMap<VmKey, u32>,
     quota_used: BTreeMap<thistle_model::TeamName, u32>,
 }
 
-impl Room {
+impl FreeSlots {
     fn new(state: &State) -> Self {
         let usable = state
             .vms
@@ -106,7 +106,7 @@
     }
 
     /// Adds a job to the planned use of its team's quota; returns `false` if the quota is exceeded.
-    fn quota_allows(&mut self, state: &State, job: &Job) -> bool {
+    fn charge_quota(&mut self, state: &State, job: &Job) -> bool {
         let Some(quota) = state.quotas.get(&job.spec.team) else {
             return true;
         };
@@ -120,7 +120,7 @@
     }
 
     /// Allocates slots for a job on the VM of its pool with the most free slots.
-    fn take(&mut self, state: &State, job: &Job) -> Option<VmName> {
+    fn allocate(&mut self, state: &State, job: &Job) -> Option<VmName> {
         let pool = state.pool_key(&job.spec.pool).ok()?;
         let slots = u32::from(job.spec.slots);
         let candidates = self
@@ -133,14 +133,16 @@
     }
 
     /// Selects night jobs on one VM that must yield to make room for an urgent job.
-    fn make_yield(&mut self, state: &State, job: &Job, yields: &mut Vec<JobName>) {
+    fn plan_yields(&mut self, state: &State, job: &Job, yields: &mut Vec<JobName>) {
         let Ok(pool) = state.pool_key(&job.spec.pool) else {
             return;
         };
         let need = u32::from(job.spec.slots);
         let vms = self.free.iter().filter(|(key, _)| state.vms[**key].pool == pool);
         let best = vms
-            .map(|(&key, &free)| (night_jobs(state, key, need.saturating_sub(free), yields), key))
+            .map(|(&key, &free)| {
+                (select_night_jobs(state, key, need.saturating_sub(free), yields), key)
+            })
             .filter_map(|(jobs, key)| jobs.map(|jobs| (jobs, key)))
             .min_by_key(|(jobs, _)| jobs.len());
         if let Some((jobs, key)) = best {
@@ -151,7 +153,12 @@
 }
 
 /// Returns night jobs on a VM that together free `need` slots, or `None` if there are too few.
-fn night_jobs(state: &State, key: VmKey, need: u32, yielding: &[JobName]) -> Option<Vec<JobName>> {
+fn select_night_jobs(
+    state: &State,
+    key: VmKey,
+    need: u32,
+    yielding: &[JobName],
+) -> Option<Vec<JobName>> {
     let vm = &state.vms[key].name;
     let on_vm = state.running_jobs.iter().filter(|(v, _)| v == vm).map(|(_, job)| job);
     let mut freed = 0;
--- a/crates/plan/src/proposal.rs
+++ b/crates/plan/src/proposal.rs
@@ -74,7 +74,7 @@
     ///
     /// If buffer cost weighs more than roll-out time, there are few spares to replace a failed VM,
     /// so one VM of a slack of two or more is left.
-    pub(crate) fn kept_slack(&self, slack: u32) -> u32 {
+    pub(crate) fn slack_to_keep(&self, slack: u32) -> u32 {
         u32::from(self.buffer_cost > self.roll_out_time && slack >= 2)
     }
 }
--- a/crates/plan/src/recover.rs
+++ b/crates/plan/src/recover.rs
@@ -25,7 +25,7 @@
         if *missing > 0 && is_returnable(vm) {
             *missing -= 1;
             proposals.push(propose(vm));
-            note(scope, key);
+            mark_used(scope, key);
         }
     }
 }
@@ -35,7 +35,7 @@
     is_leaving_service && vm.status == PlatformStatus::Live && !vm.cordoned
 }
 
-fn note(scope: &mut Scope<'_>, key: VmKey) {
+fn mark_used(scope: &mut Scope<'_>, key: VmKey) {
     scope.used.insert(key);
 }
 
--- a/crates/plan/src/refill.rs
+++ b/crates/plan/src/refill.rs
@@ -12,14 +12,14 @@
 /// Proposes to refill pools that are below their target, the furthest below its floor first, then
 /// by tier.
 pub(crate) fn refill(scope: &mut Scope<'_>, cfg: &PlanConfig, proposals: &mut Vec<Proposal>) {
-    let counted = scope.counted();
+    let counted = scope.target_counts();
     let count = |key: PoolKey| counted.get(&key).copied().unwrap_or(0);
     let mut below_target: Vec<_> = scope
         .state
         .pools
         .iter()
         .filter(|(key, p)| count(*key) < p.target())
-        .map(|(key, p)| (urgency(p), key, p.target() - count(key)))
+        .map(|(key, p)| (refill_key(p), key, p.target() - count(key)))
         .collect();
     below_target.sort();
     let mut spares = spare_vms(scope);
@@ -35,7 +35,7 @@
 }
 
 /// Returns the sort key for refilling pools; the pool with the least key is refilled first.
-fn urgency(pool: &Pool) -> (Reverse<u32>, Option<Tier>) {
+fn refill_key(pool: &Pool) -> (Reverse<u32>, Option<Tier>) {
     let below = pool.floor().saturating_sub(pool.available);
     (Reverse(below), pool.workspace.as_ref().map(|w| w.tier))
 }
@@ -84,14 +84,14 @@
         RefillPolicy::Greedy => indexes.min_by_key(|&i| spares[i]),
         RefillPolicy::Spread => indexes.min_by_key(|&i| {
             let vm = &scope.state.vms[spares[i]];
-            (spread.crowding(vm), vm.wave < scope.state.wave.number, spares[i])
+            (spread.hall_and_rack_counts(vm), vm.wave < scope.state.wave.number, spares[i])
         }),
     }
 }
 
 /// Proposes to drain surplus VMs of pools, from the most crowded halls and racks first.
 pub(crate) fn release_surplus(scope: &mut Scope<'_>, proposals: &mut Vec<Proposal>) {
-    let counted = scope.counted();
+    let counted = scope.target_counts();
     let state = scope.state;
     for (key, pool) in &state.pools {
         let Some(_) = &pool.workspace else { continue };
@@ -112,7 +112,7 @@
     };
     let candidates = state.vm_keys.values().copied().filter(is_movable);
     let unused = candidates.filter(|key| !scope.used.contains(key));
-    let Some(key) = unused.max_by_key(|&key| spread.crowding(&state.vms[key])) else {
+    let Some(key) = unused.max_by_key(|&key| spread.hall_and_rack_counts(&state.vms[key])) else {
         return;
     };
     let vm = &state.vms[key];
--- a/crates/plan/src/scope.rs
+++ b/crates/plan/src/scope.rs
@@ -34,9 +34,9 @@
     }
 
     /// Returns the number of VMs of each pool that count towards its target.
-    pub fn counted(&self) -> BTreeMap<PoolKey, u32> {
+    pub fn target_counts(&self) -> BTreeMap<PoolKey, u32> {
         let mut counts = BTreeMap::new();
-        for vm in self.state.vms.values().filter(|vm| is_counted(vm)) {
+        for vm in self.state.vms.values().filter(|vm| counts_towards_target(vm)) {
             *counts.entry(vm.pool).or_default() += 1;
         }
         counts
@@ -55,7 +55,7 @@
 
 /// Returns whether a VM counts towards its pool's target: it is available, or will be after its
 /// maintenance.
-pub(crate) fn is_counted(vm: &Vm) -> bool {
+pub(crate) fn counts_towards_target(vm: &Vm) -> bool {
     let is_live = vm.status == thistle_model::PlatformStatus::Live;
     (vm.is_available()) || (is_out_for_maintenance(vm) && !vm.cordoned && is_live)
 }
--- a/crates/plan/src/spread.rs
+++ b/crates/plan/src/spread.rs
@@ -5,7 +5,7 @@
 use thistle_fold::{PoolKey, State, Vm};
 use thistle_model::{HallName, RackName};
 
-use crate::scope::is_counted;
+use crate::scope::counts_towards_target;
 
 /// The number of a pool's VMs by data hall and rack.
 #[derive(Default)]
@@ -18,7 +18,7 @@
     /// Counts the VMs of a pool.
     pub fn of(state: &State, pool: PoolKey) -> Self {
         let mut spread = Self::default();
-        for vm in state.vms.values().filter(|vm| vm.pool == pool && is_counted(vm)) {
+        for vm in state.vms.values().filter(|vm| vm.pool == pool && counts_towards_target(vm)) {
             spread.add(vm);
         }
         spread
@@ -32,7 +32,7 @@
 
     /// Returns the counts in a VM's hall and rack; the VM with the least counts is the best one to
     /// add.
-    pub fn crowding(&self, vm: &Vm) -> (u32, u32) {
+    pub fn hall_and_rack_counts(&self, vm: &Vm) -> (u32, u32) {
         let rack = self.racks.get(&vm.facts.rack).copied().unwrap_or(0);
         let hall = self.halls.get(&vm.facts.hall).copied().unwrap_or(0);
         (hall, rack)
--- a/crates/plan/src/wave.rs
+++ b/crates/plan/src/wave.rs
@@ -19,7 +19,7 @@
     if wave.paused || wave.number == 0 {
         return;
     }
-    let mut width = width_left(scope, cfg);
+    let mut width = remaining_width(scope, cfg);
     let mut reserve_left = reserve_slack(scope, cfg);
     for key in candidates(scope, cfg, minute) {
         if width == 0 {
@@ -40,7 +40,7 @@
 }
 
 /// Returns how many more VMs may be out of service under the policy.
-fn width_left(scope: &Scope<'_>, cfg: &PlanConfig) -> usize {
+fn remaining_width(scope: &Scope<'_>, cfg: &PlanConfig) -> usize {
     match cfg.wave {
         WavePolicy::ByRack => usize::MAX,
         WavePolicy::OneAtATime => {
@@ -92,7 +92,7 @@
 fn has_slack(scope: &Scope<'_>, cfg: &PlanConfig, pool: PoolKey) -> bool {
     let slack = scope.slack[pool];
     let full_slack = scope.state.pools[pool].target() - scope.state.pools[pool].floor();
-    slack > cfg.kept_slack(full_slack)
+    slack > cfg.slack_to_keep(full_slack)
 }
 
 /// Returns whether no VM of the pool is out for maintenance in another data hall.
--- a/crates/plan/tests/plan.rs
+++ b/crates/plan/tests/plan.rs
@@ -21,7 +21,7 @@
     verdict.result.unwrap();
 }
 
-fn see(state: &mut State, i: usize) {
+fn add_vm(state: &mut State, i: usize) {
     let facts = VmFacts {
         addr: ([127, 0, 0, 1], 1).into(),
         hall: HallName::new(&format!("hall-{}", i % 2)).unwrap(),
@@ -33,7 +33,7 @@
 }
 
 /// Sets the parameters of the only workspace.
-fn set(state: &mut State, vms: u32, max_unavailable: u32, windows: Vec<Window>) {
+fn set_workspace(state: &mut State, vms: u32, max_unavailable: u32, windows: Vec<Window>) {
     let name = PoolName::new("pool").unwrap();
     let base = state.pool_key(&name).map_or(Revision::NONE, |k| state.pools[k].revision);
     let workspace = Workspace {
@@ -47,7 +47,7 @@
 }
 
 /// Returns a state with a pool of `vms` VMs that are all in service, and with `spares` spare VMs.
-fn fleet(vms: u32, max_unavailable: u32, spares: usize) -> State {
+fn state_with_pool(vms: u32, max_unavailable: u32, spares: usize) -> State {
     let mut state = State::new();
     let service = Service {
         name: ServiceName::new("s").unwrap(),
@@ -59,8 +59,8 @@
     let template = Template { title: String::new(), services: vec![service] };
     let name = TemplateName::new("t").unwrap();
     apply(&mut state, Change::PublishTemplate { name, base: Revision::NONE, template });
-    set(&mut state, vms, max_unavailable, Vec::new());
-    (0..vms as usize + spares).for_each(|i| see(&mut state, i));
+    set_workspace(&mut state, vms, max_unavailable, Vec::new());
+    (0..vms as usize + spares).for_each(|i| add_vm(&mut state, i));
     for proposal in plan(&state, &PlanConfig::default(), NOON) {
         apply(&mut state, proposal.change);
     }
@@ -76,7 +76,7 @@
     (0..20).filter(named).collect()
 }
 
-fn lose(state: &mut State, i: usize) {
+fn remove_vm(state: &mut State, i: usize) {
     let base = state.vms[state.vm_key(&vm(i)).unwrap()].revision;
     apply(state, Change::VmGone { vm: vm(i), base });
 }
@@ -84,7 +84,7 @@
 #[gtest]
 fn wave_keeps_a_pool_to_one_hall() {
     // The budget allows five VMs, but each hall has only four VMs of the pool.
-    let mut state = fleet(8, 5, 0);
+    let mut state = state_with_pool(8, 5, 0);
     apply(&mut state, Change::WaveStart { base: Revision::NONE });
     let proposals = plan(&state, &PlanConfig::default(), NOON);
     let drains = steps(&proposals, "drain");
@@ -96,7 +96,7 @@
 
 #[gtest]
 fn wave_stays_within_the_budget() {
-    let mut state = fleet(8, 3, 0);
+    let mut state = state_with_pool(8, 3, 0);
     apply(&mut state, Change::WaveStart { base: Revision::NONE });
     let proposals = plan(&state, &PlanConfig::default(), NOON);
     expect_that!(steps(&proposals, "drain").len(), eq(3));
@@ -104,8 +104,8 @@
 
 #[gtest]
 fn wave_waits_for_the_window() {
-    let mut state = fleet(4, 1, 0);
-    set(&mut state, 4, 1, vec![Window { from_minute: 22 * 60, to_minute: 4 * 60 }]);
+    let mut state = state_with_pool(4, 1, 0);
+    set_workspace(&mut state, 4, 1, vec![Window { from_minute: 22 * 60, to_minute: 4 * 60 }]);
     apply(&mut state, Change::WaveStart { base: Revision::NONE });
     let drains = |minute| steps(&plan(&state, &PlanConfig::default(), minute), "drain").len();
     expect_that!(drains(NOON), eq(0));
@@ -115,7 +115,7 @@
 
 #[gtest]
 fn buffer_cost_above_roll_out_time_leaves_a_vm_of_the_slack() {
-    let mut state = fleet(8, 3, 0);
+    let mut state = state_with_pool(8, 3, 0);
     apply(&mut state, Change::WaveStart { base: Revision::NONE });
     let high_buffer_cost = PlanConfig::default().with_weights(1, 3, 1);
     expect_that!(steps(&plan(&state, &high_buffer_cost, NOON), "drain").len(), eq(2));
@@ -123,7 +123,7 @@
 
 #[gtest]
 fn drains_are_given_back_when_failures_use_up_the_budget() {
-    let mut state = fleet(6, 2, 0);
+    let mut state = state_with_pool(6, 2, 0);
     apply(&mut state, Change::WaveStart { base: Revision::NONE });
     for p in plan(&state, &PlanConfig::default(), NOON) {
         apply(&mut state, p.change);
@@ -134,7 +134,7 @@
         in_pool(s).into_iter().filter(|i| serves(i)).collect()
     };
     let first = serving(&state)[0];
-    lose(&mut state, first);
+    remove_vm(&mut state, first);
     let proposals = plan(&state, &PlanConfig::default(), NOON);
     expect_that!(steps(&proposals, "give-back").len(), eq(1));
     expect_that!(steps(&proposals, "drain").len(), eq(0));
@@ -142,9 +142,9 @@
 
 #[gtest]
 fn lost_vm_is_replaced_from_the_reserve_with_one_move() {
-    let mut state = fleet(4, 1, 2);
+    let mut state = state_with_pool(4, 1, 2);
     let lost = in_pool(&state)[0];
-    lose(&mut state, lost);
+    remove_vm(&mut state, lost);
     let proposals = plan(&state, &PlanConfig::default(), NOON);
     expect_that!(proposals.len(), eq(1));
     expect_that!(steps(&proposals, "assign").len(), eq(1));
@@ -152,8 +152,8 @@
 
 #[gtest]
 fn surplus_goes_to_the_reserve_within_the_budget() {
-    let mut state = fleet(6, 1, 0);
-    set(&mut state, 4, 1, Vec::new());
+    let mut state = state_with_pool(6, 1, 0);
+    set_workspace(&mut state, 4, 1, Vec::new());
     let proposals = plan(&state, &PlanConfig::default(), NOON);
     let is_surplus_drain =
         |p: &Proposal| matches!(p.change, Change::Drain { reason: DrainReason::Surplus, .. });
@@ -162,6 +162,6 @@
 
 #[gtest]
 fn nothing_is_proposed_when_all_is_well() {
-    let state = fleet(6, 1, 3);
+    let state = state_with_pool(6, 1, 3);
     expect_that!(plan(&state, &PlanConfig::default(), NOON), is_empty());
 }
--- a/crates/steward/src/appender.rs
+++ b/crates/steward/src/appender.rs
@@ -89,7 +89,8 @@
     encode(records).len()
 }
 
-/// Appends records as one log entry, again and again until they are read back or the time is over.
+/// Appends records as one log entry, and repeats the append until the records are read back or
+/// [`RETRY_TIMEOUT`] has passed.
 async fn append<L: LogService>(shared: &Shared, log: &L, records: &[Record]) {
     let started_at = Instant::now();
     let entry = encode(records);
--- a/crates/steward/src/catch_up.rs
+++ b/crates/steward/src/catch_up.rs
@@ -27,7 +27,7 @@
     loop {
         for entry in &page.entries {
             for record in decode(entry).unwrap_or_default() {
-                newest = assembler.take(&record.change).or(newest);
+                newest = assembler.add_chunk(&record.change).or(newest);
             }
             at = at.next();
         }
--- a/crates/steward/src/core.rs
+++ b/crates/steward/src/core.rs
@@ -128,9 +128,9 @@
         self.check_snapshot(&records);
         let verdicts = self.state.apply_entry(offset, &entry);
         for (verdict, record) in verdicts.iter().zip(&records) {
-            self.verdicts.record(verdict);
+            self.verdicts.add(verdict);
             if verdict.result.is_ok() {
-                self.rollouts.record(&record.change, offset, now);
+                self.rollouts.track(&record.change, offset, now);
             }
         }
         self.recent.push(offset, entry);
@@ -198,18 +198,18 @@
     }
 
     fn record_member_changes(&mut self, before: &BTreeSet<MemberId>, now: Instant) {
-        let current: BTreeSet<_> = self.state.members.keys().copied().collect();
+        let member_ids: BTreeSet<_> = self.state.members.keys().copied().collect();
         let gone = self.state.members.iter().filter(|(_, m)| m.state == MemberState::Gone);
         for (&id, _) in gone {
             self.gone_read_at.entry(id).or_insert(now);
         }
-        if current == *before {
+        if member_ids == *before {
             return;
         }
         self.members_changed = now;
-        self.gone_read_at.retain(|id, _| current.contains(id));
-        self.peers.retain(|id, _| current.contains(id));
-        self.promises.retain(&current);
+        self.gone_read_at.retain(|id, _| member_ids.contains(id));
+        self.peers.retain(|id, _| member_ids.contains(id));
+        self.promises.retain(&member_ids);
     }
 
     fn take_snapshot(&mut self) {
--- a/crates/steward/src/duty/members.rs
+++ b/crates/steward/src/duty/members.rs
@@ -39,7 +39,7 @@
     changes
 }
 
-/// Returns the peers, and this member, that have no promise outstanding to a member and give none.
+/// Returns the members that report no outstanding promise to `member` and give it none.
 fn voters_stating_gone(core: &Core, member: MemberId, now: Instant) -> Vec<MemberId> {
     let has_stated = |id: &&MemberId| {
         core.peers.get(id).is_some_and(|p| {
--- a/crates/steward/src/heartbeat.rs
+++ b/crates/steward/src/heartbeat.rs
@@ -76,15 +76,16 @@
     }
 }
 
+/// Sends a heartbeat to one voter and handles the reply.
 async fn send_heartbeat(shared: Arc<Shared>, addr: SocketAddr) {
     let connection = shared.connection(addr);
     let sent_at = Instant::now();
     let Ok(client) = connection.client().await else {
         return;
     };
-    let heartbeat = own_heartbeat(&shared);
-    let from = heartbeat.from;
-    let call = client.heartbeat(context(shared.settings.heartbeat.0 * 2), heartbeat).await;
+    let message = own_heartbeat(&shared);
+    let from = message.from;
+    let call = client.heartbeat(context(shared.settings.heartbeat.0 * 2), message).await;
     match connection.check(call).await {
         Ok(reply) => handle_reply(&shared, from, &reply, sent_at),
         Err(e) => log::debug!("heartbeat to={addr} result=failed reason=\"{e}\""),
--- a/crates/steward/src/link_server.rs
+++ b/crates/steward/src/link_server.rs
@@ -70,8 +70,8 @@
     fn reply(&self, req: &ViewRequest, attached: bool) -> ViewReply {
         let core = self.shared.core();
         let now = Instant::now();
-        let has_changes = core.state.accepted > req.have.0 || core.hints.version() != req.hints;
-        let update = has_changes.then(|| {
+        let is_changed = core.state.accepted > req.have.0 || core.hints.version() != req.hints;
+        let update = is_changed.then(|| {
             let mut update = changed_since(&core.state, req.have);
             update.leaving = core.hints.all();
             update
--- a/crates/steward/src/peer_server.rs
+++ b/crates/steward/src/peer_server.rs
@@ -43,16 +43,16 @@
 }
 
 impl Peer for PeerServer {
-    async fn heartbeat(self, _: Context, beat: Heartbeat) -> HeartbeatReply {
-        self.add_hints(beat.leaving.clone());
+    async fn heartbeat(self, _: Context, heartbeat: Heartbeat) -> HeartbeatReply {
+        self.add_hints(heartbeat.leaving.clone());
         let now = Instant::now();
         let mut core = self.shared.core();
-        let from = beat.from;
+        let from = heartbeat.from;
         let is_voter = core.state.voters.contains(core.me);
         let is_known = core.state.members.contains_key(&from);
         let promise = is_voter && is_known && core.promises.on_heartbeat(from, now);
         if is_known {
-            core.peers.insert(from, PeerReport { last_contact: now, heartbeat: beat });
+            core.peers.insert(from, PeerReport { last_contact: now, heartbeat });
         }
         HeartbeatReply {
             from: core.me,
--- a/crates/steward/src/promise.rs
+++ b/crates/steward/src/promise.rs
@@ -110,9 +110,9 @@
         true
     }
 
-    /// Returns whether the last heartbeat of `id` is no older than `timeout`.
-    pub fn had_contact_within(&self, id: MemberId, timeout: Duration, now: Instant) -> bool {
-        self.last_contacts.get(&id).is_some_and(|&t| now.since(t) <= timeout)
+    /// Returns whether the last heartbeat of `id` is no older than `max_age`.
+    pub fn had_contact_within(&self, id: MemberId, max_age: Duration, now: Instant) -> bool {
+        self.last_contacts.get(&id).is_some_and(|&t| now.since(t) <= max_age)
     }
 
     /// Refuses further promises to members whose last contact is longer ago than `timeout`. A
--- a/crates/steward/src/rollout.rs
+++ b/crates/steward/src/rollout.rs
@@ -17,7 +17,7 @@
 
 impl Rollouts {
     /// Starts to track the change at `offset` if an operator made it.
-    pub fn record(&mut self, change: &Change, offset: Offset, now: Instant) {
+    pub fn track(&mut self, change: &Change, offset: Offset, now: Instant) {
         let is_operators = matches!(
             change,
             Change::PublishTemplate { .. } | Change::SetWorkspace { .. } | Change::SetQuota { .. }
--- a/crates/steward/src/verdicts.rs
+++ b/crates/steward/src/verdicts.rs
@@ -32,9 +32,9 @@
         self.known.get(&id).cloned()
     }
 
-    /// Records a verdict; the rejection of a duplicate is ignored, as the first copy has its own
+    /// Adds a verdict; the rejection of a duplicate is ignored, as the first copy has its own
     /// verdict.
-    pub fn record(&mut self, verdict: &Verdict) {
+    pub fn add(&mut self, verdict: &Verdict) {
         if verdict.result == Err(Reject::Duplicate) {
             return;
         }
--- a/crates/steward/tests/fence_world/mod.rs
+++ b/crates/steward/tests/fence_world/mod.rs
@@ -34,6 +34,7 @@
     frozen: bool,
 }
 
+/// The simulation; `agreed` is the state after the whole log.
 pub struct World {
     now: Instant,
     log: Vec<Vec<u8>>,
--- a/crates/steward/tests/fence_world/steps.rs
+++ b/crates/steward/tests/fence_world/steps.rs
@@ -110,6 +110,7 @@
         }
     }
 
+    /// Returns whether the entry of node `i` may send to the VM.
     fn would_send(&self, i: usize) -> bool {
         let n = &self.nodes[i];
         let joined = n.state.members.get(&id(i)).map(|m| m.state) == Some(MemberState::Joined);
@@ -125,6 +126,8 @@
         }
     }
 
+    /// Returns the VM, its revision and its stage as node `by` knows them, or `None` if the node cannot
+    /// append.
     fn writable(&self, by: usize) -> Option<(VmName, Revision, Stage)> {
         let n = &self.nodes[by];
         if n.frozen || n.log_cut || self.log_down {
@@ -199,7 +202,7 @@
         }
     }
 
-    fn refuse_unresponsive(&mut self, i: usize) {
+    fn check_contacts(&mut self, i: usize) {
         let n = &mut self.nodes[i];
         if n.frozen || !n.state.voters.contains(id(i)) {
             return;
@@ -234,7 +237,7 @@
 
     /// Runs a planner once; it reads the log before each record that it appends.
     fn plan(&mut self, by: usize, also_drain: bool) {
-        (0..NODES).for_each(|voter| self.refuse_unresponsive(voter));
+        (0..NODES).for_each(|voter| self.check_contacts(voter));
         self.read_log(by);
         (0..NODES).for_each(|target| self.state_gone(by, target));
         self.read_log(by);
