--- a/crates/fold/src/state.rs
+++ b/crates/fold/src/state.rs
@@ -53,7 +53,7 @@
 pub struct WriterMark {
     /// The sequence number of the record.
     pub seq: u64,
-    /// The number of records that were read up to this one.
+    /// The position of the record among all records that were read.
     pub at: u64,
 }
 
--- a/crates/plan/src/wave.rs
+++ b/crates/plan/src/wave.rs
@@ -50,8 +50,8 @@
     }
 }
 
-/// Returns how many VMs of the reserve may be drained now; at least half of the wanted reserve
-/// stays available, except that a single VM may always be drained.
+/// Returns how many VMs of the reserve may be drained now. At least half of the reserve, or of its
+/// target if that is smaller, stays available, unless the reserve has only one VM.
 fn reserve_slack(scope: &Scope<'_>, cfg: &PlanConfig) -> u32 {
     let reserve = &scope.state.pools[scope.state.reserve];
     let keep = reserve_target(scope.state, cfg).min(reserve.size).div_ceil(2);
@@ -97,8 +97,8 @@
 
 /// Returns whether no VM of the pool is out for maintenance in another data hall.
 ///
-/// If a hall fails during a wave, it is then either the hall whose VMs are already out, or the
-/// pool's VMs in the other halls are all in service.
+/// If a hall fails during a wave, the failure then either hits the hall whose VMs are already out,
+/// or leaves VMs out in only one other hall.
 pub(crate) fn hall_allows(scope: &Scope<'_>, vm: &Vm) -> bool {
     scope.halls_out[vm.pool].iter().all(|hall| *hall == vm.facts.hall)
 }
--- a/crates/steward/src/core.rs
+++ b/crates/steward/src/core.rs
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Replaces the state with one that was fetched, unless that is older.
+    /// Replaces the state with a fetched one if that is newer.
     pub fn replace_state(&mut self, state: State, now: Instant) {
         if state.next <= self.state.next {
             return;
--- a/crates/steward/src/duty/mod.rs
+++ b/crates/steward/src/duty/mod.rs
@@ -1,6 +1,7 @@
 //! The planner on duty: one voter at a time proposes changes.
 //!
-//! Two stewards may both act as the planner on duty: the fold accepts each change only once.
+//! Two stewards may safely act as the planner on duty at once: the fold accepts each change only
+//! once.
 
 mod drains;
 mod jobs;
