--- a/crates/fold/src/reject.rs
+++ b/crates/fold/src/reject.rs
@@ -81,10 +81,10 @@
 impl fmt::Display for Reject {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Duplicate => write!(f, "the record was read before; no action is needed"),
+            Self::Duplicate => write!(f, "the record was taken before; nothing is to be done"),
             Self::Stale { what, base, present } => write!(
                 f,
-                "{what} is at revision {present}, but the change is based on {base}: check it again and repeat the change"
+                "{what} is at revision {present} and the change was made from {base}: look at it again and repeat the change"
             ),
             Self::Invalid(e) => e.fmt(f),
             Self::NoSuchTemplate(n) => write!(f, "no template '{n}': publish it first"),
@@ -94,26 +94,26 @@
             Self::NoSuchJob(n) => write!(f, "no job '{n}': see 'thistle job list'"),
             Self::BudgetSpent { pool, available, floor } => write!(
                 f,
-                "the availability budget of '{pool}' is used up ({available} VMs available, {floor} must stay): wait until another one is available or raise max_unavailable"
+                "the availability budget of '{pool}' is spent ({available} VMs available, {floor} must stay): wait for one to come back or raise max_unavailable"
             ),
             Self::WrongStage { vm, stage } => {
-                write!(f, "the VM '{vm}' is {stage}: wait, or choose a step that this stage allows")
+                write!(f, "the VM '{vm}' is {stage}: wait, or take the step that fits this stage")
             }
             Self::MissingAcks(ids) => {
-                write!(f, "the drain is not yet acknowledged by ")?;
+                write!(f, "not yet acknowledged by ")?;
                 for (i, id) in ids.iter().enumerate() {
                     write!(f, "{}{id}", if i == 0 { "" } else { ", " })?;
                 }
-                write!(f, ": wait, or see 'thistle status' for unresponsive members")
+                write!(f, ": wait, or see 'thistle status' for silent members")
             }
             Self::JobsRunning(vm, n) => write!(f, "{n} jobs run on '{vm}': wait for them to end"),
-            Self::NoQuorum => write!(f, "not a quorum of the current voters: query them again"),
+            Self::NoQuorum => write!(f, "not a quorum of the present voters: ask them again"),
             Self::WrongMemberState(id) => {
                 write!(f, "the member {id} is not in the state for this step: see 'thistle status'")
             }
             Self::BadVoters => write!(
                 f,
-                "the set of voters must be 1 to {MAX_VOTERS} different joined members: choose others",
+                "the set of voters is not 1 to {MAX_VOTERS} joined members, each once: pick others",
                 MAX_VOTERS = crate::member::MAX_VOTERS
             ),
             Self::WaveUnderWay => write!(f, "a maintenance wave is under way: wait for its end"),
@@ -121,7 +121,7 @@
                 write!(f, "no maintenance wave is under way: start one with 'thistle wave start'")
             }
             Self::JobExists(n) => {
-                write!(f, "a job '{n}' exists already: choose another name, or see its status")
+                write!(f, "a job '{n}' is known: choose another name, or see its status")
             }
             Self::JobState(n) => {
                 write!(f, "the job '{n}' is not in the state for this step: see 'thistle job list'")
--- a/crates/plan/src/explain.rs
+++ b/crates/plan/src/explain.rs
@@ -13,10 +13,10 @@
     let pool = &state.pools[vm.pool];
     let mut reasons = Vec::new();
     if vm.stage != Stage::InService {
-        reasons.push(format!("it is already {}", vm.stage.describe()));
+        reasons.push(format!("it is {} already", vm.stage.describe()));
     }
     if vm.status == PlatformStatus::Leaving {
-        reasons.push("the platform is removing it: no action is needed".to_owned());
+        reasons.push("the platform is taking it away: nothing is to be done".to_owned());
     }
     if let Err(e) = state.check_budget(key) {
         reasons.push(e.to_string());
--- a/crates/plan/src/jobs.rs
+++ b/crates/plan/src/jobs.rs
@@ -66,7 +66,7 @@
     }
     if job.failures >= MAX_FAILURES {
         return Some(format!(
-            "it failed {} times on different workers: check the job",
+            "it failed {} times on different workers: look at the job",
             job.failures
         ));
     }
--- a/crates/plan/src/progress.rs
+++ b/crates/plan/src/progress.rs
@@ -28,7 +28,7 @@
         }
         DrainReason::Surplus => {
             let change = Change::Assign { vm: name, base, to: None };
-            (change, "assign", "its pool has more VMs than its target".to_owned())
+            (change, "assign", "its pool has more VMs than it should".to_owned())
         }
         DrainReason::Operator => return None,
     };
--- a/crates/plan/src/refill.rs
+++ b/crates/plan/src/refill.rs
@@ -67,7 +67,7 @@
     spread.add(vm);
     scope.used.insert(key);
     let to = scope.state.pools[pool].name.clone();
-    let why = format!("'{}' has too few VMs", scope.state.pools[pool].label());
+    let why = format!("'{}' is short of VMs", scope.state.pools[pool].label());
     let change = Change::Assign { vm: vm.name.clone(), base: vm.revision, to };
     proposals.push(Proposal { change, vm: vm.name.clone(), step: "assign", why });
     true
@@ -120,6 +120,6 @@
     scope.slack[pool] -= 1;
     let reason = DrainReason::Surplus;
     let change = Change::Drain { vm: vm.name.clone(), base: vm.revision, reason };
-    let why = format!("'{}' has more VMs than its target", state.pools[pool].label());
+    let why = format!("'{}' has more VMs than it should", state.pools[pool].label());
     proposals.push(Proposal { change, vm: vm.name.clone(), step: "drain", why });
 }
