--- a/crates/fold/src/job.rs
+++ b/crates/fold/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs: submitted, started under a lease, ended; quotas by team.
+//! Jobs, which are submitted, started under a lease and ended, and the quotas of teams.
 
 use serde::{Deserialize, Serialize};
 use thistle_model::job::{JobEnd, JobSpec, JobStart};
@@ -8,26 +8,26 @@
 use crate::state::State;
 use crate::vm::TaskRecord;
 
-/// Ended jobs whose status is kept.
+/// The maximum number of ended jobs whose status is kept.
 pub const MAX_ENDED_JOBS: usize = 10_000;
 
-/// Where a job stands.
+/// The state of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// It waits for a worker.
+    /// The job waits for a worker.
     Waiting,
-    /// It was started on a VM.
+    /// The job was started on a VM.
     Running(VmName),
-    /// It is done.
+    /// The job is done.
     Done,
-    /// It failed, or was lost and may not be repeated.
+    /// The job may not be repeated, and it failed, was lost or yielded.
     Failed,
-    /// A caller cancelled it.
+    /// A caller cancelled the job.
     Cancelled,
 }
 
 impl JobState {
-    /// Returns whether the job will not run any more.
+    /// Returns whether the job will not run again.
     pub fn is_ended(&self) -> bool {
         matches!(self, Self::Done | Self::Failed | Self::Cancelled)
     }
@@ -36,19 +36,19 @@
 /// A job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// What its submitter declared.
+    /// The declaration of the submitter.
     pub spec: JobSpec,
-    /// Where it stands.
+    /// The state of the job.
     pub state: JobState,
-    /// Its starts so far.
+    /// The number of starts.
     pub starts: u32,
-    /// Its starts that failed on the worker's word.
+    /// The number of starts that the worker reported as failed.
     pub failures: u32,
-    /// When it was submitted.
+    /// The revision at which the job was submitted.
     pub submitted: Revision,
-    /// Whether a caller cancelled it while it ran: it is stopped and not started again.
+    /// Whether a caller cancelled the job while it ran; it is stopped and not started again.
     pub cancelled: bool,
-    /// The member that told the worker of the present start.
+    /// The member that sends the current start to the worker.
     pub by: Option<MemberId>,
 }
 
@@ -85,7 +85,7 @@
         if !fits || !vm.is_available() || vm.pool != self.pool_key(&spec.pool)? {
             return Err(Reject::NoFreeSlot(start.vm.clone()));
         }
-        self.take_quota(&spec)?;
+        self.charge_quota(&spec)?;
         let job = self.job_mut(&start.job)?;
         job.starts = start.attempt;
         job.by = Some(start.by);
@@ -97,7 +97,7 @@
         Ok(())
     }
 
-    fn take_quota(&mut self, spec: &JobSpec) -> Result<(), Reject> {
+    fn charge_quota(&mut self, spec: &JobSpec) -> Result<(), Reject> {
         let Some(quota) = self.quotas.get_mut(&spec.team) else {
             return Ok(());
         };
@@ -122,15 +122,15 @@
         if job.starts != attempt {
             return Err(Reject::JobState(name.clone()));
         }
-        self.release_job(name, &vm)?;
-        self.note_task(name, &vm, end);
+        self.release_slots(name, &vm)?;
+        self.record_task_end(name, &vm, end);
         let job = self.job_mut(name)?;
         job.failures += u32::from(end == JobEnd::Failed);
-        let again = job.spec.repeatable;
+        let is_repeatable = job.spec.repeatable;
         job.state = match end {
             JobEnd::Done => JobState::Done,
             _ if job.cancelled => JobState::Cancelled,
-            JobEnd::Failed | JobEnd::Lost | JobEnd::Yielded if again => JobState::Waiting,
+            JobEnd::Failed | JobEnd::Lost | JobEnd::Yielded if is_repeatable => JobState::Waiting,
             JobEnd::Failed | JobEnd::Lost | JobEnd::Yielded => JobState::Failed,
         };
         let waiting = job.state == JobState::Waiting;
@@ -138,7 +138,7 @@
         if waiting {
             self.waiting_jobs.insert(entry);
         } else {
-            self.note_ended(name);
+            self.record_ended_job(name);
         }
         Ok(())
     }
@@ -156,30 +156,30 @@
             let entry = (job.spec.urgency, job.submitted, name.clone());
             self.waiting_jobs.remove(&entry);
             self.job_mut(name)?.state = JobState::Cancelled;
-            self.note_ended(name);
+            self.record_ended_job(name);
         }
         Ok(())
     }
 
     /// Marks the jobs on a VM that is gone as lost.
-    pub(crate) fn lose_jobs_on(&mut self, vm: &VmName) {
+    pub(crate) fn record_jobs_lost(&mut self, vm: &VmName) {
         let on_vm = |(v, _): &&(VmName, JobName)| v == vm;
         let names: Vec<_> =
             self.running_jobs.iter().filter(on_vm).map(|(_, j)| j.clone()).collect();
         for name in names {
             let starts = self.jobs[&name].starts;
             let lost = self.job_ended(&name, starts, JobEnd::Lost);
-            assert!(lost.is_ok(), "a running job can always be lost");
+            assert!(lost.is_ok(), "a running job can always be recorded as lost");
         }
     }
 
     /// Returns how many jobs run on a VM.
-    pub fn running_on(&self, vm: &VmName) -> u32 {
+    pub fn running_job_count(&self, vm: &VmName) -> u32 {
         let on_vm = self.running_jobs.iter().filter(|(v, _)| v == vm);
         u32::try_from(on_vm.count()).unwrap_or(u32::MAX)
     }
 
-    fn release_job(&mut self, name: &JobName, vm: &VmName) -> Result<(), Reject> {
+    fn release_slots(&mut self, name: &JobName, vm: &VmName) -> Result<(), Reject> {
         let spec = self.job(name)?.spec.clone();
         self.running_jobs.remove(&(vm.clone(), name.clone()));
         if let Ok(key) = self.vm_key(vm) {
@@ -191,9 +191,9 @@
         Ok(())
     }
 
-    /// Counts the failures of different jobs in a row on a VM, by which a worker that fails every
-    /// task is told from a job that fails everywhere.
-    fn note_task(&mut self, job: &JobName, vm: &VmName, end: JobEnd) {
+    /// Counts consecutive failures of different jobs on a VM, to distinguish a worker that fails
+    /// every task from a job that fails everywhere.
+    fn record_task_end(&mut self, job: &JobName, vm: &VmName, end: JobEnd) {
         let Ok(key) = self.vm_key(vm) else { return };
         let tasks = &mut self.vms[key].tasks;
         match end {
@@ -206,8 +206,8 @@
         }
     }
 
-    /// Keeps the status of the last [`MAX_ENDED_JOBS`] ended jobs and forgets older ones.
-    fn note_ended(&mut self, name: &JobName) {
+    /// Keeps the status of the last [`MAX_ENDED_JOBS`] ended jobs and removes older ones.
+    fn record_ended_job(&mut self, name: &JobName) {
         self.ended_jobs.push_back(name.clone());
         if self.ended_jobs.len() > MAX_ENDED_JOBS
             && let Some(old) = self.ended_jobs.pop_front()
--- a/crates/fold/src/reject.rs
+++ b/crates/fold/src/reject.rs
@@ -1,77 +1,79 @@
-//! Why a record was rejected, in words that name the remedy.
+//! The reasons for which records are rejected, with messages that name the remedy.
 
 use std::fmt;
 
 use thistle_model::parameters::ParameterError;
 use thistle_model::{JobName, MemberId, PoolName, Revision, TemplateName, VmName};
 
-/// Reasons for which the fold rejects a record; every reader rejects it for the same one.
+/// The reason for which the fold rejects a record; every reader rejects the record for the same
+/// reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reject {
-    /// The record's id was read before.
+    /// The record's ID was read before.
     Duplicate,
-    /// The object changed after the writer looked at it.
+    /// The object changed after the writer read it.
     Stale {
-        /// What changed.
+        /// The object that changed.
         what: String,
-        /// The revision that the writer saw.
+        /// The revision on which the change is based.
         base: Revision,
-        /// The present revision.
+        /// The current revision.
         present: Revision,
     },
     /// A parameter is out of range.
     Invalid(ParameterError),
-    /// The template is not known.
+    /// The template does not exist.
     NoSuchTemplate(TemplateName),
-    /// The workspace is not known.
+    /// The workspace does not exist.
     NoSuchPool(PoolName),
-    /// The VM is not known.
+    /// The VM does not exist.
     NoSuchVm(VmName),
-    /// The member is not known.
+    /// The member does not exist.
     NoSuchMember(MemberId),
-    /// The job is not known.
+    /// The job does not exist.
     NoSuchJob(JobName),
-    /// The change would take more of a pool than its availability budget allows.
+    /// The change would make more VMs of a pool unavailable than its availability budget allows.
     BudgetSpent {
         /// The pool.
         pool: PoolName,
-        /// VMs now available.
+        /// The number of available VMs.
         available: u32,
-        /// VMs that must stay available.
+        /// The number of VMs that must stay available.
         floor: u32,
     },
-    /// The VM is not in the stage from which the step is taken.
+    /// The VM's stage does not allow the step.
     WrongStage {
         /// The VM.
         vm: VmName,
-        /// Its present stage, in words.
+        /// The current stage as text.
         stage: String,
     },
     /// Members have not acknowledged the drain.
     MissingAcks(Vec<MemberId>),
     /// Jobs still run on the VM.
     JobsRunning(VmName, u32),
-    /// The statements are not a quorum of the present voters.
+    /// The statements are not from a quorum of the voters.
     NoQuorum,
-    /// The member is in no state for this step.
+    /// The member's state does not allow the step.
     WrongMemberState(MemberId),
-    /// The set of voters is empty, too large, doubled or holds a stranger.
+    /// The set of voters is empty or too large, or has a duplicate or a member that is not joined;
+    /// or no set is proposed.
     BadVoters,
     /// A maintenance wave is under way.
     WaveUnderWay,
     /// No maintenance wave is under way.
     NoWave,
-    /// The job's name is taken.
+    /// A job of the same name exists.
     JobExists(JobName),
-    /// The job cannot be started or ended this way now.
+    /// The job's state does not allow the start or end.
     JobState(JobName),
     /// The worker has too few free slots.
     NoFreeSlot(VmName),
     /// The team's quota is used up.
     QuotaSpent {
-        /// Slots that the team's jobs use.
+        /// The number of slots that the team's jobs use.
         used: u32,
-        /// Slots that they may use.
+        /// The number of slots that the team's jobs may use.
         quota: u32,
     },
 }
--- a/crates/plan/src/spread.rs
+++ b/crates/plan/src/spread.rs
@@ -1,13 +1,13 @@
-//! How a pool's VMs are spread over data halls and racks.
+//! The spread of a pool's VMs over data halls and racks.
 
 use std::collections::BTreeMap;
 
 use thistle_fold::{PoolKey, State, Vm};
 use thistle_model::{HallName, RackName};
 
-use crate::scope::is_counted;
+use crate::scope::counts_towards_target;
 
-/// Counts of one pool's VMs by data hall and rack.
+/// The number of a pool's VMs by data hall and rack.
 #[derive(Default)]
 pub(crate) struct Spread {
     halls: BTreeMap<HallName, u32>,
@@ -15,23 +15,24 @@
 }
 
 impl Spread {
-    /// Counts a pool's VMs.
+    /// Counts the VMs of a pool.
     pub fn of(state: &State, pool: PoolKey) -> Self {
         let mut spread = Self::default();
-        for vm in state.vms.values().filter(|vm| vm.pool == pool && is_counted(vm)) {
+        for vm in state.vms.values().filter(|vm| vm.pool == pool && counts_towards_target(vm)) {
             spread.add(vm);
         }
         spread
     }
 
-    /// Counts one VM more.
+    /// Adds a VM to the counts.
     pub fn add(&mut self, vm: &Vm) {
         *self.halls.entry(vm.facts.hall.clone()).or_default() += 1;
         *self.racks.entry(vm.facts.rack.clone()).or_default() += 1;
     }
 
-    /// Returns how crowded a VM's rack and hall are; the least is the best place for a new VM.
-    pub fn crowding(&self, vm: &Vm) -> (u32, u32) {
+    /// Returns the counts in a VM's hall and rack; the VM with the least counts is the best one to
+    /// add.
+    pub fn hall_and_rack_counts(&self, vm: &Vm) -> (u32, u32) {
         let rack = self.racks.get(&vm.facts.rack).copied().unwrap_or(0);
         let hall = self.halls.get(&vm.facts.hall).copied().unwrap_or(0);
         (hall, rack)
--- a/crates/steward/src/duty/observe.rs
+++ b/crates/steward/src/duty/observe.rs
@@ -1,4 +1,4 @@
-//! Looking at the platform's VM list, and recording what changed.
+//! Polls the platform's VM list and records what changed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,34 +12,36 @@
 use crate::heartbeat;
 use crate::shared::Shared;
 
-/// Looks at the VM list while on duty, until the process ends.
+/// Polls the VM list while on duty, until the process ends.
 ///
-/// One steward reads the list for all; its size at the target would take more than a node's share
-/// of the network if each did.
+/// One steward reads the list for all: at the target size of the fleet, the list would take more
+/// than a node's share of the network if each steward read it.
 pub async fn run<V: VmService>(shared: Arc<Shared>, vms: Arc<V>) {
     loop {
-        if reads_the_list(&shared) {
-            look(&shared, vms.as_ref()).await;
+        if polls_vm_list(&shared) {
+            poll_vm_list(&shared, vms.as_ref()).await;
         }
         tokio::time::sleep(shared.settings.vm_list_every.0).await;
     }
 }
 
-/// Returns whether this steward reads the list; one does also while the log is down, for hints.
-fn reads_the_list(shared: &Shared) -> bool {
-    let span = shared.settings.heartbeat.0 * 3;
+/// Returns whether this steward polls the list. The planner on duty does so also while the log is
+/// down, as the list gives hints.
+fn polls_vm_list(shared: &Shared) -> bool {
+    let contact_timeout = shared.settings.heartbeat.0 * 3;
     let core = shared.core();
-    let on_duty_without_log = core.duty(span, Instant::now()) == Some(core.me);
+    let on_duty_without_log =
+        core.planner_on_duty(contact_timeout, Instant::now()) == Some(core.me);
     drop(core);
     on_duty_without_log || is_on_duty(shared)
 }
 
-async fn look<V: VmService>(shared: &Arc<Shared>, vms: &V) {
+async fn poll_vm_list<V: VmService>(shared: &Arc<Shared>, vms: &V) {
     let listed = match vms.list().await {
         Ok(listed) => listed,
         Err(e) => return log::warn!("vm-list result=failed reason=\"{e}\""),
     };
-    pass_on_leaving(shared, &listed);
+    broadcast_leaving(shared, &listed);
     if !shared.core().log_up {
         return;
     }
@@ -50,27 +52,27 @@
     }
 }
 
-/// Tells everybody at once of VMs that the list shows as leaving.
-fn pass_on_leaving(shared: &Arc<Shared>, listed: &[ListedVm]) {
+/// Sends hints of VMs that the list shows as leaving to the entry and the other voters.
+fn broadcast_leaving(shared: &Arc<Shared>, listed: &[ListedVm]) {
     let mut core = shared.core();
     let leaving = listed.iter().filter(|vm| vm.status == PlatformStatus::Leaving);
     let serving = leaving.filter(|vm| {
         core.state.vm_key(&vm.name).is_ok_and(|key| core.state.vms[key].is_available())
     });
     let serving: Vec<_> = serving.map(|vm| vm.name.clone()).collect();
-    let new = core.hints.learn(serving, Instant::now());
+    let new = core.hints.add(serving, Instant::now());
     drop(core);
     if !new.is_empty() {
         log::info!("hint vms={new:?} state=leaving source=vm-list");
         shared.notify();
-        heartbeat::pass_on(shared, &new);
+        heartbeat::broadcast_hints(shared, &new);
     }
 }
 
-/// Returns the records that bring the state in line with the list.
+/// Returns the changes that make the state match the list.
 fn changes(state: &State, listed: &[ListedVm]) -> Vec<Change> {
     let by_name: BTreeMap<&VmName, &ListedVm> = listed.iter().map(|vm| (&vm.name, vm)).collect();
-    let mut changes: Vec<_> = listed.iter().filter_map(|vm| seen(state, vm)).collect();
+    let mut changes: Vec<_> = listed.iter().filter_map(|vm| vm_change(state, vm)).collect();
     let missing = state.vms.values().filter(|vm| !by_name.contains_key(&vm.name));
     // A VM in maintenance may be missing from the list while it reboots.
     let gone = missing.filter(|vm| vm.stage != Stage::InMaintenance);
@@ -78,7 +80,7 @@
     changes
 }
 
-fn seen(state: &State, listed: &ListedVm) -> Option<Change> {
+fn vm_change(state: &State, listed: &ListedVm) -> Option<Change> {
     let seen = Change::VmSeen {
         vm: listed.name.clone(),
         facts: listed.facts.clone(),
