--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! Between stewards, and from an entry to the voters and homes: heartbeats, claims and slots.
+//! The protocol between stewards, and from entries to voters and to the homes of VMs: heartbeats, claims and slots.
 
 use serde::{Deserialize, Serialize};
 use thistle_model::{MemberId, Offset, Revision, VmName};
@@ -7,9 +7,9 @@
 use thistle_request::router::DrainAck;
 use thistle_request::slot_home::{SlotGrant, SlotWant};
 
-use crate::dial::redialling_client;
+use crate::dial::reconnecting_client;
 
-/// What a steward says of the entry on its VM.
+/// The state of an entry, as reported by the steward on its VM.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryReport {
     /// The offset of the view that the entry uses.
@@ -29,13 +29,13 @@
     pub offset: Offset,
     /// The sender's revision of the voters.
     pub voters: Revision,
-    /// The revision of the voters whose claims the sender has taken over.
+    /// The revision of the voters whose claims the sender has merged into its own.
     pub merged: Revision,
     /// Whether the sender can read the log.
     pub log_up: bool,
-    /// Members to which the sender has no promise outstanding and gives none.
+    /// Members that the sender states to be gone: it has no promise to them outstanding and gives none.
     pub stated: Vec<MemberId>,
-    /// What the sender's entry does.
+    /// The state of the sender's entry.
     pub entry: EntryReport,
     /// VMs that the sender knows to be leaving.
     pub leaving: Vec<VmName>,
@@ -52,7 +52,7 @@
     pub voters: Revision,
     /// Whether the voter promises, for the fence time, not to state that the sender is gone.
     pub promise: bool,
-    /// Whether the voter has stated against the sender, which must join anew.
+    /// Whether the voter has stated that the sender is gone; the sender must rejoin.
     pub stated: bool,
     /// Whether the voter can read the log.
     pub log_up: bool,
@@ -60,36 +60,36 @@
     pub leaving: Vec<VmName>,
 }
 
-/// An attempt's request to a holder of claims.
+/// A claim request of an attempt to a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// The voter that is asked; another one at its address must not answer for it.
+    /// The voter that the request is for. Another voter that now runs at its address must not reply for it.
     pub to: MemberId,
     /// The key.
     pub key: ClaimKey,
-    /// The claim that is asked for.
+    /// The requested claim.
     pub claim: Claim,
-    /// The asking entry's revision of the voters.
+    /// The requesting entry's revision of the voters.
     pub voters: Revision,
 }
 
-/// What a process says of the log when it cannot be read.
+/// Log entries from a peer, for a steward that cannot read the log itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entries {
-    /// The entries from the asked offset on.
+    /// The entries from the requested offset on.
     Some(Vec<Vec<u8>>),
-    /// They are no longer at hand: a whole state is to be fetched.
+    /// They are no longer available; the whole state must be fetched.
     Expired,
 }
 
 /// A part of the encoded state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ImagePart {
-    /// The member that answers.
+    /// The member that replies.
     pub from: MemberId,
     /// The offset of the state.
     pub at: Offset,
-    /// The bytes of the whole.
+    /// The size of the whole state, in bytes.
     pub total: u64,
     /// The bytes of this part.
     pub bytes: Vec<u8>,
@@ -98,32 +98,32 @@
 /// Calls that a steward serves to its peers.
 #[tarpc::service]
 pub trait Peer {
-    /// Says that the sender lives, and asks for a promise.
+    /// Reports that the sender is alive, and requests a promise.
     async fn heartbeat(beat: Heartbeat) -> HeartbeatReply;
-    /// Passes on VMs that are leaving, at once.
+    /// Forwards VMs that are leaving, without waiting for a heartbeat.
     async fn leaving(vms: Vec<VmName>);
     /// Returns entries of the log that this steward has read.
     async fn entries(from: Offset) -> Entries;
-    /// Returns a part of this steward's state, from a byte on.
+    /// Returns a part of this steward's encoded state, from a byte offset on.
     async fn image(from_byte: u64) -> ImagePart;
-    /// Asks for a claim.
+    /// Requests a claim.
     async fn claim(req: ClaimRequest) -> ClaimReply;
-    /// Gives up a claim of an attempt that did not send.
+    /// Releases the claim of an attempt that sent nothing.
     async fn release(key: ClaimKey, attempt: AttemptId);
-    /// Keeps the answer to an attempt.
+    /// Stores the answer to an attempt.
     async fn settle(key: ClaimKey, attempt: AttemptId, answer: KeptAnswer);
     /// Returns the claims of voter `to` after a key, for a voter at this revision; `None` when this
-    /// is another member or lags.
+    /// steward is another member or has not reached the revision.
     async fn claims(
         to: MemberId,
         voters: Revision,
         after: Option<ClaimKey>,
     ) -> Option<Vec<KeyedClaim>>;
-    /// Asks the home of VMs for slots.
+    /// Requests slots from the home of VMs.
     async fn slots(from: MemberId, wants: Vec<SlotWant>) -> Vec<SlotGrant>;
 }
 
-redialling_client!(
+reconnecting_client!(
     /// A client of a steward's calls for peers.
     PeerLine,
     PeerClient
--- a/crates/wire/src/platform/http.rs
+++ b/crates/wire/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! The platform's services over HTTP, as the stand-ins speak it.
+//! Clients of the platform's services over HTTP, in the protocol of the stand-ins.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,11 +15,11 @@
 use super::{ListedVm, LogPage, LogService, VmService};
 use crate::http_client::{HttpClient, HttpError};
 
-/// How long an append may take.
+/// The timeout of an append.
 const APPEND_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a read may take beyond the time that it is asked to wait.
+/// The timeout of a read, including the time that the request asks the service to wait for entries.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a call of the VM list may take.
+/// The timeout of a call to the VM list.
 const LIST_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The log service over HTTP: `POST /log`, `GET /log?from=N&wait_ms=M`.
@@ -42,7 +42,7 @@
 }
 
 impl HttpLog {
-    /// Makes a client of the log service at `addr`.
+    /// Returns a client of the log service at `addr`.
     pub fn new(addr: SocketAddr) -> Self {
         Self {
             appends: HttpClient::new(addr, APPEND_TIMEOUT),
@@ -72,7 +72,7 @@
 
 /// The VM list over HTTP: `GET /vms`, `POST /vms/NAME/reboot?token=N`.
 ///
-/// The list is asked for with the tag of the last one, so that it travels only when it changed.
+/// The request carries the entity tag of the last list, so that the list is only transferred when it changed.
 #[derive(Debug)]
 pub struct HttpVms {
     http: HttpClient,
@@ -86,7 +86,7 @@
 }
 
 impl HttpVms {
-    /// Makes a client of the VM list at `addr`.
+    /// Returns a client of the VM list at `addr`.
     pub fn new(addr: SocketAddr) -> Self {
         Self { http: HttpClient::new(addr, LIST_TIMEOUT), last: Mutex::new(None) }
     }
--- a/crates/wire/src/platform/mod.rs
+++ b/crates/wire/src/platform/mod.rs
@@ -1,7 +1,7 @@
-//! The platform's services, each behind one trait.
+//! The platform's services, each behind a trait.
 //!
-//! The platform's real protocols are learned later; the HTTP adapters here speak what the
-//! stand-ins speak, and only this module changes when another is needed.
+//! The HTTP adapters speak the protocol of the stand-ins, because the platform's real protocols are
+//! not known yet. Only this module changes when another protocol is needed.
 
 mod http;
 pub mod tasks;
@@ -22,15 +22,15 @@
     pub base: Offset,
     /// The offset after the last entry.
     pub end: Offset,
-    /// The entries from the asked offset on, or from the base when that is later.
+    /// The entries from the requested offset on, or from the base when that is later.
     pub entries: Vec<Vec<u8>>,
 }
 
 /// The platform's append-only log.
 pub trait LogService: Send + Sync + 'static {
-    /// Appends an entry; an error says nothing of whether it took effect.
+    /// Appends an entry; after an error the append may or may not have taken effect.
     fn append(&self, entry: Vec<u8>) -> impl Future<Output = Result<Offset, HttpError>> + Send;
-    /// Reads entries from an offset on; waits a little when there are none.
+    /// Reads entries from an offset on; waits up to `wait_ms` milliseconds when there are none.
     fn read(
         &self,
         from: Offset,
@@ -43,21 +43,21 @@
 pub struct ListedVm {
     /// Its name.
     pub name: VmName,
-    /// What the platform says of it.
+    /// Its properties in the platform's list.
     #[serde(flatten)]
     pub facts: VmFacts,
     /// Live or leaving.
     pub status: PlatformStatus,
-    /// The token of the last reboot that is done.
+    /// The token of the last completed reboot.
     #[serde(default)]
     pub rebooted: Revision,
 }
 
-/// The platform's list of VMs, and its reboots.
+/// The platform's list of VMs, and the reboots of VMs.
 pub trait VmService: Send + Sync + 'static {
-    /// Returns all VMs that are live or leaving, some time ago.
+    /// Returns all live and leaving VMs; the list may lag behind.
     fn list(&self) -> impl Future<Output = Result<Vec<ListedVm>, HttpError>> + Send;
-    /// Reboots a VM; with the same token it is done once, however often it is asked for.
+    /// Reboots a VM; repeated requests with the same token reboot it once.
     fn reboot(
         &self,
         vm: &VmName,
--- a/crates/wire/src/platform/tasks.rs
+++ b/crates/wire/src/platform/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks on workers, over HTTP as the stand-ins speak it.
+//! A client for tasks on workers over HTTP, in the protocol of the stand-ins.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 
 use crate::http_client::{HttpClient, HttpError};
 
-/// How long a call to a worker may take.
+/// The timeout of a call to a worker.
 const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One start of a job, as a worker knows it.
+/// The identity of one start of a job on a worker.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskId {
     /// The job.
@@ -22,7 +22,7 @@
     pub attempt: u32,
 }
 
-/// How a task stands at its worker.
+/// The state of a task on its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskState {
@@ -34,7 +34,7 @@
     Failed,
     /// It was checkpointed or stopped, and holds no slot.
     Yielded,
-    /// The worker does not know it, or its lease lapsed.
+    /// The worker does not know it, or its lease expired.
     Unknown,
 }
 
@@ -44,17 +44,17 @@
     http: HttpClient,
 }
 
-/// What a worker is asked.
+/// The body of a call to a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskCall {
     /// The tasks.
     pub tasks: Vec<TaskId>,
-    /// For how long they may go on without being renewed, in milliseconds.
+    /// How long they may run without a renewal, in milliseconds.
     pub lease_ms: u64,
 }
 
 impl WorkerTasks {
-    /// Makes a client of the worker at `addr`.
+    /// Returns a client of the worker at `addr`.
     pub fn new(addr: SocketAddr) -> Self {
         Self { http: HttpClient::new(addr, TIMEOUT) }
     }
@@ -69,7 +69,7 @@
         self.call("/-/tasks/renew", call).await
     }
 
-    /// Has tasks yield: by a checkpoint where they can, else by a stop.
+    /// Makes tasks yield, by a checkpoint if they support it, else by a stop.
     pub async fn make_yield(&self, call: &TaskCall) -> Result<Vec<TaskState>, HttpError> {
         self.call("/-/tasks/yield", call).await
     }
--- a/crates/wire/tests/http_client.rs
+++ b/crates/wire/tests/http_client.rs
@@ -1,8 +1,7 @@
-//! The client of the platform's services against answers that come slowly.
+//! The HTTP client of the platform's services with slow responses.
 //!
-//! Symptom: a snapshot of the state is never read. Sequence: it comes over a slow link for longer than a call may take, and each
-//! try begins anew. Cause: the time of a call was fixed for the whole answer, however long it was. What settled it: an answer of
-//! ten parts 60 ms apart ended in `Timeout` with 300 ms allowed.
+//! Guards against a timeout for the whole response: a snapshot that takes longer over a slow link is then never read, because
+//! each retry starts from the beginning. A response of ten parts 60 ms apart must not time out when 300 ms are allowed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,13 +13,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// How long a call may take until something of its answer comes.
+/// The timeout for the next part of a response.
 const ALLOWED: Duration = Duration::from_millis(300);
-/// Parts of an answer, and the pause before each.
+/// The number of parts of a response, and the pause before each.
 const PARTS: usize = 10;
 const PAUSE: Duration = Duration::from_millis(60);
 
-/// Answers every request with so many of the parts that it promises, and then says nothing.
+/// Answers every request with the first `sent` of the promised parts, and then sends nothing more.
 async fn serve(listener: TcpListener, sent: usize) {
     while let Ok((mut stream, _)) = listener.accept().await {
         tokio::spawn(async move {
