--- a/crates/bench/src/cmd/fleet.rs
+++ b/crates/bench/src/cmd/fleet.rs
@@ -14,9 +14,9 @@
     let layouts = [
         ("budnet", Layout::budnet(), PlanConfig::default().with_weights(3, 1, 1)),
         ("trasteo-listo", Layout::trasteo_listo(), PlanConfig::default().with_weights(1, 3, 1)),
-        ("400", Layout::even(400, 22, 12), PlanConfig::default()),
-        ("1600", Layout::even(1_600, 22, 12), PlanConfig::default()),
-        ("3200", Layout::even(3_200, 22, 12), PlanConfig::default()),
+        ("400", Layout::uniform(400, 22, 12), PlanConfig::default()),
+        ("1600", Layout::uniform(1_600, 22, 12), PlanConfig::default()),
+        ("3200", Layout::uniform(3_200, 22, 12), PlanConfig::default()),
     ];
     println!(
         "{:<14} {:<12} {:>9} {:>6} {:>7} {:>9} {:>9} {:>9} {:>8} {:>10} {:>11} {:>9}",
@@ -34,7 +34,7 @@
         "buffer h"
     );
     for (name, layout, cfg) in &layouts {
-        let failures = record_failures(layout);
+        let failures = draw_failures(layout);
         let ours = run_one(layout, *cfg, &failures);
         print_row(name, "ours", &ours);
         // One VM at a time takes minutes to compute at the larger sizes. Its duration is the sum of the
@@ -59,7 +59,7 @@
 }
 
 /// Draws the failures of the first hours: VMs at a rate of 46 a day in 3,200, and one rack.
-fn record_failures(layout: &Layout) -> Vec<(u64, Failure)> {
+fn draw_failures(layout: &Layout) -> Vec<(u64, Failure)> {
     let mut rng = SmallRng::seed_from_u64(5);
     let count = (layout.vms * 46 / 3_200 / 4).max(2);
     let vm = |rng: &mut SmallRng| {
@@ -67,7 +67,7 @@
         (at, Failure::Vm(vm, HOUR / 2))
     };
     let mut failures: Vec<_> = (0..count).map(|_| vm(&mut rng)).collect();
-    failures.push((600, Failure::Rack(layout.racks() / 2, HOUR)));
+    failures.push((600, Failure::Rack(layout.rack_count() / 2, HOUR)));
     failures
 }
 
--- a/crates/bench/src/cmd/latency.rs
+++ b/crates/bench/src/cmd/latency.rs
@@ -35,7 +35,7 @@
     runtime.block_on(async {
         for _ in 0..ROUNDS {
             for target in &mut targets {
-                round(target, per_round, connections).await;
+                run_round(target, per_round, connections).await;
             }
         }
     });
@@ -59,7 +59,7 @@
     Ok(Target { label, addr, path, micros: Vec::new(), failed: 0, busy: Duration::ZERO })
 }
 
-async fn round(target: &mut Target, requests: u32, connections: u32) {
+async fn run_round(target: &mut Target, requests: u32, connections: u32) {
     let began = Instant::now();
     let tasks: Vec<_> = (0..connections)
         .map(|_| tokio::spawn(one_connection(target.addr, target.path.clone(), requests)))
--- a/crates/bench/src/cmd/policies.rs
+++ b/crates/bench/src/cmd/policies.rs
@@ -12,7 +12,7 @@
 
 /// Returns the policies to compare, with their labels.
 fn policies() -> Vec<(&'static str, Policy)> {
-    let ours = Policy::OURS;
+    let ours = Policy::DAEMON;
     vec![
         ("baseline: random, late, always", Policy::BASELINE),
         (
--- a/crates/bench/src/cmd/publish.rs
+++ b/crates/bench/src/cmd/publish.rs
@@ -21,13 +21,13 @@
     let mut accepted = Vec::new();
     let mut in_force = Vec::new();
     runtime.block_on(async {
-        let line = OperatorLine::new(steward);
-        let client = line.client().await.map_err(|e| Error::Call(e.to_string()))?;
+        let connection = OperatorLine::new(steward);
+        let client = connection.client().await.map_err(|e| Error::Call(e.to_string()))?;
         for n in 0..times {
             let began = Instant::now();
-            let offset = change(&client, &name, n).await?;
+            let offset = submit_change(&client, &name, n).await?;
             accepted.push(began.elapsed());
-            wait(&client, offset).await?;
+            wait_in_force(&client, offset).await?;
             in_force.push(began.elapsed());
         }
         Ok::<(), Error>(())
@@ -38,7 +38,7 @@
     Ok(())
 }
 
-async fn change(client: &OperatorClient, name: &PoolName, n: u32) -> Result<Offset, Error> {
+async fn submit_change(client: &OperatorClient, name: &PoolName, n: u32) -> Result<Offset, Error> {
     let failed = |e: tarpc::client::RpcError| Error::Call(e.to_string());
     let list = client.workspaces(context(TIMEOUT)).await.map_err(failed)?;
     let info = list.into_iter().find(|w| w.name == *name);
@@ -54,7 +54,7 @@
     }
 }
 
-async fn wait(client: &OperatorClient, offset: Offset) -> Result<(), Error> {
+async fn wait_in_force(client: &OperatorClient, offset: Offset) -> Result<(), Error> {
     let began = Instant::now();
     while began.elapsed() < TIMEOUT {
         let status = client.status(context(TIMEOUT)).await;
--- a/crates/bench/src/cmd/record.rs
+++ b/crates/bench/src/cmd/record.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use thistle_replay::record::{Load, draw};
+use thistle_replay::record::{Load, generate};
 
 use super::Error;
 
@@ -46,7 +46,7 @@
 /// Generates all traces.
 pub fn run(dir: &Path) -> Result<(), Error> {
     for (name, load) in &TRACES {
-        let lines = draw(load);
+        let lines = generate(load);
         std::fs::write(dir.join(format!("{name}.csv")), &lines)?;
         println!("{name}: {} arrivals", lines.lines().count());
     }
--- a/crates/bench/src/slopes/control.rs
+++ b/crates/bench/src/slopes/control.rs
@@ -33,7 +33,7 @@
 }
 
 /// Measures the memory of claims. Runs first, while there is no freed memory that could be reused.
-pub fn memory() -> Slope {
+pub fn claim_memory_slope() -> Slope {
     let sizes = [50_000usize, 100_000, 200_000, 400_000];
     let points = sizes.iter().map(|&n| (n as f64, claim_memory(n))).collect();
     Slope::new("memory of claims", "claim held", "bytes", points)
@@ -49,13 +49,13 @@
             "heartbeat",
             "open drain",
             "bytes",
-            at([0, 10, 50, 200], &|n| wire_bytes(&beat(n))),
+            at([0, 10, 50, 200], &|n| wire_bytes(&heartbeat(n))),
         ),
         Slope::new(
             "heartbeat reply",
             "leaving VM",
             "bytes",
-            at([0, 10, 50, 200], &|n| wire_bytes(&reply(n))),
+            at([0, 10, 50, 200], &|n| wire_bytes(&heartbeat_reply(n))),
         ),
         Slope::new("record of a workspace", "record", "bytes", at([1, 10, 50, 100], &record_bytes)),
         Slope::new(
@@ -75,7 +75,7 @@
             "slot wants of one call",
             "VM",
             "bytes",
-            at([1, 10, 50, 145], &|n| wire_bytes(&wants(n))),
+            at([1, 10, 50, 145], &|n| wire_bytes(&slot_wants(n))),
         ),
         Slope::new(
             "VM list from the platform",
@@ -86,12 +86,12 @@
     ]
 }
 
-fn vm(i: usize) -> VmName {
+fn vm_name(i: usize) -> VmName {
     VmName::new(&format!("vm-{i:04}")).expect("a valid name")
 }
 
-fn beat(drains: usize) -> Heartbeat {
-    let acks = (0..drains).map(|i| DrainAck { vm: vm(i), revision: Revision(i as u64) });
+fn heartbeat(drains: usize) -> Heartbeat {
+    let acks = (0..drains).map(|i| DrainAck { vm: vm_name(i), revision: Revision(i as u64) });
     Heartbeat {
         from: MemberId(1),
         offset: Offset(1),
@@ -104,7 +104,7 @@
     }
 }
 
-fn reply(leaving: usize) -> HeartbeatReply {
+fn heartbeat_reply(leaving: usize) -> HeartbeatReply {
     HeartbeatReply {
         from: MemberId(1),
         offset: Offset(1),
@@ -112,7 +112,7 @@
         promise: true,
         stated: false,
         log_up: true,
-        leaving: (0..leaving).map(vm).collect(),
+        leaving: (0..leaving).map(vm_name).collect(),
     }
 }
 
@@ -145,7 +145,7 @@
     }
 }
 
-fn table(claims: usize) -> ClaimTable {
+fn claim_table(claims: usize) -> ClaimTable {
     let mut table = ClaimTable::new(std::time::Duration::from_secs(3_600), 1 << 22, 1 << 20);
     for i in 0..claims {
         claim(&mut table, i);
@@ -161,7 +161,7 @@
 }
 
 fn claim_time(held: usize) -> f64 {
-    let mut table = table(held);
+    let mut table = claim_table(held);
     let mut i = held;
     micros(5, 2_000, || {
         claim(&mut table, i);
@@ -173,18 +173,18 @@
 /// cannot reuse its memory.
 fn claim_memory(held: usize) -> f64 {
     let before = super::state::resident();
-    std::mem::forget(black_box(table(held)));
+    std::mem::forget(black_box(claim_table(held)));
     super::state::resident().saturating_sub(before) as f64
 }
 
-fn wants(vms: usize) -> Vec<SlotWant> {
-    (0..vms).map(|i| SlotWant { vm: vm(i), held: 2, want: 3 }).collect()
+fn slot_wants(vms: usize) -> Vec<SlotWant> {
+    (0..vms).map(|i| SlotWant { vm: vm_name(i), held: 2, want: 3 }).collect()
 }
 
 fn slot_time(entries: usize) -> f64 {
     let mut home = SlotHome::new();
-    home.adopt(&vm(0), Instant::default());
-    let want = SlotWant { vm: vm(0), held: 0, want: 2 };
+    home.adopt(&vm_name(0), Instant::default());
+    let want = SlotWant { vm: vm_name(0), held: 0, want: 2 };
     let now = Instant::from_micros(1);
     let mut e = 0u64;
     micros(5, 2_000, || {
@@ -197,7 +197,7 @@
     use thistle_model::{HallName, PlatformStatus, RackName, VmFacts};
     use thistle_wire::platform::ListedVm;
     let listed = |i: usize| ListedVm {
-        name: vm(i),
+        name: vm_name(i),
         facts: VmFacts {
             addr: ([10, 12, 34, 56], 8_000).into(),
             hall: HallName::new("hall-a").expect("a valid name"),
--- a/crates/bench/src/slopes/mod.rs
+++ b/crates/bench/src/slopes/mod.rs
@@ -48,7 +48,7 @@
 
 /// Measures all slopes.
 pub fn measure() -> Vec<Slope> {
-    let mut slopes = vec![control::memory(), state::memory_slope()];
+    let mut slopes = vec![control::claim_memory_slope(), state::memory_slope()];
     slopes.extend(state::measure());
     slopes.extend(control::measure());
     slopes.extend(requests::measure());
--- a/crates/bench/src/slopes/pool.rs
+++ b/crates/bench/src/slopes/pool.rs
@@ -26,23 +26,23 @@
         slope("reading the records of a pool", "open job", &JOBS, |jobs| {
             let records = records(jobs, 145);
             micros(ROUNDS, 1, || {
-                black_box(read(&records));
+                black_box(load_log(&records));
             })
         }),
         slope("taking over a pool", "open job", &JOBS, |jobs| {
-            let log = read(&records(jobs, 145));
+            let log = load_log(&records(jobs, 145));
             micros(ROUNDS, 1, || {
-                black_box(taken_over(&log, 145));
+                black_box(taken_over_pool(&log, 145));
             })
         }),
         slope("one step of a pool, waiting jobs", "open job", &JOBS, |jobs| {
-            let mut pool = taken_over(&read(&records(jobs, 145)), 145);
+            let mut pool = taken_over_pool(&load_log(&records(jobs, 145)), 145);
             micros(ROUNDS, 1, || {
                 black_box(pool.plan(NOW));
             })
         }),
         slope("one step of a pool, VMs", "VM", &VMS, |vms| {
-            let mut pool = taken_over(&read(&records(200, vms)), vms);
+            let mut pool = taken_over_pool(&load_log(&records(200, vms)), vms);
             micros(ROUNDS, 1, || {
                 black_box(pool.plan(NOW));
             })
@@ -97,7 +97,7 @@
     records
 }
 
-fn read(records: &[(String, Vec<u8>)]) -> JobLog {
+fn load_log(records: &[(String, Vec<u8>)]) -> JobLog {
     let mut log = JobLog::default();
     for (key, value) in records {
         assert!(log.apply(key, Some(value)).is_ok(), "a record of this version can be read");
@@ -107,7 +107,7 @@
 
 /// Returns a pool after a change of owner. Its VMs have reported and are too small for its tasks, so that a
 /// step examines every job and every VM.
-fn taken_over(log: &JobLog, vms: u32) -> Pool {
+fn taken_over_pool(log: &JobLog, vms: u32) -> Pool {
     let mut pool = Pool::new();
     pool.taken_over(NOW);
     for (id, entry) in log.iter() {
--- a/crates/bench/src/slopes/requests.rs
+++ b/crates/bench/src/slopes/requests.rs
@@ -34,7 +34,7 @@
 }
 
 fn router(vms: usize) -> Router {
-    let fleet = Fleet::new(Layout::even(vms, POOLS, 12), PlanConfig::default(), 1);
+    let fleet = Fleet::new(Layout::uniform(vms, POOLS, 12), PlanConfig::default(), 1);
     let cfg = RouterConfig { choice: ChoicePolicy::TwoChoices, ..RouterConfig::default() };
     let mut router = Router::new(cfg);
     router.apply_view(&view::changed_since(&fleet.state, Revision::NONE));
--- a/crates/bench/src/slopes/state.rs
+++ b/crates/bench/src/slopes/state.rs
@@ -68,7 +68,7 @@
 }
 
 fn fleet(vms: usize) -> Fleet {
-    let layout = if vms == 50 { Layout::budnet() } else { Layout::even(vms, POOLS, HALLS) };
+    let layout = if vms == 50 { Layout::budnet() } else { Layout::uniform(vms, POOLS, HALLS) };
     Fleet::new(layout, PlanConfig::default(), 1)
 }
 
@@ -140,7 +140,7 @@
 
 /// Returns the bytes of the view update after a change of one VM, which holds the pool of the VM.
 fn view_after_change(f: &Fleet) -> f64 {
-    let mut changed = Fleet::new(Layout::even(4, 1, 1), PlanConfig::default(), 1);
+    let mut changed = Fleet::new(Layout::uniform(4, 1, 1), PlanConfig::default(), 1);
     changed.state = f.state.clone();
     let since = Revision(f.state.accepted);
     let key = f.state.vms.iter().find(|(_, vm)| vm.pool != f.state.reserve).map(|(k, _)| k);
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -17,7 +17,7 @@
 
 /// A client of the configured stewards.
 pub struct Client {
-    lines: Vec<OperatorLine>,
+    connections: Vec<OperatorLine>,
 }
 
 impl Client {
@@ -30,12 +30,12 @@
             addr.map_err(|_| Error::Argument(format!("'{s}' is not an address: use IP:PORT")))
         };
         let addrs: Result<Vec<_>, _> = text.split(',').map(parse).collect();
-        Ok(Self { lines: addrs?.into_iter().map(OperatorLine::new).collect() })
+        Ok(Self { connections: addrs?.into_iter().map(OperatorLine::new).collect() })
     }
 
     /// Returns the connections to all stewards.
-    pub fn lines(&self) -> &[OperatorLine] {
-        &self.lines
+    pub fn connections(&self) -> &[OperatorLine] {
+        &self.connections
     }
 
     /// Calls one steward after another until one responds.
@@ -45,8 +45,8 @@
         Fut: Future<Output = Result<T, tarpc::client::RpcError>>,
     {
         let mut last_error: Option<CallError> = None;
-        for line in &self.lines {
-            match call_one(line, &call).await {
+        for connection in &self.connections {
+            match call_one(connection, &call).await {
                 Ok(value) => return Ok(value),
                 Err(e) => last_error = Some(e),
             }
@@ -57,8 +57,10 @@
     /// Returns the status, preferably from a voter, because voters receive the heartbeats of all members.
     pub async fn status(&self) -> Result<StatusInfo, Error> {
         let mut any: Result<StatusInfo, Error> = Err(Error::NoStewards);
-        for line in &self.lines {
-            match call_one(line, &|c: OperatorClient, cx| async move { c.status(cx).await }).await {
+        for connection in &self.connections {
+            match call_one(connection, &|c: OperatorClient, cx| async move { c.status(cx).await })
+                .await
+            {
                 Ok(status) if status.members.iter().any(|m| m.id == status.member && m.voter) => {
                     return Ok(status);
                 }
@@ -123,12 +125,12 @@
 }
 
 /// Calls one steward.
-pub async fn call_one<T, F, Fut>(line: &OperatorLine, call: &F) -> Result<T, CallError>
+pub async fn call_one<T, F, Fut>(connection: &OperatorLine, call: &F) -> Result<T, CallError>
 where
     F: Fn(OperatorClient, Context) -> Fut,
     Fut: Future<Output = Result<T, tarpc::client::RpcError>>,
 {
-    let client = line.client().await?;
+    let client = connection.client().await?;
     let result = call(client, context(TIMEOUT)).await;
-    line.check(result).await
+    connection.check(result).await
 }
--- a/crates/cli/src/cmd/wave.rs
+++ b/crates/cli/src/cmd/wave.rs
@@ -26,13 +26,13 @@
             let base = client.status().await?.wave.revision;
             submit::submit(client, out, Change::WaveStart { base }).await
         }
-        WaveCmd::WavePause(_) => pause(client, out, true).await,
-        WaveCmd::WaveResume(_) => pause(client, out, false).await,
+        WaveCmd::WavePause(_) => set_paused(client, out, true).await,
+        WaveCmd::WaveResume(_) => set_paused(client, out, false).await,
         WaveCmd::WaveProgress(f) => progress(client, out, f.wait).await,
     }
 }
 
-async fn pause(client: &Client, out: &Output, on: bool) -> Result<(), Error> {
+async fn set_paused(client: &Client, out: &Output, on: bool) -> Result<(), Error> {
     let base = client.status().await?.wave.revision;
     submit::submit(client, out, Change::WavePause { base, on }).await
 }
--- a/crates/cli/src/submit.rs
+++ b/crates/cli/src/submit.rs
@@ -43,12 +43,12 @@
     let mut reached = false;
     let mut last_error = None;
     // The same record may be sent to every steward, because the fold applies a record id once.
-    for line in client.lines() {
+    for connection in client.connections() {
         let submit = |c: OperatorClient, cx| {
             let record = record.clone();
             async move { c.submit(cx, record).await }
         };
-        match call_one(line, &submit).await {
+        match call_one(connection, &submit).await {
             Ok(Submitted::Accepted { offset, .. }) => return Ok(offset),
             Ok(Submitted::Rejected { reason, stale: true, .. }) => {
                 return Err(Error::Stale(reason));
@@ -81,7 +81,7 @@
         }
         if began.elapsed() > WATCH_TIMEOUT {
             let e = format!(
-                "in force on {done} of {all} only: see 'thistle status' for unresponsive members, then 'thistle watch {offset}'"
+                "in force on {done} of {all} only: see 'thistle status' for members shown as silent, then 'thistle watch {offset}'"
             );
             return Err(Error::Rejected(e));
         }
--- a/crates/e2e/tests/cluster/mod.rs
+++ b/crates/e2e/tests/cluster/mod.rs
@@ -12,12 +12,12 @@
 
 use serde_json::Value;
 
-use self::settings::Net;
+use self::settings::Addresses;
 
 /// The maximum time that a test waits for a condition; a guard against hangs.
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-static NEXT: AtomicU8 = AtomicU8::new(1);
+static NEXT_CLUSTER: AtomicU8 = AtomicU8::new(1);
 
 /// Returns the path of a program that is built next to the tests.
 pub fn program(name: &str) -> PathBuf {
@@ -75,14 +75,14 @@
 pub fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     let began = Instant::now();
     while !done() {
-        assert!(began.elapsed() < PATIENCE, "waited too long until {what}");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "waited too long until {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 /// The processes of one cluster.
 pub struct Cluster {
-    pub net: Net,
+    pub net: Addresses,
     pub dir: PathBuf,
     pub log: Process,
     pub vm_list: Process,
@@ -99,9 +99,9 @@
 
     /// Like [`Self::start`], with additional settings of the stand-ins and of the stewards.
     pub fn start_with(entries: usize, workers: usize, standin: &str, steward: &str) -> Self {
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_CLUSTER.fetch_add(1, Ordering::Relaxed);
         let pid = std::process::id();
-        let net = Net::new(pid, number, entries, workers);
+        let net = Addresses::new(pid, number, entries, workers);
         let dir = std::env::temp_dir().join(format!("thistle-e2e-{pid}-{number}"));
         std::fs::create_dir_all(&dir).unwrap();
         net.write(&dir, standin, steward);
@@ -318,11 +318,11 @@
 }
 
 /// Returns an idempotency key that no other test uses.
-pub fn key(test: &str) -> String {
+pub fn unique_key(test: &str) -> String {
     format!("{test}-{}", std::process::id())
 }
 
 /// Returns whether a response reports that the request may have run.
 pub fn is_unknown(answer: &http::Answer) -> bool {
-    answer.status >= 400 && answer.has("\"outcome\":\"unknown\"")
+    answer.status >= 400 && answer.contains("\"outcome\":\"unknown\"")
 }
--- a/crates/e2e/tests/cluster/settings.rs
+++ b/crates/e2e/tests/cluster/settings.rs
@@ -20,13 +20,13 @@
 }
 
 /// The loopback addresses of one cluster, 127.A.B.*, where A and B are its own.
-pub struct Net {
+pub struct Addresses {
     prefix: String,
     pub entries: usize,
     pub workers: usize,
 }
 
-impl Net {
+impl Addresses {
     pub fn new(pid: u32, number: u8, entries: usize, workers: usize) -> Self {
         let a = 16 + pid % 200;
         Self { prefix: format!("127.{a}.{number}"), entries, workers }
--- a/crates/e2e/tests/faults.rs
+++ b/crates/e2e/tests/faults.rs
@@ -4,15 +4,15 @@
 
 use std::time::{Duration, Instant};
 
-use cluster::{Cluster, Process, http, is_unknown, key, wait_until};
+use cluster::{Cluster, Process, http, is_unknown, unique_key, wait_until};
 use googletest::prelude::*;
 
 fn is_not_run(answer: &http::Answer) -> bool {
-    answer.status >= 400 && answer.has("\"outcome\":\"not-run\"")
+    answer.status >= 400 && answer.contains("\"outcome\":\"not-run\"")
 }
 
 #[gtest]
-fn frozen_entry_vm_is_fenced_out_and_wakes_up_harmless() {
+fn frozen_entry_vm_is_fenced_and_sends_nothing_after_it_resumes() {
     let cluster = Cluster::start(3, 8);
     cluster.publish(6, 2);
     cluster.entries[2].signal("-STOP");
@@ -50,11 +50,11 @@
 }
 
 #[gtest]
-fn booking_asked_through_all_entries_at_once_runs_once() {
+fn booking_sent_through_all_entries_at_once_runs_once() {
     let cluster = Cluster::start(3, 6);
     cluster.publish(4, 1);
     for round in 0..10 {
-        let key = key(&format!("at-once-{round}"));
+        let key = unique_key(&format!("at-once-{round}"));
         std::thread::scope(|s| {
             for entry in 0..3 {
                 let (cluster, key) = (&cluster, &key);
@@ -72,7 +72,7 @@
 fn booking_of_a_killed_entry_is_not_run_again() {
     let mut cluster = Cluster::start(3, 6);
     cluster.publish(4, 1);
-    let key = key("killed");
+    let key = unique_key("killed");
     std::thread::scope(|s| {
         let (cluster_ref, key_ref) = (&cluster, &key);
         let first = s.spawn(move || cluster_ref.book(0, key_ref, "ms=800"));
@@ -90,11 +90,11 @@
 }
 
 #[gtest]
-fn booking_of_a_frozen_entry_runs_once_when_it_wakes() {
+fn booking_of_a_frozen_entry_runs_once_when_it_resumes() {
     let cluster = Cluster::start(3, 6);
     cluster.publish(4, 1);
     for round in 0..5u64 {
-        let key = key(&format!("frozen-{round}"));
+        let key = unique_key(&format!("frozen-{round}"));
         std::thread::scope(|s| {
             let (cluster, key) = (&cluster, &key);
             let first = s.spawn(move || cluster.book(0, key, "ms=0"));
@@ -114,7 +114,7 @@
 }
 
 #[gtest]
-fn answers_of_bad_backend_servers_are_never_passed_off_as_whole() {
+fn faulty_backend_responses_are_never_returned_as_successful() {
     let cluster = Cluster::start(1, 1);
     cluster.publish(1, 0);
     let worker = cluster.net.worker(0);
@@ -134,8 +134,8 @@
         let headers = [("Thistle-Deadline-Ms", "1000")];
         let answer = http::post(&cluster.net.entry(0), path, &headers, "crew").unwrap();
         expect_that!(answer.status, ge(400), "{mode}");
-        let said = format!("\"outcome\":\"{outcome}\"");
-        expect_that!(answer.body, contains_substring(said.as_str()), "{mode}");
+        let expected = format!("\"outcome\":\"{outcome}\"");
+        expect_that!(answer.body, contains_substring(expected.as_str()), "{mode}");
         expect_that!(answer.head.to_lowercase(), contains_substring("retry-after"), "{mode}");
     }
 }
@@ -168,7 +168,7 @@
 }
 
 #[gtest]
-fn doubled_and_late_answers_never_reach_another_request() {
+fn duplicate_and_late_responses_never_reach_another_request() {
     let mut cluster = Cluster::start(1, 1);
     cluster.publish(1, 0);
     cluster.workers[0].kill();
@@ -187,21 +187,21 @@
 }
 
 #[gtest]
-fn dead_worker_is_refused_as_not_run_or_passed_over() {
+fn bookings_succeed_while_a_worker_is_dead() {
     let mut cluster = Cluster::start(1, 4);
     cluster.publish(3, 1);
     let vm = cluster.vm_of("lunch");
     let i: usize = vm.trim_start_matches("vm-").parse().unwrap();
     cluster.workers[i].kill();
     for n in 0..60 {
-        let answer = cluster.book(0, &key(&format!("dead-{n}")), "").expect("an answer");
+        let answer = cluster.book(0, &unique_key(&format!("dead-{n}")), "").expect("an answer");
         expect_that!(answer.status, eq(200), "{answer:?}");
     }
 }
 
 /// Sends a request through each entry and expects a successful response.
 #[track_caller]
-fn all_serve(cluster: &Cluster) {
+fn expect_all_entries_serve(cluster: &Cluster) {
     for i in 0..cluster.entries.len() {
         let answer = cluster.get(i, "").expect("an answer");
         expect_that!(answer.status, eq(200), "{answer:?}");
@@ -216,17 +216,17 @@
     // Longer than the fence, so that the proof of membership comes from promises alone afterwards.
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(4) {
-        all_serve(&cluster);
+        expect_all_entries_serve(&cluster);
     }
     let vm = cluster.vm_of("lunch");
     cluster.fault(&cluster.net.vm_list(), &format!("/vms/{vm}/status?status=leaving"));
     wait_until("the leaving VM gets no more work", || {
         let before = runs_at(&cluster, &vm);
-        (0..20).for_each(|_| all_serve(&cluster));
+        (0..20).for_each(|_| expect_all_entries_serve(&cluster));
         runs_at(&cluster, &vm) == before
     });
     let settled = runs_at(&cluster, &vm);
-    (0..40).for_each(|_| all_serve(&cluster));
+    (0..40).for_each(|_| expect_all_entries_serve(&cluster));
     expect_that!(runs_at(&cluster, &vm), eq(settled));
     let (code, _) = cluster.thistle(&["wave", "start"]);
     expect_that!(code, eq(4));
@@ -238,7 +238,7 @@
 }
 
 #[gtest]
-fn append_whose_answer_is_lost_takes_effect_once() {
+fn append_whose_response_is_lost_takes_effect_once() {
     let cluster = Cluster::start(3, 4);
     cluster.publish(3, 1);
     cluster.fault(&cluster.net.log(), "/fault?mode=lose-answers");
@@ -253,7 +253,7 @@
 fn entry_vms_replaced_one_by_one_keep_claims_and_configuration() {
     let mut cluster = Cluster::start(3, 6);
     cluster.publish(4, 1);
-    let keys: Vec<_> = (0..6).map(|n| key(&format!("rolling-{n}"))).collect();
+    let keys: Vec<_> = (0..6).map(|n| unique_key(&format!("rolling-{n}"))).collect();
     for (n, key) in keys.iter().enumerate() {
         let answer = cluster.book(n % 3, key, "").expect("an answer");
         expect_that!(answer.status, eq(200), "{answer:?}");
@@ -279,7 +279,7 @@
 fn data_hall_lost_at_once_leaves_the_others_serving() {
     let mut cluster = Cluster::start(6, 12);
     cluster.publish(6, 2);
-    let key = key("hall");
+    let key = unique_key("hall");
     let first = cluster.book(1, &key, "").expect("an answer");
     expect_that!(first.status, eq(200));
     // Hall 0 has entries 0 and 3 and workers 0 to 3.
@@ -325,7 +325,7 @@
 }
 
 #[gtest]
-fn malformed_entries_are_skipped_alike_by_all() {
+fn malformed_entries_are_skipped_by_all_stewards() {
     let cluster = Cluster::start(3, 3);
     let answer = http::post(&cluster.net.log(), "/log", &[], "{ nonsense").unwrap();
     expect_that!(answer.status, eq(200));
@@ -335,7 +335,7 @@
 }
 
 #[gtest]
-fn rack_that_dies_within_a_wave_gives_its_drains_back() {
+fn drains_of_a_rack_lost_during_a_wave_are_released() {
     let mut cluster = Cluster::start(3, 12);
     cluster.publish(8, 2);
     // Slow requests keep the wave's drains open.
--- a/crates/e2e/tests/jobs.rs
+++ b/crates/e2e/tests/jobs.rs
@@ -65,7 +65,7 @@
 }
 
 #[gtest]
-fn failing_worker_is_told_from_a_failing_job() {
+fn failing_worker_is_distinguished_from_a_failing_job() {
     let cluster = Cluster::start(1, 4);
     cluster.publish(3, 1);
     let bad = cluster.vm_of("lunch");
@@ -86,7 +86,7 @@
 }
 
 #[gtest]
-fn job_that_may_not_be_repeated_starts_once_whoever_dies() {
+fn non_repeatable_job_starts_once_when_stewards_die() {
     let mut cluster = Cluster::start(3, 4);
     cluster.publish(3, 1);
     wait_until("all three vote", || cluster.is_settled());
--- a/crates/e2e/tests/path.rs
+++ b/crates/e2e/tests/path.rs
@@ -8,7 +8,7 @@
 use googletest::prelude::*;
 
 #[gtest]
-fn request_is_served_from_one_end_to_the_other() {
+fn request_is_served_end_to_end() {
     let cluster = Cluster::start(3, 12);
     cluster.publish(6, 2);
     for i in 0..3 {
@@ -25,7 +25,7 @@
 }
 
 #[gtest]
-fn of_two_racing_publishers_one_is_told_what_changed() {
+fn loser_of_two_racing_publishers_gets_the_differences() {
     let cluster = Cluster::start(1, 4);
     let old = cluster.write("old.yaml", cluster::settings::TEMPLATE);
     cluster.thistle_ok(&["template", "publish", "quotes", &old]);
@@ -80,7 +80,7 @@
 }
 
 #[gtest]
-fn planned_stop_of_an_entry_finishes_what_it_has() {
+fn graceful_shutdown_of_an_entry_finishes_requests_in_flight() {
     let mut cluster = Cluster::start(3, 8);
     cluster.publish(4, 1);
     let answer = std::thread::scope(|s| {
@@ -96,7 +96,7 @@
 }
 
 #[gtest]
-fn settings_are_refused_with_line_key_and_remedy() {
+fn invalid_settings_are_rejected_with_line_key_and_remedy() {
     let cluster = Cluster::start(1, 1);
     let text = std::fs::read_to_string(cluster.dir.join("steward-0.yaml")).unwrap();
     let bad = cluster.write("bad.yaml", &text.replace("fence: 1500ms", "fence: 1500"));
--- a/crates/e2e/tests/voters.rs
+++ b/crates/e2e/tests/voters.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use cluster::{Cluster, is_unknown, key, wait_until};
+use cluster::{Cluster, is_unknown, unique_key, wait_until};
 use googletest::prelude::*;
 
 /// Returns a key that is a version 7 UUID with the current time.
@@ -15,10 +15,10 @@
 }
 
 #[gtest]
-fn lost_quorum_is_repaired_by_an_operator_and_old_keys_are_not_run() {
+fn lost_quorum_is_repaired_by_an_operator_and_old_keys_do_not_run_again() {
     let mut cluster = Cluster::start(3, 4);
     cluster.publish(3, 1);
-    let (opaque, timed) = (key("quorum"), timed_key());
+    let (opaque, timed) = (unique_key("quorum"), timed_key());
     for k in [&opaque, &timed] {
         expect_that!(cluster.book(0, k, "").map(|a| a.status), some(eq(200)));
     }
@@ -65,8 +65,8 @@
 fn live_ids(cluster: &Cluster) -> Vec<String> {
     let mut live = Vec::new();
     wait_until("three members are heard of", || {
-        let heard = |m: &&serde_json::Value| m["entry_offset"].is_u64();
-        live = members(cluster).iter().filter(heard).map(id_of).collect();
+        let has_contact = |m: &&serde_json::Value| m["entry_offset"].is_u64();
+        live = members(cluster).iter().filter(has_contact).map(id_of).collect();
         live.len() == 3
     });
     live
@@ -75,11 +75,11 @@
 /// Guards against a restarted steward that replies to claim requests for its predecessor: it has the same address, but
 /// not the claims.
 #[gtest]
-fn restarted_voter_does_not_answer_for_its_predecessor() {
+fn restarted_voter_does_not_reply_for_its_predecessor() {
     let mut cluster = Cluster::start(3, 4);
     cluster.publish(3, 1);
     wait_until("all three vote", || cluster.is_settled());
-    let key = key("predecessor");
+    let key = unique_key("predecessor");
     // Only the first and the third voter hold the claim.
     cluster.stewards[1].signal("-STOP");
     expect_that!(cluster.book(0, &key, "").map(|a| a.status), some(eq(200)));
--- a/crates/replay/src/entry.rs
+++ b/crates/replay/src/entry.rs
@@ -20,9 +20,9 @@
     pub home: SlotHome,
     pub pool: PoolKey,
     /// Whether it requests slots at short intervals.
-    pub asking: bool,
+    pub requests_often: bool,
     /// The number of the next slot request, by which requests that were scheduled earlier are skipped.
-    pub turn: u64,
+    pub next_request: u64,
 }
 
 impl Entry {
@@ -32,7 +32,7 @@
         router.apply_view(&view(listed));
         router.set_proof(Instant::from_micros(u64::MAX));
         let pool = router.pool_key(POOL).expect("the view holds the pool");
-        Self { router, home: SlotHome::new(), pool, asking: false, turn: 0 }
+        Self { router, home: SlotHome::new(), pool, requests_often: false, next_request: 0 }
     }
 }
 
--- a/crates/replay/src/event.rs
+++ b/crates/replay/src/event.rs
@@ -8,7 +8,7 @@
 
 /// An attempt: one send of a request to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Send {
+pub(crate) struct Attempt {
     /// The request.
     pub request: usize,
     /// The key of the VM in the router of the entry.
@@ -21,7 +21,7 @@
 
 /// The end of an attempt, as seen by the entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum SendEnd {
+pub(crate) enum AttemptEnd {
     /// A complete response arrived.
     Answered,
     /// The server returned an error.
@@ -38,17 +38,17 @@
     /// A request arrives at its entry.
     Arrive(usize),
     /// An attempt reaches its worker.
-    Reach(Send),
+    ReachWorker(Attempt),
     /// A worker has finished an attempt: the attempt, and the incarnation of the worker at its start.
-    Serve(Send, u64),
+    RunDone(Attempt, u64),
     /// The end of an attempt reaches its entry.
-    End(Send, SendEnd),
+    End(Attempt, AttemptEnd),
     /// The deadline of a request passes.
     Deadline(usize),
     /// An entry polls its queue.
     Poll(usize),
     /// An entry requests slots from the homes, unless a request with a later number is scheduled.
-    AskSlots(usize, u64),
+    RequestSlots(usize, u64),
     /// Slot wants reach a home: entry, home, time of the request, wants.
     Wants(usize, usize, u64, Vec<SlotWant>),
     /// Grants reach an entry: entry, time of the request, grants.
@@ -59,13 +59,13 @@
 
 /// A queue of events, ordered by time.
 #[derive(Default)]
-pub(crate) struct Agenda {
+pub(crate) struct EventQueue {
     heap: BinaryHeap<Reverse<(u64, u64)>>,
     events: std::collections::HashMap<u64, Event>,
     next: u64,
 }
 
-impl Agenda {
+impl EventQueue {
     /// Adds an event.
     pub fn add(&mut self, at: u64, event: Event) {
         self.next += 1;
--- a/crates/replay/src/fleet/layout.rs
+++ b/crates/replay/src/fleet/layout.rs
@@ -58,7 +58,7 @@
     }
 
     /// Returns a layout of `vms` VMs with `pools` equal pools and a reserve of one and a half racks.
-    pub fn even(vms: usize, pools: usize, halls: usize) -> Self {
+    pub fn uniform(vms: usize, pools: usize, halls: usize) -> Self {
         let each = u32::try_from((vms - RACK_SIZE - RACK_SIZE / 2) / pools).unwrap_or(1);
         let plan = |i: usize| PoolPlan {
             vms: each,
@@ -86,17 +86,17 @@
     }
 
     /// Returns the indices of the VMs of a rack.
-    pub fn of_rack(&self, rack: usize) -> Vec<usize> {
+    pub fn vms_of_rack(&self, rack: usize) -> Vec<usize> {
         (0..self.vms).filter(|i| i / RACK_SIZE == rack).collect()
     }
 
     /// Returns the number of racks.
-    pub fn racks(&self) -> usize {
+    pub fn rack_count(&self) -> usize {
         self.vms.div_ceil(RACK_SIZE)
     }
 
     /// Returns the changes that create the fleet.
-    pub(super) fn set_up(&self, member: MemberId) -> Vec<Change> {
+    pub(super) fn initial_changes(&self, member: MemberId) -> Vec<Change> {
         let template = TemplateName::new("template").expect("a valid name");
         let service = Service {
             name: ServiceName::new("service").expect("a valid name"),
--- a/crates/replay/src/fleet/mod.rs
+++ b/crates/replay/src/fleet/mod.rs
@@ -75,14 +75,14 @@
     pub state: State,
     /// The results so far.
     pub report: FleetReport,
-    agenda: BinaryHeap<Reverse<(u64, u64)>>,
+    queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
     next_event: u64,
     seq: u64,
     offset: u64,
     now: u64,
     rng: SmallRng,
-    lives: Vec<u32>,
+    incarnations: Vec<u32>,
 }
 
 impl Fleet {
@@ -94,18 +94,18 @@
             cfg,
             state: State::new(),
             report: FleetReport::default(),
-            agenda: BinaryHeap::new(),
+            queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             next_event: 0,
             seq: 0,
             offset: 0,
             now: 0,
             rng: SmallRng::seed_from_u64(seed),
-            lives: vec![0; vms],
+            incarnations: vec![0; vms],
         };
-        let changes = fleet.layout.set_up(MEMBER);
+        let changes = fleet.layout.initial_changes(MEMBER);
         fleet.append(changes);
-        fleet.settle();
+        fleet.plan_until_stable();
         fleet.report = FleetReport::default();
         fleet
     }
@@ -116,12 +116,12 @@
             self.schedule(*at, Event::Fail(failure.clone()));
         }
         self.append(vec![Change::WaveStart { base: self.state.wave.revision }]);
-        self.settle();
-        while let Some(Reverse((at, id))) = self.agenda.pop() {
+        self.plan_until_stable();
+        while let Some(Reverse((at, id))) = self.queue.pop() {
             let Some(event) = self.events.remove(&id) else { continue };
-            self.pass_time(at);
+            self.advance_to(at);
             self.handle(event);
-            self.settle();
+            self.plan_until_stable();
             if self.state.wave_left() == 0 && self.report.wave_seconds == 0 {
                 self.report.wave_seconds = at;
             }
@@ -130,7 +130,7 @@
         self.report
     }
 
-    fn pass_time(&mut self, at: u64) {
+    fn advance_to(&mut self, at: u64) {
         let span = at - self.now;
         let spare = self.state.pools[self.state.reserve].available;
         self.report.buffer_vm_hours += f64::from(spare) * span as f64 / 3_600.0;
@@ -143,23 +143,23 @@
         match event {
             Event::Acked(vm) => {
                 let acks = vec![MEMBER];
-                self.with_vm(&vm, |vm, base| vec![Change::Drained { vm, base, acks }]);
+                self.append_for_vm(&vm, |vm, base| vec![Change::Drained { vm, base, acks }]);
             }
             Event::Rebooted(vm) => {
-                self.with_vm(&vm, |vm, base| vec![Change::MaintenanceDone { vm, base }]);
+                self.append_for_vm(&vm, |vm, base| vec![Change::MaintenanceDone { vm, base }]);
             }
             Event::Fail(failure) => self.fail(&failure),
             Event::Listed(gone) => {
                 for vm in gone {
-                    self.count_failed(&vm);
-                    self.with_vm(&vm, |vm, base| vec![Change::VmGone { vm, base }]);
+                    self.record_failure(&vm);
+                    self.append_for_vm(&vm, |vm, base| vec![Change::VmGone { vm, base }]);
                 }
             }
             Event::Back(vms) => {
                 let seen = vms.iter().map(|&i| {
-                    self.lives[i] += 1;
+                    self.incarnations[i] += 1;
                     Change::VmSeen {
-                        vm: self.layout.vm_name(i, self.lives[i]),
+                        vm: self.layout.vm_name(i, self.incarnations[i]),
                         facts: self.layout.facts(i),
                         status: PlatformStatus::Live,
                     }
@@ -173,20 +173,21 @@
     fn fail(&mut self, failure: &Failure) {
         let (vms, back) = match failure {
             Failure::Vm(i, back) => (vec![*i], *back),
-            Failure::Rack(r, back) => (self.layout.of_rack(*r), *back),
+            Failure::Rack(r, back) => (self.layout.vms_of_rack(*r), *back),
         };
-        let names: Vec<_> = vms.iter().map(|&i| self.layout.vm_name(i, self.lives[i])).collect();
+        let names: Vec<_> =
+            vms.iter().map(|&i| self.layout.vm_name(i, self.incarnations[i])).collect();
         self.schedule(self.now + LIST_LAG_SECONDS, Event::Listed(names));
         self.schedule(self.now + LIST_LAG_SECONDS + back, Event::Back(vms));
     }
 
-    fn count_failed(&mut self, name: &VmName) {
+    fn record_failure(&mut self, name: &VmName) {
         let Ok(key) = self.state.vm_key(name) else { return };
         let in_pool = self.state.vms[key].pool != self.state.reserve;
         self.report.failed_in_pools += u64::from(in_pool);
     }
 
-    fn with_vm(
+    fn append_for_vm(
         &mut self,
         name: &VmName,
         changes: impl FnOnce(VmName, thistle_model::Revision) -> Vec<Change>,
@@ -198,7 +199,7 @@
     }
 
     /// Plans and appends until the planner proposes nothing more.
-    fn settle(&mut self) {
+    fn plan_until_stable(&mut self) {
         loop {
             let began = std::time::Instant::now();
             let proposals = plan(&self.state, &self.cfg, MINUTE);
@@ -253,7 +254,7 @@
     fn schedule(&mut self, at: u64, event: Event) {
         self.next_event += 1;
         self.events.insert(self.next_event, event);
-        self.agenda.push(Reverse((at, self.next_event)));
+        self.queue.push(Reverse((at, self.next_event)));
     }
 
     /// Returns whether a pool is short of VMs although the reserve has available ones.
@@ -289,7 +290,7 @@
     }
 
     /// Returns whether every VM is in service.
-    pub fn is_at_rest(&self) -> bool {
+    pub fn all_in_service(&self) -> bool {
         self.state.vms.values().all(|vm| vm.stage == Stage::InService)
     }
 }
--- a/crates/replay/src/record.rs
+++ b/crates/replay/src/record.rs
@@ -34,7 +34,7 @@
 ///
 /// Arrivals are a Poisson process. Service times are log-uniform from a quarter to four times a middle
 /// value, so that the declared mean says little about a single request.
-pub fn draw(load: &Load) -> String {
+pub fn generate(load: &Load) -> String {
     let mut rng = SmallRng::seed_from_u64(load.seed);
     let busy = f64::from(load.slots) * f64::from(load.load_percent) / 100.0;
     let gap_us = load.service_us as f64 / busy;
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -13,7 +13,7 @@
 };
 
 use crate::entry::{Entry, member, worker_of};
-use crate::event::{Agenda, Event, Send, SendEnd};
+use crate::event::{Attempt, AttemptEnd, Event, EventQueue};
 use crate::report::{End, Report};
 use crate::trace::Trace;
 use crate::worker::Worker;
@@ -23,7 +23,7 @@
 /// The time between two renewals of slots, in microseconds.
 const RENEW_US: u64 = 500_000;
 /// The time between two requests for slots while an entry is short of them, in microseconds.
-const SHORT_US: u64 = 5_000;
+const SHORTAGE_RENEW_US: u64 = 5_000;
 /// The time that is replayed after the last arrival, in microseconds.
 const TAIL_US: u64 = 20_000_000;
 
@@ -43,7 +43,7 @@
     pub const BASELINE: Self =
         Self { choice: ChoicePolicy::Random, admit: AdmitPolicy::Late, retry: RetryPolicy::Always };
     /// The policy of the daemon.
-    pub const OURS: Self = Self {
+    pub const DAEMON: Self = Self {
         choice: ChoicePolicy::Leased,
         admit: AdmitPolicy::Deadline,
         retry: RetryPolicy::Budget(8),
@@ -67,7 +67,7 @@
 
 pub(crate) struct Replay<'a> {
     pub trace: &'a Trace,
-    pub agenda: Agenda,
+    pub events: EventQueue,
     pub entries: Vec<Entry>,
     pub workers: Vec<Worker>,
     pub listed: Vec<usize>,
@@ -79,7 +79,7 @@
 /// Replays a trace under a policy.
 pub fn replay(trace: &Trace, policy: Policy) -> Report {
     let mut replay = Replay::new(trace, policy);
-    while let Some((at, event)) = replay.agenda.pop() {
+    while let Some((at, event)) = replay.events.pop() {
         replay.handle(at, event);
     }
     replay.finish()
@@ -106,20 +106,20 @@
             useful_us: 0,
             avoid: Avoid::default(),
         };
-        let mut agenda = Agenda::default();
+        let mut events = EventQueue::default();
         for (i, a) in trace.arrivals.iter().enumerate() {
-            agenda.add(a.at_us, Event::Arrive(i));
+            events.add(a.at_us, Event::Arrive(i));
         }
         for i in 0..entries.len() {
-            agenda.add(0, Event::AskSlots(i, 0));
-            agenda.add(POLL_US, Event::Poll(i));
+            events.add(0, Event::RequestSlots(i, 0));
+            events.add(POLL_US, Event::Poll(i));
         }
         for (i, f) in trace.setup.faults.iter().enumerate() {
-            agenda.add(f.at_ms * 1_000, Event::Fault(i));
+            events.add(f.at_ms * 1_000, Event::Fault(i));
         }
         Self {
             trace,
-            agenda,
+            events,
             entries,
             workers: vec![Worker::new(); trace.setup.workers],
             listed,
@@ -131,13 +131,13 @@
 
     fn handle(&mut self, at: u64, event: Event) {
         match event {
-            Event::Arrive(r) => self.arrive(r, at),
-            Event::Reach(send) => self.reach(send, at),
-            Event::Serve(send, life) => self.serve(send, life, at),
-            Event::End(send, end) => self.end(send, end, at),
-            Event::Deadline(r) => self.deadline(r),
-            Event::Poll(e) => self.poll(e, at),
-            Event::AskSlots(e, turn) => self.ask_slots(e, turn, at),
+            Event::Arrive(r) => self.handle_arrival(r, at),
+            Event::ReachWorker(attempt) => self.handle_reach(attempt, at),
+            Event::RunDone(attempt, incarnation) => self.handle_run_done(attempt, incarnation, at),
+            Event::End(attempt, end) => self.handle_end(attempt, end, at),
+            Event::Deadline(r) => self.handle_deadline(r),
+            Event::Poll(e) => self.handle_poll(e, at),
+            Event::RequestSlots(e, number) => self.request_slots(e, number, at),
             Event::Wants(e, home, asked, wants) => {
                 let now = Instant::from_micros(at);
                 let slots = thistle_model::vm::DEFAULT_SLOTS;
@@ -147,16 +147,16 @@
                     home.grant(member(e), want, slots, now)
                 });
                 let grants = grants.collect();
-                self.agenda.add(at + self.hop(), Event::Grants(e, asked, grants));
+                self.events.add(at + self.hop(), Event::Grants(e, asked, grants));
             }
             Event::Grants(e, asked, grants) => {
                 for grant in &grants {
                     self.entries[e].router.apply_grant(grant, Instant::from_micros(asked));
                 }
                 let wakes = self.entries[e].router.poll(Instant::from_micros(at));
-                self.wake(wakes, at);
+                self.apply_wakes(wakes, at);
             }
-            Event::Fault(i) => self.fault(i, at),
+            Event::Fault(i) => self.apply_fault(i, at),
         }
     }
 
@@ -176,28 +176,28 @@
         }
     }
 
-    fn arrive(&mut self, r: usize, at: u64) {
+    fn handle_arrival(&mut self, r: usize, at: u64) {
         let a = self.trace.arrivals[r];
         self.report.offered[a.tier as usize] += 1;
-        self.agenda.add(at + a.deadline_ms * 1_000, Event::Deadline(r));
+        self.events.add(at + a.deadline_ms * 1_000, Event::Deadline(r));
         let ask = self.ask(r);
         let decision = self.entries[a.entry].router.submit(ask, Instant::from_micros(at));
-        self.follow(r, decision, at);
+        self.apply_decision(r, decision, at);
     }
 
-    fn follow(&mut self, r: usize, decision: Decision, at: u64) {
+    fn apply_decision(&mut self, r: usize, decision: Decision, at: u64) {
         let entry = self.trace.arrivals[r].entry;
         match decision {
             Decision::Send(vm) => self.send(r, vm, at),
             Decision::Refuse(reason, after) => {
                 if let Some(State::Pending(pending)) = self.requests[r].state.take() {
                     let refusal = pending.refuse(reason, after);
-                    self.close(r, refusal.outcome);
+                    self.record_outcome(r, refusal.outcome);
                 }
             }
             Decision::Wait => {
-                if !self.entries[entry].asking {
-                    self.schedule_asking(entry, at);
+                if !self.entries[entry].requests_often {
+                    self.schedule_slot_request(entry, at);
                 }
             }
         }
@@ -206,10 +206,10 @@
     fn send(&mut self, r: usize, vm: VmKey, at: u64) {
         let entry = &self.entries[self.trace.arrivals[r].entry];
         let worker = worker_of(&entry.router.vm(vm).expect("a chosen VM is known").name);
-        let send = Send { request: r, vm, worker, at };
+        let attempt = Attempt { request: r, vm, worker, at };
         let Some(State::Pending(pending)) = self.requests[r].state.take() else {
             // The caller's deadline passed while the request waited.
-            self.agenda.add(at, Event::End(send, SendEnd::NoConnect));
+            self.events.add(at, Event::End(attempt, AttemptEnd::NoConnect));
             return;
         };
         match &pending {
@@ -219,53 +219,55 @@
         }
         let gate = SendGate::new(Instant::from_micros(u64::MAX));
         self.requests[r].state = Some(State::Sent(pending.hand_over(), gate));
-        self.agenda.add(at + self.hop(), Event::Reach(send));
+        self.events.add(at + self.hop(), Event::ReachWorker(attempt));
     }
 
     /// Handles the end of an attempt at its entry.
-    fn end(&mut self, send: Send, end: SendEnd, at: u64) {
-        let entry = self.trace.arrivals[send.request].entry;
+    fn handle_end(&mut self, attempt: Attempt, end: AttemptEnd, at: u64) {
+        let entry = self.trace.arrivals[attempt.request].entry;
         let now = Instant::from_micros(at);
         let result = match end {
-            SendEnd::Answered => SendResult::Good,
-            SendEnd::Error | SendEnd::Broken => SendResult::Bad,
-            SendEnd::NoConnect => SendResult::NoConnect,
+            AttemptEnd::Answered => SendResult::Good,
+            AttemptEnd::Error | AttemptEnd::Broken => SendResult::Bad,
+            AttemptEnd::NoConnect => SendResult::NoConnect,
         };
-        let took = Duration::from_micros(at - send.at);
-        let wakes = self.entries[entry].router.finish(send.vm, result, took, now);
-        self.wake(wakes, at);
-        let Some(State::Sent(sent, gate)) = self.requests[send.request].state.take() else {
-            self.report.wasted_runs += usize::from(end == SendEnd::Answered);
+        let took = Duration::from_micros(at - attempt.at);
+        let wakes = self.entries[entry].router.finish(attempt.vm, result, took, now);
+        self.apply_wakes(wakes, at);
+        let Some(State::Sent(sent, gate)) = self.requests[attempt.request].state.take() else {
+            self.report.wasted_runs += usize::from(end == AttemptEnd::Answered);
             return;
         };
-        let arrival = self.trace.arrivals[send.request];
+        let arrival = self.trace.arrivals[attempt.request];
         match (end, sent.take_back(&gate)) {
-            (SendEnd::Answered, _) => {
-                self.requests[send.request].useful_us = arrival.service_us;
-                self.requests[send.request].end = Some(End::Answered(at - arrival.at_us));
+            (AttemptEnd::Answered, _) => {
+                self.requests[attempt.request].useful_us = arrival.service_us;
+                self.requests[attempt.request].end = Some(End::Answered(at - arrival.at_us));
+            }
+            (_, Ok(back)) => self.retry_elsewhere(attempt, back, at),
+            (_, Err(sent)) if arrival.repeatable => {
+                self.retry_elsewhere(attempt, sent.repeat(), at)
             }
-            (_, Ok(back)) => self.again(send, back, at),
-            (_, Err(sent)) if arrival.repeatable => self.again(send, sent.repeat(), at),
             (_, Err(sent)) => {
                 let refusal = sent.refuse(thistle_model::RefusalReason::Broken, Duration::ZERO);
-                self.close(send.request, refusal.outcome);
+                self.record_outcome(attempt.request, refusal.outcome);
             }
         }
     }
 
-    fn again(&mut self, send: Send, back: Pending, at: u64) {
-        let r = send.request;
-        self.requests[r].avoid.add(send.vm);
+    fn retry_elsewhere(&mut self, attempt: Attempt, back: Pending, at: u64) {
+        let r = attempt.request;
+        self.requests[r].avoid.add(attempt.vm);
         let ask = self.ask(r);
         let entry = self.trace.arrivals[r].entry;
         let now = Instant::from_micros(at);
         let refuse = Decision::Refuse(thistle_model::RefusalReason::Broken, Duration::ZERO);
         let decision = self.entries[entry].router.resubmit(ask, &back, now).unwrap_or(refuse);
         self.requests[r].state = Some(State::Pending(back));
-        self.follow(r, decision, at);
+        self.apply_decision(r, decision, at);
     }
 
-    fn deadline(&mut self, r: usize) {
+    fn handle_deadline(&mut self, r: usize) {
         let entry = self.trace.arrivals[r].entry;
         if self.requests[r].end.is_some() {
             return;
@@ -280,48 +282,48 @@
             },
             None => return,
         };
-        self.close(r, refusal.outcome);
+        self.record_outcome(r, refusal.outcome);
     }
 
-    fn close(&mut self, r: usize, outcome: thistle_model::Outcome) {
+    fn record_outcome(&mut self, r: usize, outcome: thistle_model::Outcome) {
         self.requests[r].end = Some(match outcome {
             thistle_model::Outcome::NotRun => End::NotRun,
             thistle_model::Outcome::Unknown => End::Unknown,
         });
     }
 
-    fn wake(&mut self, wakes: Vec<Wake>, at: u64) {
+    fn apply_wakes(&mut self, wakes: Vec<Wake>, at: u64) {
         for wake in wakes {
             let r = usize::try_from(wake.ticket.0).unwrap_or(usize::MAX);
-            self.follow(r, wake.decision, at);
+            self.apply_decision(r, wake.decision, at);
         }
     }
 
-    fn poll(&mut self, e: usize, at: u64) {
+    fn handle_poll(&mut self, e: usize, at: u64) {
         let wakes = self.entries[e].router.poll(Instant::from_micros(at));
-        self.wake(wakes, at);
+        self.apply_wakes(wakes, at);
         if at < self.last_us + TAIL_US {
-            self.agenda.add(at + POLL_US, Event::Poll(e));
+            self.events.add(at + POLL_US, Event::Poll(e));
         }
     }
 
     /// Schedules the next slot request of an entry at `at`, which replaces the one scheduled before.
-    fn schedule_asking(&mut self, e: usize, at: u64) {
+    fn schedule_slot_request(&mut self, e: usize, at: u64) {
         let entry = &mut self.entries[e];
-        entry.asking = entry.router.is_short_of_slots();
-        entry.turn += 1;
-        let turn = entry.turn;
+        entry.requests_often = entry.router.is_short_of_slots();
+        entry.next_request += 1;
+        let number = entry.next_request;
         if at < self.last_us + TAIL_US {
-            self.agenda.add(at, Event::AskSlots(e, turn));
+            self.events.add(at, Event::RequestSlots(e, number));
         }
     }
 
-    fn ask_slots(&mut self, e: usize, turn: u64, at: u64) {
+    fn request_slots(&mut self, e: usize, number: u64, at: u64) {
         let entry = &mut self.entries[e];
-        if entry.turn != turn {
+        if entry.next_request != number {
             return;
         }
-        let pause = if entry.router.is_short_of_slots() { SHORT_US } else { RENEW_US };
+        let pause = if entry.router.is_short_of_slots() { SHORTAGE_RENEW_US } else { RENEW_US };
         let wants = entry.router.slot_wants(Instant::from_micros(at));
         let homes = self.entries.len();
         for home in 0..homes {
@@ -331,9 +333,9 @@
             let wants: Vec<_> = wants.iter().filter(|w| of_home(&w.vm)).cloned().collect();
             if !wants.is_empty() {
                 let there = at + self.trace.setup.hop_us;
-                self.agenda.add(there, Event::Wants(e, home, at, wants));
+                self.events.add(there, Event::Wants(e, home, at, wants));
             }
         }
-        self.schedule_asking(e, at + pause);
+        self.schedule_slot_request(e, at + pause);
     }
 }
--- a/crates/replay/src/serve.rs
+++ b/crates/replay/src/serve.rs
@@ -3,10 +3,10 @@
 use thistle_model::clock::Instant;
 
 use crate::entry::view;
-use crate::event::{Event, Send, SendEnd};
+use crate::event::{Attempt, AttemptEnd, Event};
 use crate::run::{Replay, State};
 use crate::trace::{Fault, FaultKind};
-use crate::worker::{Health, Taken};
+use crate::worker::{Admission, Health};
 
 /// The connect timeout, in microseconds.
 const CONNECT_TIMEOUT_US: u64 = 300_000;
@@ -14,63 +14,68 @@
 const FAIL_US: u64 = 500;
 
 impl Replay<'_> {
-    pub fn reach(&mut self, send: Send, at: u64) {
-        let taken = self.workers[send.worker].take(send);
+    pub fn handle_reach(&mut self, attempt: Attempt, at: u64) {
+        let admission = self.workers[attempt.worker].admit(attempt);
         let back = at + self.hop();
-        match taken {
-            Taken::Runs => self.begin_run(send, at),
-            Taken::Waits => self.pass_gate(send),
-            Taken::Refused => self.agenda.add(back, Event::End(send, SendEnd::NoConnect)),
-            Taken::Nothing => {
-                self.agenda.add(at + CONNECT_TIMEOUT_US, Event::End(send, SendEnd::NoConnect));
+        match admission {
+            Admission::Runs => self.start_run(attempt, at),
+            Admission::Waits => self.pass_gate(attempt),
+            Admission::Refused => self.events.add(back, Event::End(attempt, AttemptEnd::NoConnect)),
+            Admission::NoResponse => {
+                self.events
+                    .add(at + CONNECT_TIMEOUT_US, Event::End(attempt, AttemptEnd::NoConnect));
             }
-            Taken::Fails => {
-                self.pass_gate(send);
-                self.agenda.add(back + FAIL_US, Event::End(send, SendEnd::Error));
+            Admission::Fails => {
+                self.pass_gate(attempt);
+                self.events.add(back + FAIL_US, Event::End(attempt, AttemptEnd::Error));
             }
         }
     }
 
-    fn pass_gate(&mut self, send: Send) {
-        if let Some(State::Sent(_, gate)) = &self.requests[send.request].state {
+    fn pass_gate(&mut self, attempt: Attempt) {
+        if let Some(State::Sent(_, gate)) = &self.requests[attempt.request].state {
             gate.pass(Instant::default());
         }
     }
 
-    fn begin_run(&mut self, send: Send, at: u64) {
-        self.pass_gate(send);
-        self.requests[send.request].runs += 1;
-        let takes = self.trace.arrivals[send.request].service_us;
-        let life = self.workers[send.worker].life;
-        self.agenda.add(at + takes, Event::Serve(send, life));
+    fn start_run(&mut self, attempt: Attempt, at: u64) {
+        self.pass_gate(attempt);
+        self.requests[attempt.request].runs += 1;
+        let takes = self.trace.arrivals[attempt.request].service_us;
+        let incarnation = self.workers[attempt.worker].incarnation;
+        self.events.add(at + takes, Event::RunDone(attempt, incarnation));
     }
 
-    pub fn serve(&mut self, send: Send, life: u64, at: u64) {
-        let worker = &mut self.workers[send.worker];
+    pub fn handle_run_done(&mut self, attempt: Attempt, incarnation: u64, at: u64) {
+        let worker = &mut self.workers[attempt.worker];
         let back = at + self.trace.setup.hop_us;
-        if worker.life != life {
-            self.agenda.add(back, Event::End(send, SendEnd::Broken));
+        if worker.incarnation != incarnation {
+            self.events.add(back, Event::End(attempt, AttemptEnd::Broken));
             return;
         }
-        let takes = self.trace.arrivals[send.request].service_us;
-        let end = if worker.health == Health::Mute { SendEnd::Broken } else { SendEnd::Answered };
+        let takes = self.trace.arrivals[attempt.request].service_us;
+        let end = if worker.health == Health::LosingResponses {
+            AttemptEnd::Broken
+        } else {
+            AttemptEnd::Answered
+        };
         let next = worker.done(takes);
-        self.agenda.add(back, Event::End(send, end));
+        self.events.add(back, Event::End(attempt, end));
         if let Some(next) = next {
-            self.begin_run(next, at);
+            self.start_run(next, at);
         }
     }
 
-    pub fn fault(&mut self, i: usize, at: u64) {
+    pub fn apply_fault(&mut self, i: usize, at: u64) {
         let trace = self.trace;
         let Fault { kind, workers, .. } = &trace.setup.faults[i];
         for &w in workers {
             match kind {
-                FaultKind::Kill => self.kill(w, Health::Off, at),
+                FaultKind::Kill => self.kill(w, Health::SwitchedOff, at),
                 FaultKind::Stop => self.kill(w, Health::Stopped, at),
                 FaultKind::Fail => self.workers[w].health = Health::Failing,
-                FaultKind::LoseAnswers => self.workers[w].health = Health::Mute,
-                FaultKind::Mend => self.workers[w].health = Health::Well,
+                FaultKind::LoseAnswers => self.workers[w].health = Health::LosingResponses,
+                FaultKind::Mend => self.workers[w].health = Health::Healthy,
                 FaultKind::Unlist => self.listed.retain(|&l| l != w),
             }
         }
@@ -84,8 +89,8 @@
 
     fn kill(&mut self, w: usize, health: Health, at: u64) {
         self.workers[w].health = health;
-        for waiting in self.workers[w].lose_all() {
-            self.agenda.add(at + self.hop(), Event::End(waiting, SendEnd::Broken));
+        for waiting in self.workers[w].drop_all() {
+            self.events.add(at + self.hop(), Event::End(waiting, AttemptEnd::Broken));
         }
     }
 }
--- a/crates/replay/src/worker.rs
+++ b/crates/replay/src/worker.rs
@@ -4,21 +4,21 @@
 
 use thistle_model::vm::{DEFAULT_CONNECTIONS, DEFAULT_SLOTS};
 
-use crate::event::Send;
+use crate::event::Attempt;
 
 /// The health of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Health {
-    Well,
-    Off,
+    Healthy,
+    SwitchedOff,
     Stopped,
     Failing,
-    Mute,
+    LosingResponses,
 }
 
 /// What a worker does with an attempt that reaches it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Taken {
+pub(crate) enum Admission {
     /// It starts to run.
     Runs,
     /// It waits for a slot.
@@ -26,7 +26,7 @@
     /// The connection is refused.
     Refused,
     /// The connection attempt gets no answer.
-    Nothing,
+    NoResponse,
     /// It fails immediately.
     Fails,
 }
@@ -36,9 +36,9 @@
 pub(crate) struct Worker {
     pub health: Health,
     /// The incarnation; increased when the worker goes down, so that earlier runs are lost.
-    pub life: u64,
+    pub incarnation: u64,
     running: usize,
-    waiting: VecDeque<Send>,
+    waiting: VecDeque<Attempt>,
     pub peak: usize,
     pub busy_us: u64,
 }
@@ -46,8 +46,8 @@
 impl Worker {
     pub fn new() -> Self {
         Self {
-            health: Health::Well,
-            life: 0,
+            health: Health::Healthy,
+            incarnation: 0,
             running: 0,
             waiting: VecDeque::new(),
             peak: 0,
@@ -56,28 +56,28 @@
     }
 
     /// Accepts or rejects an attempt.
-    pub fn take(&mut self, send: Send) -> Taken {
+    pub fn admit(&mut self, attempt: Attempt) -> Admission {
         match self.health {
-            Health::Off => return Taken::Nothing,
-            Health::Stopped => return Taken::Refused,
-            Health::Failing => return Taken::Fails,
-            Health::Well | Health::Mute => {}
+            Health::SwitchedOff => return Admission::NoResponse,
+            Health::Stopped => return Admission::Refused,
+            Health::Failing => return Admission::Fails,
+            Health::Healthy | Health::LosingResponses => {}
         }
         let in_flight = self.running + self.waiting.len();
         if in_flight >= usize::from(DEFAULT_CONNECTIONS) {
-            return Taken::Refused;
+            return Admission::Refused;
         }
         self.peak = self.peak.max(in_flight + 1);
         if self.running >= usize::from(DEFAULT_SLOTS) {
-            self.waiting.push_back(send);
-            return Taken::Waits;
+            self.waiting.push_back(attempt);
+            return Admission::Waits;
         }
         self.running += 1;
-        Taken::Runs
+        Admission::Runs
     }
 
     /// Ends a run and returns the attempt that runs next.
-    pub fn done(&mut self, busy_us: u64) -> Option<Send> {
+    pub fn done(&mut self, busy_us: u64) -> Option<Attempt> {
         self.busy_us += busy_us;
         let next = self.waiting.pop_front();
         if next.is_none() {
@@ -87,8 +87,8 @@
     }
 
     /// Drops all running and waiting attempts; returns those that waited.
-    pub fn lose_all(&mut self) -> Vec<Send> {
-        self.life += 1;
+    pub fn drop_all(&mut self) -> Vec<Attempt> {
+        self.incarnation += 1;
         self.running = 0;
         self.waiting.drain(..).collect()
     }
--- a/crates/replay/tests/fleet.rs
+++ b/crates/replay/tests/fleet.rs
@@ -12,7 +12,7 @@
         let mut fleet = Fleet::new(layout, PlanConfig::default(), 1);
         let report = fleet.run_wave(&[]);
         expect_that!(fleet.state.wave_left(), eq(0));
-        expect_that!(fleet.is_at_rest(), eq(true));
+        expect_that!(fleet.all_in_service(), eq(true));
         expect_that!(report.moves, eq(0));
         expect_that!(report.below_floor_seconds, eq(0));
     }
@@ -56,7 +56,7 @@
     })]
 
     #[test]
-    fn wave_ends_and_pools_are_full_whatever_fails(
+    fn wave_ends_and_pools_are_full_after_any_failures(
         failures in prop::collection::vec(failure(50, 12), 0..20),
         seed in 0..1_000u64,
         cost in 0..4u32,
@@ -65,7 +65,7 @@
         let mut fleet = Fleet::new(Layout::trasteo_listo(), cfg, seed);
         let report = fleet.run_wave(&failures);
         prop_assert_eq!(fleet.state.wave_left(), 0);
-        prop_assert!(fleet.is_at_rest());
+        prop_assert!(fleet.all_in_service());
         prop_assert!(!fleet.is_short_with_spares());
         prop_assert_eq!(report.rejected, 0);
         // Each failed VM of a pool forces one move; without a failure there is no move.
--- a/crates/replay/tests/traces.rs
+++ b/crates/replay/tests/traces.rs
@@ -13,39 +13,39 @@
 }
 
 #[track_caller]
-fn expect_stated(name: &str) {
-    let (trace, report) = run(name, Policy::OURS);
+fn expect_bounds_met(name: &str) {
+    let (trace, report) = run(name, Policy::DAEMON);
     expect_that!(report.unmet(&trace.setup.outcome), is_empty(), "{name}");
 }
 
 #[gtest]
-fn lunch_rush_is_served_as_stated() {
-    expect_stated("lunch-rush");
+fn lunch_rush_meets_its_bounds() {
+    expect_bounds_met("lunch-rush");
 }
 
 #[gtest]
-fn pharmacy_run_is_never_run_twice() {
-    expect_stated("pharmacy-run");
+fn pharmacy_run_meets_its_bounds() {
+    expect_bounds_met("pharmacy-run");
 }
 
 #[gtest]
 fn route_plans_survive_a_rack() {
-    expect_stated("route-plans");
+    expect_bounds_met("route-plans");
 }
 
 #[gtest]
 fn delivery_photos_survive_a_failing_worker() {
-    expect_stated("delivery-photos");
+    expect_bounds_met("delivery-photos");
 }
 
 #[gtest]
-fn crew_assignments_are_refused_honestly() {
-    expect_stated("lost-crew");
+fn refused_crew_assignments_have_not_run() {
+    expect_bounds_met("lost-crew");
 }
 
 #[gtest]
-fn bookings_are_never_doubled() {
-    expect_stated("doubled-booking");
+fn bookings_never_run_twice() {
+    expect_bounds_met("doubled-booking");
 }
 
 /// Checks that the bounds of the lunch rush are strict enough for the simplest policy to fail them.
@@ -58,7 +58,7 @@
 
 #[gtest]
 fn same_trace_gives_the_same_report() {
-    let (_, a) = run("doubled-booking", Policy::OURS);
-    let (_, b) = run("doubled-booking", Policy::OURS);
+    let (_, a) = run("doubled-booking", Policy::DAEMON);
+    let (_, b) = run("doubled-booking", Policy::DAEMON);
     expect_that!(format!("{a:?}"), eq(&format!("{b:?}")));
 }
--- a/crates/settings/src/entry.rs
+++ b/crates/settings/src/entry.rs
@@ -11,7 +11,7 @@
 use crate::span::Span;
 
 /// The largest body size that may be configured, in bytes.
-const MAX_BODY: usize = 256 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 256 * 1024 * 1024;
 
 /// Settings of an entry, the HTTP server that routes the requests of callers to VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -83,8 +83,8 @@
 
 impl Checked for EntrySettings {
     fn check(&self) -> Result<(), SettingsError> {
-        in_range("max_body_bytes", &self.max_body_bytes, &1_024, &MAX_BODY)?;
-        in_range("max_answer_bytes", &self.max_answer_bytes, &1_024, &MAX_BODY)?;
+        in_range("max_body_bytes", &self.max_body_bytes, &1_024, &MAX_BODY_BYTES)?;
+        in_range("max_answer_bytes", &self.max_answer_bytes, &1_024, &MAX_BODY_BYTES)?;
         in_range("max_header_bytes", &self.max_header_bytes, &8_192, &(1024 * 1024))?;
         in_range("max_requests", &self.max_requests, &1, &100_000)?;
         in_range("max_queue", &self.max_queue, &0, &100_000)?;
--- a/crates/settings/tests/stdout_writer.rs
+++ b/crates/settings/tests/stdout_writer.rs
@@ -10,12 +10,12 @@
 use thistle_settings::stdout_writer::StdoutWriter;
 
 /// An output whose writes block until the test lets them through.
-struct Gate {
+struct GatedOutput {
     open: Receiver<()>,
     written: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Gate {
+impl Write for GatedOutput {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         // Once the sender is dropped, writes are no longer blocked.
         let _ = self.open.recv();
@@ -28,10 +28,10 @@
     }
 }
 
-fn gated() -> (StdoutWriter, Sender<()>, Arc<Mutex<Vec<u8>>>) {
+fn gated_writer() -> (StdoutWriter, Sender<()>, Arc<Mutex<Vec<u8>>>) {
     let (tx, open) = channel();
     let written = Arc::new(Mutex::default());
-    let gate = Gate { open, written: written.clone() };
+    let gate = GatedOutput { open, written: written.clone() };
     let format = |w: &mut dyn Write, _: &mut DeferredNow, record: &log::Record<'_>| {
         write!(w, "{}", record.args())
     };
@@ -45,15 +45,15 @@
     assert!(result.is_ok());
 }
 
-fn until(holds: impl Fn() -> bool) {
+fn wait_until(holds: impl Fn() -> bool) {
     while !holds() {
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
 }
 
 /// Waits until the writer thread has written everything and ended, which drops its reference to the buffer.
-fn until_ended(written: &Arc<Mutex<Vec<u8>>>) {
-    until(|| Arc::strong_count(written) == 1);
+fn wait_until_ended(written: &Arc<Mutex<Vec<u8>>>) {
+    wait_until(|| Arc::strong_count(written) == 1);
 }
 
 fn lines(written: &Mutex<Vec<u8>>) -> Vec<String> {
@@ -62,8 +62,8 @@
 }
 
 #[gtest]
-fn a_flood_with_a_reader_that_stands_still_is_bounded_and_does_not_wait() {
-    let (writer, gate, written) = gated();
+fn flood_with_a_stalled_reader_is_bounded_and_does_not_block() {
+    let (writer, gate, written) = gated_writer();
     // If any of these calls blocked on the reader, the test would never end.
     for kind in 0..100 {
         for i in 0..1_000 {
@@ -74,7 +74,7 @@
     std::thread::sleep(std::time::Duration::from_millis(1_100));
     write_line(&writer, "kind0 n=last");
     drop(writer);
-    until_ended(&written);
+    wait_until_ended(&written);
     let lines = lines(&written);
     expect_that!(lines.len(), le(5_000));
     let left_out = lines.iter().find(|l| l.starts_with("log step=left-out lines="));
@@ -85,8 +85,8 @@
 /// Guards against a writer thread that keeps taking lines off the queue while new ones arrive, so that the batch it
 /// holds for the reader has no bound. On a busy machine lines arrive as fast as they are taken.
 #[gtest]
-fn what_is_taken_off_the_queue_at_once_is_bounded() {
-    let (writer, gate, written) = gated();
+fn batch_taken_off_the_queue_is_bounded() {
+    let (writer, gate, written) = gated_writer();
     for kind in 0..3_000 {
         write_line(&writer, &format!("kind{kind} n=0"));
     }
@@ -95,23 +95,23 @@
         expect_that!(gate.send(()), ok(anything()));
     }
     drop(writer);
-    until(|| !lines(&written).is_empty());
+    wait_until(|| !lines(&written).is_empty());
     expect_that!(lines(&written).len(), le(1_000));
     drop(gate);
-    until_ended(&written);
+    wait_until_ended(&written);
     expect_that!(lines(&written), len(eq(3_000)));
 }
 
 #[gtest]
-fn one_kind_that_floods_leaves_the_others_their_lines() {
-    let (writer, gate, written) = gated();
+fn flood_of_one_kind_does_not_suppress_other_kinds() {
+    let (writer, gate, written) = gated_writer();
     drop(gate);
     for i in 0..5_000 {
         write_line(&writer, &format!("start n={i}"));
     }
     write_line(&writer, "store step=lost");
     drop(writer);
-    until_ended(&written);
+    wait_until_ended(&written);
     let lines = lines(&written);
     // The flood may span several seconds, each with a budget of its own.
     let started = lines.iter().filter(|l| l.starts_with("start")).count();
--- a/crates/wire/src/dial.rs
+++ b/crates/wire/src/dial.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 
 /// The largest message of the system's own protocols, in bytes.
-pub const MAX_FRAME: usize = 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 1024 * 1024;
 /// The connect timeout.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -69,7 +69,7 @@
 {
     // Disables Nagle's algorithm for the sake of small messages; a connection on which this fails still works.
     let _ = stream.set_nodelay(true);
-    let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME).new_codec();
+    let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
     let framed = tarpc::tokio_util::codec::Framed::new(stream, codec);
     tarpc::serde_transport::new(framed, Bincode::default())
 }
--- a/crates/wire/src/http_client.rs
+++ b/crates/wire/src/http_client.rs
@@ -16,7 +16,7 @@
 use tokio::time::timeout;
 
 /// The largest response body that is read, in bytes.
-pub const MAX_ANSWER: usize = 16 * 1024 * 1024;
+pub const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
 /// The reason why a call to the platform failed. The call may have taken effect nevertheless.
 #[derive(Debug)]
@@ -150,7 +150,7 @@
     }
 
     async fn collect(&self, body: Incoming) -> Result<Bytes, HttpError> {
-        let mut incoming = Limited::new(body, MAX_ANSWER);
+        let mut incoming = Limited::new(body, MAX_RESPONSE_BYTES);
         let mut body = BytesMut::new();
         loop {
             let next = timeout(self.timeout, incoming.frame()).await;
--- a/crates/wire/tests/http_client.rs
+++ b/crates/wire/tests/http_client.rs
@@ -14,7 +14,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// The timeout for the next part of a response.
-const ALLOWED: Duration = Duration::from_millis(300);
+const PART_TIMEOUT: Duration = Duration::from_millis(300);
 /// The number of parts of a response, and the pause before each.
 const PARTS: usize = 10;
 const PAUSE: Duration = Duration::from_millis(60);
@@ -45,17 +45,17 @@
         TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await.expect("it binds");
     let addr = listener.local_addr().expect("it has an address");
     tokio::spawn(serve(listener, sent));
-    HttpClient::new(addr, ALLOWED).call(Method::GET, "/log", Bytes::new()).await
+    HttpClient::new(addr, PART_TIMEOUT).call(Method::GET, "/log", Bytes::new()).await
 }
 
 #[gtest]
 #[tokio::test]
-async fn an_answer_may_take_as_long_as_it_comes() {
+async fn slow_response_is_read_while_parts_keep_arriving() {
     expect_that!(call(PARTS).await.map(|body| body.len()), ok(eq(&PARTS)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn an_answer_that_stops_is_given_up() {
+async fn response_that_stops_times_out() {
     expect_that!(matches!(call(PARTS / 2).await, Err(HttpError::Timeout(_))), eq(true));
 }
