--- a/crates/e2e/tests/cluster/http.rs
+++ b/crates/e2e/tests/cluster/http.rs
@@ -15,7 +15,7 @@
 }
 
 impl Answer {
-    pub fn contains(&self, text: &str) -> bool {
+    pub fn contains_text(&self, text: &str) -> bool {
         self.head.to_lowercase().contains(text) || self.body.contains(text)
     }
 }
--- a/crates/e2e/tests/cluster/mod.rs
+++ b/crates/e2e/tests/cluster/mod.rs
@@ -324,5 +324,5 @@
 
 /// Returns whether a response reports that the request may have run.
 pub fn is_unknown(answer: &http::Answer) -> bool {
-    answer.status >= 400 && answer.contains("\"outcome\":\"unknown\"")
+    answer.status >= 400 && answer.contains_text("\"outcome\":\"unknown\"")
 }
--- a/crates/e2e/tests/faults.rs
+++ b/crates/e2e/tests/faults.rs
@@ -8,7 +8,7 @@
 use googletest::prelude::*;
 
 fn is_not_run(answer: &http::Answer) -> bool {
-    answer.status >= 400 && answer.contains("\"outcome\":\"not-run\"")
+    answer.status >= 400 && answer.contains_text("\"outcome\":\"not-run\"")
 }
 
 #[gtest]
@@ -32,7 +32,7 @@
     }
     expect_that!(runs_at(&cluster, &vm), eq(before));
     cluster.stewards[2].signal("-CONT");
-    wait_until("the woken VM has joined anew", || {
+    wait_until("the resumed VM has rejoined", || {
         cluster.get(2, "").is_some_and(|a| a.status == 200)
     });
     for _ in 0..20 {
@@ -353,7 +353,7 @@
     for worker in &mut cluster.workers[8..12] {
         Process::kill(worker);
     }
-    wait_until("the wave is done all the same", || {
+    wait_until("the wave is done despite the lost rack", || {
         let wave = cluster.thistle_json(&["wave", "progress"]);
         wave.is_some_and(|w| w["left"] == 0 && w["under_way"] == 0)
     });
--- a/crates/e2e/tests/jobs.rs
+++ b/crates/e2e/tests/jobs.rs
@@ -42,10 +42,10 @@
         submit(&cluster, &format!("long-{n}"), "night", 8, true);
     }
     let runs = |n: &str| state(&cluster, n).starts_with("running");
-    wait_until("night work fills the pool", || runs("long-0") && runs("long-1"));
+    wait_until("night jobs fill the pool", || runs("long-0") && runs("long-1"));
     submit(&cluster, "urgent-1", "urgent", 4, true);
     wait_until("the urgent job is done", || state(&cluster, "urgent-1") == "done");
-    wait_until("night work goes on", || runs("long-0") && runs("long-1"));
+    wait_until("night jobs run again", || runs("long-0") && runs("long-1"));
     cluster.thistle_ok(&["job", "cancel", "long-0", "long-1"]);
     let ended = |n: &str| state(&cluster, n) == "cancelled";
     wait_until("cancelled jobs are stopped", || ended("long-0") && ended("long-1"));
--- a/crates/e2e/tests/path.rs
+++ b/crates/e2e/tests/path.rs
@@ -88,7 +88,7 @@
         let slow = s.spawn(move || cluster_ref.get(0, "ms=1500"));
         std::thread::sleep(std::time::Duration::from_millis(300));
         cluster.entries[0].signal("-TERM");
-        wait_until("health turns", || !cluster.is_ready(0));
+        wait_until("the entry is not ready", || !cluster.is_ready(0));
         slow.join().unwrap()
     });
     expect_that!(answer.map(|a| a.status), some(eq(200)));
--- a/crates/e2e/tests/voters.rs
+++ b/crates/e2e/tests/voters.rs
@@ -43,7 +43,7 @@
         expect_that!(is_unknown(&again), eq(true), "{again:?}");
         expect_that!(cluster.runs_of(k), eq(1));
     }
-    wait_until("new bookings are taken", || {
+    wait_until("new bookings are accepted", || {
         cluster.book(1, &timed_key(), "").is_some_and(|a| a.status == 200)
     });
 }
@@ -64,7 +64,7 @@
 /// Waits until three members have recent contact, and returns their ids.
 fn live_ids(cluster: &Cluster) -> Vec<String> {
     let mut live = Vec::new();
-    wait_until("three members are heard of", || {
+    wait_until("three members have recent contact", || {
         let has_contact = |m: &&serde_json::Value| m["entry_offset"].is_u64();
         live = members(cluster).iter().filter(has_contact).map(id_of).collect();
         live.len() == 3
--- a/crates/model/src/record.rs
+++ b/crates/model/src/record.rs
@@ -236,7 +236,7 @@
         /// The new set.
         voters: Vec<MemberId>,
     },
-    /// A quorum of both sets has adopted the proposal and taken over the claims.
+    /// A quorum of both sets has adopted the proposal and merged the claims.
     VotersCommitted {
         /// The revision of the proposal.
         base: Revision,
--- a/crates/model/src/vm.rs
+++ b/crates/model/src/vm.rs
@@ -54,7 +54,7 @@
     Maintenance,
     /// To assign it to another pool.
     Move(PoolName),
-    /// Its pool has more VMs than configured; the VM goes to the reserve.
+    /// Its pool has more VMs than configured; the VM moves to the reserve.
     Surplus,
     /// At the request of an operator.
     Operator,
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -244,10 +244,8 @@
                 self.requests[attempt.request].useful_us = arrival.service_us;
                 self.requests[attempt.request].end = Some(End::Answered(at - arrival.at_us));
             }
-            (_, Ok(back)) => self.retry_elsewhere(attempt, back, at),
-            (_, Err(sent)) if arrival.repeatable => {
-                self.retry_elsewhere(attempt, sent.repeat(), at)
-            }
+            (_, Ok(back)) => self.resend(attempt, back, at),
+            (_, Err(sent)) if arrival.repeatable => self.resend(attempt, sent.repeat(), at),
             (_, Err(sent)) => {
                 let refusal = sent.refuse(thistle_model::RefusalReason::Broken, Duration::ZERO);
                 self.record_outcome(attempt.request, refusal.outcome);
@@ -255,7 +253,7 @@
         }
     }
 
-    fn retry_elsewhere(&mut self, attempt: Attempt, back: Pending, at: u64) {
+    fn resend(&mut self, attempt: Attempt, back: Pending, at: u64) {
         let r = attempt.request;
         self.requests[r].avoid.add(attempt.vm);
         let ask = self.ask(r);
--- a/crates/replay/src/serve.rs
+++ b/crates/replay/src/serve.rs
@@ -32,6 +32,7 @@
         }
     }
 
+    /// Passes the send gate of an attempt; from then on the request may have run.
     fn pass_gate(&mut self, attempt: Attempt) {
         if let Some(State::Sent(_, gate)) = &self.requests[attempt.request].state {
             gate.pass(Instant::default());
--- a/crates/replay/src/worker.rs
+++ b/crates/replay/src/worker.rs
@@ -10,9 +10,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Health {
     Healthy,
+    /// Connections time out.
     SwitchedOff,
+    /// Connections are refused.
     Stopped,
+    /// Every request fails immediately.
     Failing,
+    /// Requests run, but their responses are lost.
     LosingResponses,
 }
 
@@ -35,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
     pub health: Health,
-    /// The incarnation; increased when the worker goes down, so that earlier runs are lost.
+    /// The incarnation; increased when the worker stops, so that its earlier runs are lost.
     pub incarnation: u64,
     running: usize,
     waiting: VecDeque<Attempt>,
--- a/crates/replay/tests/traces.rs
+++ b/crates/replay/tests/traces.rs
@@ -24,7 +24,7 @@
 }
 
 #[gtest]
-fn pharmacy_run_meets_its_bounds() {
+fn pharmacy_requests_never_run_twice() {
     expect_bounds_met("pharmacy-run");
 }
 
--- a/crates/settings/src/stdout_writer.rs
+++ b/crates/settings/src/stdout_writer.rs
@@ -34,7 +34,7 @@
 struct Budget {
     since: Instant,
     written: HashMap<String, u32>,
-    left_out: u64,
+    dropped: u64,
 }
 
 /// Writes log lines to standard output.
@@ -56,7 +56,7 @@
         std::thread::Builder::new()
             .name("log".to_owned())
             .spawn(move || write_lines(&rx, output))?;
-        let budget = Budget { since: Instant::now(), written: HashMap::new(), left_out: 0 };
+        let budget = Budget { since: Instant::now(), written: HashMap::new(), dropped: 0 };
         Ok(Self { tx, format, budget: Mutex::new(budget) })
     }
 
@@ -67,18 +67,18 @@
         if budget.since.elapsed() >= BUDGET_PERIOD {
             budget.since = Instant::now();
             budget.written.clear();
-            missed = std::mem::take(&mut budget.left_out);
+            missed = std::mem::take(&mut budget.dropped);
         }
         let written = budget.written.entry(kind.to_owned()).or_insert(0);
         *written += 1;
         let admitted = *written <= MAX_LINES_PER_KIND;
-        budget.left_out += u64::from(!admitted);
+        budget.dropped += u64::from(!admitted);
         (admitted, missed)
     }
 
     fn push(&self, line: Vec<u8>) {
         if self.tx.try_send(line).is_err() {
-            self.budget.lock().unwrap_or_else(PoisonError::into_inner).left_out += 1;
+            self.budget.lock().unwrap_or_else(PoisonError::into_inner).dropped += 1;
         }
     }
 }
--- a/crates/settings/tests/stdout_writer.rs
+++ b/crates/settings/tests/stdout_writer.rs
@@ -19,7 +19,7 @@
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         // Once the sender is dropped, writes are no longer blocked.
         let _ = self.open.recv();
-        self.written.lock().expect("no panic while it is held").extend_from_slice(buf);
+        self.written.lock().expect("the lock is not poisoned").extend_from_slice(buf);
         Ok(buf.len())
     }
 
@@ -57,7 +57,7 @@
 }
 
 fn lines(written: &Mutex<Vec<u8>>) -> Vec<String> {
-    let written = written.lock().expect("no panic while it is held");
+    let written = written.lock().expect("the lock is not poisoned");
     String::from_utf8_lossy(&written).lines().map(str::to_owned).collect()
 }
 
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -103,7 +103,7 @@
     }
 }
 
-fn boxed(answer: Response<Full<Bytes>>) -> Response<WorkerBody> {
+fn with_boxed_body(answer: Response<Full<Bytes>>) -> Response<WorkerBody> {
     answer.map(|b| b.map_err(|never: Infallible| match never {}).boxed())
 }
 
@@ -115,10 +115,10 @@
         match (req.method(), req.uri().path()) {
             (&Method::POST, "/-/fault") => {
                 *self.fault.lock().await = parse_fault(query_text(&req, "mode").as_deref());
-                Ok(boxed(status(StatusCode::NO_CONTENT)))
+                Ok(with_boxed_body(status(StatusCode::NO_CONTENT)))
             }
             (&Method::POST, path) if path.starts_with("/-/tasks/") => self.task_call(req).await,
-            (&Method::GET, "/-/counts") => Ok(boxed(json(&*self.counts.lock().await))),
+            (&Method::GET, "/-/counts") => Ok(with_boxed_body(json(&*self.counts.lock().await))),
             _ => self.serve(req).await,
         }
     }
@@ -130,7 +130,7 @@
         let path = req.uri().path().to_owned();
         let body = crate::serve::body(req).await;
         let Ok(call) = serde_json::from_slice::<TaskCall>(&body) else {
-            return Ok(boxed(status(StatusCode::BAD_REQUEST)));
+            return Ok(with_boxed_body(status(StatusCode::BAD_REQUEST)));
         };
         let mut tasks = self.tasks.lock().await;
         tasks.fails_all = *self.fault.lock().await == Fault::Fail;
@@ -140,14 +140,14 @@
             _ => tasks.make_yield(&call),
         };
         self.counts.lock().await.starts = tasks.starts.clone();
-        Ok(boxed(json(&states)))
+        Ok(with_boxed_body(json(&states)))
     }
 
     async fn serve(&self, req: Request<Incoming>) -> Result<Response<WorkerBody>, std::io::Error> {
         let fault = *self.fault.lock().await;
         let id = req.headers().get(REQUEST_ID).cloned();
         match fault {
-            Fault::Fail => return Ok(boxed(status(StatusCode::INTERNAL_SERVER_ERROR))),
+            Fault::Fail => return Ok(with_boxed_body(status(StatusCode::INTERNAL_SERVER_ERROR))),
             Fault::NotRun => {
                 let mut answer = status(StatusCode::SERVICE_UNAVAILABLE);
                 let one = hyper::header::HeaderValue::from_static("1");
@@ -155,7 +155,7 @@
                 if let Some(id) = id {
                     answer.headers_mut().insert(REQUEST_ID, id);
                 }
-                return Ok(boxed(answer));
+                return Ok(with_boxed_body(answer));
             }
             _ => {}
         }
@@ -180,7 +180,7 @@
         if fault == Fault::Truncate {
             return Ok(truncate(answer).await);
         }
-        Ok(boxed(answer))
+        Ok(with_boxed_body(answer))
     }
 
     /// Occupies a slot for the service time and counts the run.
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -37,7 +37,7 @@
     pub stated: Vec<MemberId>,
     /// The state of the sender's entry.
     pub entry: EntryReport,
-    /// VMs that the sender knows to be leaving.
+    /// VMs that are leaving according to the sender.
     pub leaving: Vec<VmName>,
 }
 
@@ -56,7 +56,7 @@
     pub stated: bool,
     /// Whether the voter can read the log.
     pub log_up: bool,
-    /// VMs that the voter knows to be leaving.
+    /// VMs that are leaving according to the voter.
     pub leaving: Vec<VmName>,
 }
 
