--- a/crates/cli/src/cmd/member.rs
+++ b/crates/cli/src/cmd/member.rs
@@ -1,4 +1,4 @@
-//! `thistle member`: repairs on the responsibility of an operator.
+//! `thistle member`: repairs for which an operator takes responsibility.
 
 use thistle_model::{Change, MemberId};
 
--- a/crates/e2e/tests/cluster/settings.rs
+++ b/crates/e2e/tests/cluster/settings.rs
@@ -19,7 +19,7 @@
     )
 }
 
-/// The loopback addresses of one cluster, 127.A.B.*, where A and B are its own.
+/// The loopback addresses of one cluster: 127.A.B.*, with A and B unique to the cluster.
 pub struct Addresses {
     prefix: String,
     pub entries: usize,
--- a/crates/model/src/view.rs
+++ b/crates/model/src/view.rs
@@ -96,7 +96,7 @@
     pub offset: Offset,
     /// The pools that changed.
     pub pools: Vec<ViewPool>,
-    /// VMs that are known to be leaving, also before the log records it.
+    /// VMs that are known to be leaving although the log does not record it yet.
     pub leaving: Vec<VmName>,
     /// The voters, with their addresses.
     pub voters: Voters,
--- a/crates/settings/src/entry.rs
+++ b/crates/settings/src/entry.rs
@@ -36,7 +36,7 @@
     /// The largest total size of the headers of a request or a response, in bytes.
     #[serde(default = "default_headers")]
     pub max_header_bytes: usize,
-    /// The number of requests that may be in progress or queued at one time.
+    /// The number of requests that may be in progress or queued at one time; further ones are refused.
     #[serde(default = "default_requests")]
     pub max_requests: usize,
     /// The number of requests that may wait for a slot of one pool.
--- a/crates/settings/src/scheduler.rs
+++ b/crates/settings/src/scheduler.rs
@@ -50,7 +50,7 @@
     /// The minimum time for which the state of settled jobs is reported.
     #[serde(default = "default_keep")]
     pub keep_settled: Span,
-    /// How long the process may take to stop after it is signalled.
+    /// How long the process may take to shut down after the stop signal.
     #[serde(default = "default_stop")]
     pub stop_grace: Span,
     /// The parameters of scheduling decisions.
--- a/crates/settings/tests/stdout_writer.rs
+++ b/crates/settings/tests/stdout_writer.rs
@@ -83,7 +83,7 @@
 }
 
 /// Guards against a writer thread that keeps taking lines off the queue while new ones arrive, so that the batch it
-/// holds for the reader has no bound. On a busy machine lines arrive as fast as they are taken.
+/// holds for the reader has no bound. On a busy machine lines can arrive as fast as they are taken.
 #[gtest]
 fn batch_taken_off_the_queue_is_bounded() {
     let (writer, gate, written) = gated_writer();
