--- a/crates/bench/src/cmd/latency.rs
+++ b/crates/bench/src/cmd/latency.rs
@@ -1,4 +1,4 @@
-//! `thistle-bench latency`: the same request to several addresses, in turn, side by side.
+//! `thistle-bench latency`: sends the same request to several targets in alternating rounds.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,10 +12,10 @@
 
 use super::Error;
 
-/// Rounds in which each target gets its share of requests.
+/// The number of rounds; each target gets an equal share of its requests in each round.
 const ROUNDS: u32 = 10;
 
-/// One address with its answer times.
+/// A target with its response times.
 struct Target {
     label: String,
     addr: SocketAddr,
@@ -25,7 +25,7 @@
     busy: Duration,
 }
 
-/// Sends `requests` to each target over `connections` kept connections, in alternating rounds.
+/// Sends `requests` to each target over `connections` persistent connections, in alternating rounds.
 ///
 /// A target is `LABEL=IP:PORT/PATH`.
 pub fn run(targets: &[String], requests: u32, connections: u32) -> Result<(), Error> {
@@ -35,7 +35,7 @@
     runtime.block_on(async {
         for _ in 0..ROUNDS {
             for target in &mut targets {
-                round(target, per_round, connections).await;
+                run_round(target, per_round, connections).await;
             }
         }
     });
@@ -59,7 +59,7 @@
     Ok(Target { label, addr, path, micros: Vec::new(), failed: 0, busy: Duration::ZERO })
 }
 
-async fn round(target: &mut Target, requests: u32, connections: u32) {
+async fn run_round(target: &mut Target, requests: u32, connections: u32) {
     let began = Instant::now();
     let tasks: Vec<_> = (0..connections)
         .map(|_| tokio::spawn(one_connection(target.addr, target.path.clone(), requests)))
--- a/crates/e2e/tests/jobs.rs
+++ b/crates/e2e/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs with real processes: placed, yielding, failing, cancelled, started once.
+//! Jobs with real processes: placement, yielding, failures, cancellation and single starts.
 
 mod cluster;
 
@@ -24,7 +24,7 @@
     job(cluster, name)["state"].as_str().unwrap_or_default().to_owned()
 }
 
-/// Returns how often the workers began a job.
+/// Returns the number of starts of a job on all workers.
 fn starts(cluster: &Cluster, name: &str) -> u64 {
     let count = |i| {
         let answer = http::get(&cluster.net.worker(i), "/-/counts")?;
@@ -42,10 +42,10 @@
         submit(&cluster, &format!("long-{n}"), "night", 8, true);
     }
     let runs = |n: &str| state(&cluster, n).starts_with("running");
-    wait_until("night work fills the pool", || runs("long-0") && runs("long-1"));
+    wait_until("night jobs fill the pool", || runs("long-0") && runs("long-1"));
     submit(&cluster, "urgent-1", "urgent", 4, true);
     wait_until("the urgent job is done", || state(&cluster, "urgent-1") == "done");
-    wait_until("night work goes on", || runs("long-0") && runs("long-1"));
+    wait_until("night jobs run again", || runs("long-0") && runs("long-1"));
     cluster.thistle_ok(&["job", "cancel", "long-0", "long-1"]);
     let ended = |n: &str| state(&cluster, n) == "cancelled";
     wait_until("cancelled jobs are stopped", || ended("long-0") && ended("long-1"));
@@ -65,7 +65,7 @@
 }
 
 #[gtest]
-fn failing_worker_is_told_from_a_failing_job() {
+fn failing_worker_is_distinguished_from_a_failing_job() {
     let cluster = Cluster::start(1, 4);
     cluster.publish(3, 1);
     let bad = cluster.vm_of("lunch");
@@ -86,7 +86,7 @@
 }
 
 #[gtest]
-fn job_that_may_not_be_repeated_starts_once_whoever_dies() {
+fn non_repeatable_job_starts_once_when_stewards_die() {
     let mut cluster = Cluster::start(3, 4);
     cluster.publish(3, 1);
     wait_until("all three vote", || cluster.is_settled());
--- a/crates/e2e/tests/voters.rs
+++ b/crates/e2e/tests/voters.rs
@@ -1,13 +1,13 @@
-//! Voters that are lost, replaced and restarted, with real processes.
+//! Loss, replacement and restart of voters, with real processes.
 
 mod cluster;
 
 use std::time::{Duration, Instant};
 
-use cluster::{Cluster, is_unknown, key, wait_until};
+use cluster::{Cluster, is_unknown, unique_key, wait_until};
 use googletest::prelude::*;
 
-/// Returns a key that is a UUID of version 7 made now.
+/// Returns a key that is a version 7 UUID with the current time.
 fn timed_key() -> String {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
     let hex = format!("{:012x}", now.as_millis());
@@ -15,10 +15,10 @@
 }
 
 #[gtest]
-fn lost_quorum_is_repaired_by_an_operator_and_old_keys_are_not_run() {
+fn lost_quorum_is_repaired_by_an_operator_and_old_keys_do_not_run_again() {
     let mut cluster = Cluster::start(3, 4);
     cluster.publish(3, 1);
-    let (opaque, timed) = (key("quorum"), timed_key());
+    let (opaque, timed) = (unique_key("quorum"), timed_key());
     for k in [&opaque, &timed] {
         expect_that!(cluster.book(0, k, "").map(|a| a.status), some(eq(200)));
     }
@@ -43,7 +43,7 @@
         expect_that!(is_unknown(&again), eq(true), "{again:?}");
         expect_that!(cluster.runs_of(k), eq(1));
     }
-    wait_until("new bookings are taken", || {
+    wait_until("new bookings are accepted", || {
         cluster.book(1, &timed_key(), "").is_some_and(|a| a.status == 200)
     });
 }
@@ -61,28 +61,29 @@
     members(cluster).iter().map(id_of).collect()
 }
 
-/// Returns the members whose entries are heard of.
+/// Waits until three members have recent contact, and returns their ids.
 fn live_ids(cluster: &Cluster) -> Vec<String> {
     let mut live = Vec::new();
-    wait_until("three members are heard of", || {
-        let heard = |m: &&serde_json::Value| m["entry_offset"].is_u64();
-        live = members(cluster).iter().filter(heard).map(id_of).collect();
+    wait_until("three members have recent contact", || {
+        let has_contact = |m: &&serde_json::Value| m["entry_offset"].is_u64();
+        live = members(cluster).iter().filter(has_contact).map(id_of).collect();
         live.len() == 3
     });
     live
 }
 
-/// Found in a review: a restarted steward has its predecessor's address, but not its claims.
+/// Guards against a restarted steward that replies to claim requests for its predecessor: it has the same address, but
+/// not the claims.
 #[gtest]
-fn restarted_voter_does_not_answer_for_its_predecessor() {
+fn restarted_voter_does_not_reply_for_its_predecessor() {
     let mut cluster = Cluster::start(3, 4);
     cluster.publish(3, 1);
     wait_until("all three vote", || cluster.is_settled());
-    let key = key("predecessor");
-    // The claim is held by the first and the third voter only.
+    let key = unique_key("predecessor");
+    // Only the first and the third voter hold the claim.
     cluster.stewards[1].signal("-STOP");
     expect_that!(cluster.book(0, &key, "").map(|a| a.status), some(eq(200)));
-    // The claim that waits at the frozen voter is given up by then.
+    // By then the claim request that waits at the frozen voter has timed out.
     std::thread::sleep(Duration::from_millis(1_000));
     cluster.stewards[2].signal("-STOP");
     cluster.stewards[1].signal("-CONT");
