--- a/crates/schedule/src/job_log.rs
+++ b/crates/schedule/src/job_log.rs
@@ -249,7 +249,7 @@
         match kind {
             SUBMIT => {
                 let spec = decode_spec(value).map_err(|_| bad())?;
-                // An invalid job would make every owner in turn fail on it.
+                // An invalid job would make one owner after another fail on it.
                 spec.check().map_err(|e| BadRecord(format!("{key}: {e}")))?;
                 Ok(self.submit(partition, id, spec))
             }
--- a/crates/schedule/src/pool/evacuate.rs
+++ b/crates/schedule/src/pool/evacuate.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Returns whether a run is to be stopped because another pool urgently needs its VM. The task may have to wait for room, as
+    /// Returns whether a run must be stopped because another pool urgently needs its VM. The task may have to wait for room, as
     /// its own pool needs the VM less.
     fn is_urgent(&self, vm: VmKey, task: TaskId, now: Now) -> bool {
         if !self.policy.moves.stop_tasks {
--- a/crates/scheduler/src/append.rs
+++ b/crates/scheduler/src/append.rs
@@ -27,7 +27,7 @@
 /// Pause between two attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 /// How long a submission that the store certainly has not written is retried, in milliseconds. The caller
-/// is told to retry earlier than if the node waited for an outage to end.
+/// is asked to retry earlier than if the node waited for an outage to end.
 const NOT_WRITTEN_RETRY_MS: Ms = 400;
 /// How long a submission that the store may have written is retried, in milliseconds: sending it again is
 /// harmless and may reveal the outcome.
--- a/crates/scheduler/src/ownership_flag.rs
+++ b/crates/scheduler/src/ownership_flag.rs
@@ -1,10 +1,10 @@
-//! A flag that tells whether this node owns something, and waits that end when the flag changes.
+//! A flag that indicates whether this node owns something, and waits that end when the flag changes.
 
 use std::time::Duration;
 
 use tokio::sync::watch;
 
-/// A flag that tells whether this node owns something.
+/// A flag that indicates whether this node owns something.
 #[derive(Debug)]
 pub struct OwnershipFlag(watch::Sender<bool>);
 
--- a/crates/scheduler/src/run.rs
+++ b/crates/scheduler/src/run.rs
@@ -90,7 +90,7 @@
     }
 }
 
-/// Gives up pools, tells the balancer to send no new connections, and answers the requests on open connections.
+/// Releases the pools, signals the balancer to send no new connections, and answers the requests on open connections.
 async fn stop(node: &Node) {
     log::info!("node name={} step=stop", node.me.name);
     let started_at = steady_ms();
