--- a/crates/scheduler/tests/cancels.rs
+++ b/crates/scheduler/tests/cancels.rs
@@ -38,9 +38,9 @@
     until("an order was sent", ordered).await;
 }
 
-/// Guards against tasks of a cancelled job that start after the cancel. A VM stops answering while starts are sent, the job is
-/// cancelled, and the VM answers again. If unanswered starts are then sent again, and starts that waited in the rate limit are sent
-/// together with the stops of the same runs, a start that arrives before its stop begins a run.
+/// Guards against tasks of a cancelled job that start after the cancel. A VM stops answering while starts are sent, the
+/// job is cancelled, and the VM answers again. If unanswered starts are then sent again, and starts that waited in the
+/// rate limit are sent together with the stops of the same runs, a start that arrives before its stop begins a run.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn starts_are_not_sent_once_their_runs_are_to_be_stopped() {
@@ -98,18 +98,18 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn tasks_of_a_job_that_is_cancelled_after_its_owner_died_end() {
+async fn tasks_end_if_their_job_is_cancelled_after_its_owner_died() {
     job_ends_without_its_owner(72, false, false).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn tasks_of_a_cancelled_job_end_if_its_owner_dies_right_after_the_cancel() {
+async fn tasks_end_if_their_owner_dies_right_after_their_job_is_cancelled() {
     job_ends_without_its_owner(73, true, false).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn tasks_of_a_cancelled_job_end_if_their_vms_were_unreachable() {
+async fn tasks_end_if_their_job_is_cancelled_while_their_vms_are_unreachable() {
     job_ends_without_its_owner(74, false, true).await;
 }
--- a/crates/scheduler/tests/caps.rs
+++ b/crates/scheduler/tests/caps.rs
@@ -80,9 +80,9 @@
     system.nodes[owner].kill();
     put_cap(&system, 3, 1_000);
     system.nodes[owner].start();
-    let began = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     // Tasks that were running before may go on, but no others start.
-    while began.elapsed() < Duration::from_secs(2) {
+    while started_at.elapsed() < Duration::from_secs(2) {
         expect_that!(running(&system).len(), le(4));
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
--- a/crates/scheduler/tests/copies_of_starts.rs
+++ b/crates/scheduler/tests/copies_of_starts.rs
@@ -1,8 +1,8 @@
 //! Starts that are sent several times, where one copy has no answer and another copy is refused, with real nodes.
 //!
-//! Guards against tasks that are started again although they ran. A copy without an answer may have been executed, or may be executed
-//! seconds later, even if the VM refuses the next copy. So the refusal of one copy must not count as the refusal of the order.
-//! Here a proxy in front of each VM loses answers, delays copies and refuses others.
+//! Guards against tasks that are started again although they ran. A copy without an answer may have been executed, or
+//! may be executed seconds later, even if the VM refuses the next copy. So the refusal of one copy must not count as
+//! the refusal of the order. Here a proxy in front of each VM loses answers, delays copies and refuses others.
 
 mod middle;
 mod system;
@@ -101,30 +101,31 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_start_whose_answer_is_lost_is_not_started_elsewhere() {
+async fn a_task_is_started_once_if_the_answer_to_its_start_is_lost() {
     expect_each_started_once(95, FirstCopy::CarriedOut, "").await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_run_on_a_vm_that_reports_overload_is_not_started_elsewhere() {
+async fn a_task_is_started_once_if_its_vm_answers_a_copy_with_503_or_429() {
     expect_each_started_once(96, FirstCopy::CarriedOut, &answer(503, "")).await;
     expect_each_started_once(97, FirstCopy::CarriedOutLate, &answer(429, "")).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_run_is_not_started_elsewhere_if_its_vm_refuses_a_copy_of_its_start() {
+async fn a_task_is_started_once_if_its_vm_refuses_a_copy_of_its_start() {
     for (net, reason) in [(98, "room"), (99, "ticket"), (100, "old")] {
         expect_each_started_once(net, FirstCopy::CarriedOut, &refusal_answer(reason)).await;
     }
 }
 
-/// Guards against a task that runs on two VMs at once. A VM has no capacity for the second copy, and its next list does not contain the
-/// run, because the first copy is still to be executed. If the task is then started elsewhere, and no stop is sent that keeps the VM
-/// from executing the first copy, both runs begin.
+/// Guards against a task that runs on two VMs at once. A VM has no capacity for the second copy, and its next list does
+/// not contain the run, because the first copy is still to be executed. If the task is then started elsewhere, and no
+/// stop is sent that keeps the VM from executing the first copy, both runs begin.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_copy_that_is_executed_after_another_was_refused_for_lack_of_capacity_runs_once() {
+async fn a_task_is_started_once_if_a_copy_is_executed_after_another_was_refused_for_lack_of_capacity()
+ {
     expect_each_started_once(101, FirstCopy::CarriedOutLate, &refusal_answer("room")).await;
 }
--- a/crates/scheduler/tests/crashing.rs
+++ b/crates/scheduler/tests/crashing.rs
@@ -1,7 +1,8 @@
 //! A task that crashes each VM on which it starts, with real nodes.
 //!
-//! If runs that are lost with their VMs are not counted, such a task is started on one VM after another and ends the runs on each.
-//! It must be abandoned after a few VMs, also if each start is ordered by a different owner, and a job that shares its VMs must complete.
+//! If runs that are lost with their VMs are not counted, such a task is started on one VM after another and ends the
+//! runs on each. It must be abandoned after a few VMs, also if each start is ordered by a different owner, and a job
+//! that shares its VMs must complete.
 
 mod system;
 
@@ -30,8 +31,8 @@
     expect_abandoned(&System::start(60, 3, 2).await).await;
 }
 
-/// A restart of a VM under the same ID must count as a crash. If the owner only sees a list without the run, it takes the task for one
-/// that never started.
+/// A restart of a VM under the same ID must count as a crash. If the owner only sees a list without the run, it takes
+/// the task for one that never started.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_task_is_abandoned_if_the_vms_that_it_crashes_keep_their_ids() {
--- a/crates/scheduler/tests/dropped_records.rs
+++ b/crates/scheduler/tests/dropped_records.rs
@@ -38,10 +38,10 @@
     until("records were dropped", async || node.log().matches(DROPPED).count() >= times).await;
 }
 
-/// Guards against a completed job that runs again. Its submission is in the fallback partition, which refuses writes while the owner
-/// drops the job. The owner drops the job in the first partition, and every reader of that record, including the owner, forgets the job
-/// and its progress, so that nobody drops the submission later. After ten seconds without reads the fallback partition is read from its
-/// newest records, and the submission there counts as a new one.
+/// Guards against a completed job that runs again. Its submission is in the fallback partition, which refuses writes
+/// while the owner drops the job. The owner drops the job in the first partition, and every reader of that record,
+/// including the owner, forgets the job and its progress, so that nobody drops the submission later. After ten seconds
+/// without reads the fallback partition is read from its newest records, and the submission there counts as a new one.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_settled_job_stays_settled_if_the_fallback_partition_refuses_to_drop_it() {
@@ -62,9 +62,10 @@
     expect_that!(starts.values().all(|&n| n == 1), eq(true), "{starts:?}");
 }
 
-/// Guards against a completed job that runs again on a new owner. The new owner read the job while it ran, and then nothing until the
-/// job's records were dropped. It then reads the newest record of each key, which includes no record of the job, and must not keep its
-/// old knowledge that the job's tasks run. Otherwise it starts them again, as no VM lists them.
+/// Guards against a completed job that runs again on a new owner. The new owner read the job while it ran, and then
+/// nothing until the job's records were dropped. It then reads the newest record of each key, which includes no record
+/// of the job, and must not keep its old knowledge that the job's tasks run. Otherwise it starts them again, as no VM
+/// lists them.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_paused_node_does_not_rerun_a_job_that_was_settled_and_dropped_meanwhile() {
--- a/crates/scheduler/tests/evacuation.rs
+++ b/crates/scheduler/tests/evacuation.rs
@@ -1,7 +1,7 @@
 //! Data halls that the operator evacuates and returns to service.
 //!
-//! Guards against tasks that are started in a hall after the request to evacuate it was acknowledged, which happens if no node reads the
-//! request and the VMs there are used as before.
+//! Guards against tasks that are started in a hall after the request to evacuate it was acknowledged, which happens if
+//! no node reads the request and the VMs there are used as before.
 
 mod system;
 
@@ -136,10 +136,11 @@
     expect_that!(started_since(&system, "hall-a", evacuated_at), eq(0));
 }
 
-/// A node that cannot read the operator's requests does not know which halls are evacuated. It starts nothing until it has read them.
+/// A node that cannot read the operator's requests does not know which halls are evacuated. It starts nothing until it
+/// has read them.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_node_that_cannot_read_requests_soon_starts_nothing() {
+async fn a_node_that_cannot_read_evacuation_requests_stops_starting_tasks() {
     let system = start_with_two_halls(204, 1).await;
     system.platform.store.set_part_fault("op", 0, Fault::Busy);
     tokio::time::sleep(EVACUATE_WITHIN + Duration::from_secs(1)).await;
--- a/crates/scheduler/tests/faults.rs
+++ b/crates/scheduler/tests/faults.rs
@@ -14,7 +14,8 @@
     system.owner().expect("it has one")
 }
 
-/// Submits jobs while the store has a fault. Checks that each job is accepted or its outcome is unknown, and that its tasks run once.
+/// Submits jobs while the store has a fault. Checks that each job is accepted or its outcome is unknown, and that its
+/// tasks run once.
 async fn expect_jobs_run_once_under(system: &System, fault: Fault) {
     until_owned(system).await;
     system.platform.store.set_fault(fault);
@@ -122,8 +123,8 @@
     expect_that!(status("/plans/").await, eq(200));
 }
 
-/// Guards against tasks of an unresponsive VM that never run elsewhere. If each try to reach the VM counts as a renewal of its lease,
-/// the lease never expires and the runs never count as ended.
+/// Guards against tasks of an unresponsive VM that never run elsewhere. If each try to reach the VM counts as a renewal
+/// of its lease, the lease never expires and the runs never count as ended.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn tasks_of_an_unresponsive_vm_run_on_another_once_their_lease_expires() {
@@ -149,8 +150,8 @@
     until_state(&system.nodes[0], ID, "completed").await;
 }
 
-/// Guards against submissions that are refused or not answered while the store is slow, because appends that time out too early are
-/// sent again and fill the store's queue.
+/// Guards against submissions that are refused or not answered while the store is slow, because appends that time out
+/// too early are sent again and fill the store's queue.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_slow_store_accepts_every_job() {
@@ -177,8 +178,8 @@
     }
 }
 
-/// Guards against requests that time out while the store is slow. If an append takes a quarter of a second and each of 32 nodes sends
-/// its own, the appends wait for each other. So nodes forward submissions to the owner instead.
+/// Guards against requests that time out while the store is slow. If an append takes a quarter of a second and each of
+/// 32 nodes sends its own, the appends wait for each other. So nodes forward submissions to the owner instead.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn nodes_forward_submissions_to_the_owner_while_the_store_is_slow() {
@@ -201,10 +202,11 @@
     }
 }
 
-/// Guards against callers that wait until their deadline when the store becomes 50 times slower. Until 97 nodes notice, each appends its
-/// jobs by itself, so that the first partition's queue is full for seconds. If refused nodes then use the fallback partition, its queue
-/// is full as well, and an owner that tries one partition after the other waits 2.1 s for both, while new submissions get no place in
-/// the queue within a second. In this test the first partition's queue stays full.
+/// Guards against callers that wait until their deadline when the store becomes 50 times slower. Until 97 nodes notice,
+/// each appends its jobs by itself, so that the first partition's queue is full for seconds. If refused nodes then use
+/// the fallback partition, its queue is full as well, and an owner that tries one partition after the other waits 2.1 s
+/// for both, while new submissions get no place in the queue within a second. In this test the first partition's queue
+/// stays full.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_slow_store_accepts_jobs_while_their_first_partition_is_full() {
@@ -238,8 +240,8 @@
     }
 }
 
-/// Guards against a node that replies that there is no such job although it cannot read new records, because its other calls to the
-/// store succeed.
+/// Guards against a node that replies that there is no such job although it cannot read new records, because its other
+/// calls to the store succeed.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_job_that_cannot_be_looked_up_is_not_reported_as_unknown() {
@@ -295,9 +297,9 @@
     until("the count is not reported", async || status().await == 503).await;
 }
 
-/// Guards against a pool that has no owner for 1.5 s after its claim was given up, beside a store that is 46 times slower. If a node
-/// reads the heartbeats of others only after its own was answered or timed out, it concludes that it cannot receive, and such a node
-/// claims no pool.
+/// Guards against a pool that has no owner for 1.5 s after its owner gave it up, when the store is 46 times slower than
+/// usual. If a node reads the heartbeats of others only after its own was answered or timed out, it concludes that it
+/// cannot receive, and such a node claims no pool.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_node_whose_heartbeat_has_no_answer_still_receives_heartbeats() {
--- a/crates/scheduler/tests/middle/mod.rs
+++ b/crates/scheduler/tests/middle/mod.rs
@@ -61,8 +61,8 @@
     format!("HTTP/1.1 {status} Told\r\ncontent-length: {}\r\n\r\n{body}", body.len())
 }
 
-/// Starts a proxy for an address and returns the proxy's address. The rule returns the answer to each request, and the proxy closes the
-/// connection if there is none.
+/// Starts a proxy for an address and returns the proxy's address. The rule returns the answer to each request, and the
+/// proxy closes the connection if there is none.
 pub async fn stand_for<F, R>(upstream: SocketAddr, ip: Ipv4Addr, rule: F) -> SocketAddr
 where
     F: Fn(Asked) -> R + Clone + Send + Sync + 'static,
@@ -76,8 +76,8 @@
             let _ = stream.set_nodelay(true);
             tokio::spawn(async move {
                 let mut buf = Vec::new();
-                while let Some(asked) = read_request(&mut stream, &mut buf, upstream).await {
-                    let Some(answer) = rule(asked).await else { return };
+                while let Some(request) = read_request(&mut stream, &mut buf, upstream).await {
+                    let Some(answer) = rule(request).await else { return };
                     if stream.write_all(answer.as_bytes()).await.is_err() {
                         return;
                     }
@@ -107,8 +107,8 @@
     upstream: SocketAddr,
 ) -> Option<Asked> {
     loop {
-        if let Some(asked) = parse_request(buf, upstream) {
-            return Some(asked);
+        if let Some(request) = parse_request(buf, upstream) {
+            return Some(request);
         }
         if stream.read_buf(buf).await.ok()? == 0 {
             return None;
--- a/crates/scheduler/tests/mixed_builds.rs
+++ b/crates/scheduler/tests/mixed_builds.rs
@@ -1,7 +1,7 @@
 //! A node of an older build together with a node of this build, as in a rolling upgrade.
 //!
-//! Guards against names of records, messages or settings that change between builds. A node then cannot read what the other node
-//! wrote, so that jobs are lost or their tasks are started twice when a pool changes its owner.
+//! Guards against names of records, messages or settings that change between builds. A node then cannot read what the
+//! other node wrote, so that jobs are lost or their tasks are started twice when a pool changes its owner.
 //! `scripts/mixed-builds OLD_REV` builds the older program and runs this test.
 
 mod system;
@@ -20,8 +20,8 @@
 /// How long the owner has to start the tasks of such a job.
 const STARTS_WITHIN: Duration = Duration::from_millis(800);
 
-/// Submits a job of short tasks and a job of long tasks to each node and kills the owner during the long ones. Checks that the nodes
-/// report all jobs as completed and that no task was started twice.
+/// Submits a job of short tasks and a job of long tasks to each node and kills the owner during the long ones. Checks
+/// that the nodes report all jobs as completed and that no task was started twice.
 async fn expect_takeover_by_other_build(system: &mut System, first_id: u64) {
     let owner = system.owner().expect("the pool has an owner");
     let ids: Vec<String> = (first_id..).map(|id| format!("{id:016x}")).take(4).collect();
@@ -34,7 +34,7 @@
         until_state(&system.nodes[0], id, "completed").await;
         until_state(&system.nodes[1], id, "completed").await;
     }
-    until("the long tasks have begun", async || {
+    until("the long tasks have started", async || {
         ids[2..].iter().all(|id| !system.starts_of(id).is_empty())
     })
     .await;
--- a/crates/scheduler/tests/restarted_owners.rs
+++ b/crates/scheduler/tests/restarted_owners.rs
@@ -1,14 +1,16 @@
 //! Owners that end by mistake and are restarted by their node, with real nodes.
 //!
-//! An owner ends after a panic, or when a VM reports that it has seen a higher token. Its node then starts another owner. If the second
-//! owner has the same token, its records and orders cannot be distinguished from those of the first owner:
+//! An owner ends after a panic, or when a VM reports that it has seen a higher token. Its node then starts another
+//! owner. If the second owner has the same token, its records and orders cannot be distinguished from those of the
+//! first owner:
 //!
-//! - It numbers its records from 1 again. Readers that know a record with a higher number ignore the new ones as older. So the job is never
-//!   shown as completed, and the next owner starts tasks that are done again, as it takes them for placed and their VM does not list them.
-//! - It numbers its appends from 0 again, within the same epoch. If the first owner sent at most five, the store takes the new ones for
-//!   copies, answers as before, and stores nothing.
-//! - VMs still accept orders of the first owner. A start that is executed late begins after the second owner's first list, in which it was
-//!   missing, so that the second owner has started the task elsewhere.
+//! - It numbers its records from 1 again. Readers that know a record with a higher number ignore the new ones as older.
+//!   So the job is never shown as completed, and the next owner starts completed tasks once more, as it takes them for
+//!   placed and their VM does not list them.
+//! - It numbers its appends from 0 again, within the same epoch. If the first owner sent at most five, the store takes
+//!   the new ones for copies, answers as before, and stores nothing.
+//! - VMs still accept orders of the first owner. A start that is executed late begins after the second owner's first
+//!   list, in which it was missing, so that the second owner has started the task elsewhere.
 
 mod system;
 
@@ -101,10 +103,10 @@
     }
     expect_that!(submit(node, ID, &job(1, 4_000)).await.status, eq(200));
     let unanswered = format!("start step=no-answer run={ID}");
-    let began = std::time::Instant::now();
+    let waiting_since = std::time::Instant::now();
     // The start is sent again after 0.2 s and would then be executed as usual.
     while !node.log().contains(&unanswered) {
-        assert!(began.elapsed() < system::PATIENCE, "{unanswered}");
+        assert!(waiting_since.elapsed() < system::PATIENCE, "{unanswered}");
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     let ordered = vms.iter().position(|vm| vm.orders() > 0).expect("one was ordered to start it");
--- a/crates/scheduler/tests/simultaneous_restarts.rs
+++ b/crates/scheduler/tests/simultaneous_restarts.rs
@@ -16,11 +16,12 @@
 const SPEC_BYTES: usize = 4_000;
 /// The size of all jobs in pages of the store, whose base64 encoding adds a third.
 const POOL_PAGE_BYTES: u64 = JOBS * SPEC_BYTES as u64 * 4 / 3;
-/// The store's read limit. At this limit a page of 50 jobs takes 3.2 s if all nodes read it at once, which exceeds the timeout of a page,
-/// and 1.1 s if only the nodes read it that follow the pool's records.
+/// The store's read limit. At this limit a page of 50 jobs takes 3.2 s if all nodes read it at once, which exceeds the
+/// timeout of a page, and 1.1 s if only the nodes read it that follow the pool's records.
 const STORE_BYTES_PER_SECOND: u64 = 2_000_000;
 
-/// While an owner is unresponsive and not replaced yet, nodes that do not follow the pool's records can query only its standbys.
+/// While an owner is unresponsive and not replaced yet, nodes that do not follow the pool's records can query only its
+/// standbys.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn every_node_reports_jobs_while_their_owner_is_dead() {
@@ -48,10 +49,11 @@
     format!("{n:016x}")
 }
 
-/// Guards against a fleet that never serves again after a loss of power. On 97 nodes that restart within 100 ms, the store reads 80 MB
-/// a second for all of them, and nodes request a page again after a timeout of 2 s. If each node reads the records of every pool, the
-/// amount to read grows with the product of nodes and jobs, and the store's work for pages that timed out is lost.
-/// With the 24 nodes, 250 jobs of 4 KB and 2 MB a second of this test, no node would be ready within 60 s.
+/// Guards against a fleet that never serves again after a loss of power. On 97 nodes that restart within 100 ms, the
+/// store reads 80 MB a second for all of them, and nodes request a page again after a timeout of 2 s. If each node
+/// reads the records of every pool, the amount to read grows with the product of nodes and jobs, and the store's work
+/// for pages that timed out is lost. With the 24 nodes, 250 jobs of 4 KB and 2 MB a second of this test, no node would
+/// be ready within 60 s.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn nodes_that_all_restart_at_once_serve_again() {
--- a/crates/scheduler/tests/soak.rs
+++ b/crates/scheduler/tests/soak.rs
@@ -1,7 +1,9 @@
-//! A randomized soak test: injects faults into real node processes and checks the platform's promises by what callers and VMs see.
+//! A randomized soak test: injects faults into real node processes and checks the platform's promises by what callers
+//! and VMs see.
 //!
 //! A seed determines the schedule of faults. `THISTLE_SOAK_SEEDS=100..150 THISTLE_SOAK_SECONDS=20 cargo test --release -p
-//! thistle-scheduler --test soak -- --nocapture` runs other seeds. Seeds that found a fault stay in the constants below, with its cause.
+//! thistle-scheduler --test soak -- --nocapture` runs other seeds. Seeds that found a fault stay in the constants below,
+//! each with its cause.
 
 #[path = "soak/bursts.rs"]
 mod bursts;
@@ -37,13 +39,13 @@
 /// Seeds of a short run of planned work.
 ///
 /// 50: a node that was about to exit closed new connections without reading their requests.
-/// 960 (a fault of this test, which failed four times of four): SIGHUP reached a new process before its handler was installed, and the
-/// test did not restart the process as the platform does.
+/// 960 (a fault of this test, which failed four times of four): SIGHUP reached a new process before its handler was
+/// installed, and the test did not restart the process as the platform does.
 const PLANNED_SEEDS: [u64; 3] = [50, 51, 960];
 /// Seeds that found a fault and are part of each short run.
 ///
-/// 100 (a fault of the fake platform): two concurrent runs of a task, as the fake executed a start 2.5 s late on a VM that had crashed
-/// 1.7 s after the start was sent.
+/// 100 (a fault of the fake platform): two concurrent runs of a task, as the fake executed a start 2.5 s late on a VM
+/// that had crashed 1.7 s after the start was sent.
 const REGRESSION_SEEDS: [u64; 1] = [100];
 /// The number of nodes in a run with many processes.
 const MANY_NODES: u8 = 48;
@@ -51,32 +53,33 @@
 const DEFAULT_SECONDS: u64 = 12;
 /// Seeds of a short run with nodes that follow no pool's records.
 ///
-/// 415 (a fault of the check): a VM was unreachable for 12 s while the store did not respond for 7 s. The VM's lease expired, its tasks
-/// were started elsewhere once the store was back, and 1 ms later the VM reported that they had ended before the expiry. An end that
-/// is acknowledged after the lease has expired does not count.
+/// 415 (a fault of the check): a VM was unreachable for 12 s while the store did not respond for 7 s. The VM's lease
+/// expired, its tasks were started elsewhere once the store was back, and 1 ms later the VM reported that they had
+/// ended before the expiry. An end that is acknowledged after the lease has expired does not count.
 const MANY_NODES_SEEDS: [u64; 2] = [70, 415];
 
 /// Seeds of a short run with jobs that crash their VMs.
 ///
-/// 302 (a fault of the fake platform): a sixth start of a task that crashed its VMs. A VM answered a call from before its crash with an
-/// empty list of runs, so that the run counted as never started.
+/// 302 (a fault of the fake platform): a sixth start of a task that crashed its VMs. A VM answered a call from before
+/// its crash with an empty list of runs, so that the run counted as never started.
 const CRASHING_JOB_SEEDS: [u64; 2] = [80, 302];
 
 /// Seeds of a short run with a cap.
 ///
-/// 955 (a fault of the check): the last cap allowed two tasks at once, so that the waiting tasks took 156 s. By then a job that had been
-/// cancelled at the beginning was reported as unknown, 150 s after it was settled.
+/// 955 (a fault of the check): the last cap allowed two tasks at once, so that the waiting tasks took 156 s. By then a
+/// job that had been cancelled at the beginning was reported as unknown, 150 s after it was settled.
 const CAP_SEEDS: [u64; 2] = [20, 955];
 
 /// Seeds of a short run with bursts of work.
 ///
 /// 3013: a working VM whose entry had vanished counted as replaced by its previous incarnation, whose entry was still listed.
-/// 3049: starts that waited in the rate limit were sent 0.4 s after the loss of their VM, 20 ms before the task was started elsewhere.
+/// 3049: starts that waited in the rate limit were sent 0.4 s after the loss of their VM, 20 ms before the task was
+/// started elsewhere.
 const BURST_SEEDS: [u64; 2] = [3_013, 3_049];
 /// Seeds of a short run with VMs that restart under the same IDs.
 ///
-/// 4055: a link that had waited 1.1 s for a slow store did not notice that its VM had restarted 0.8 s before. Its next query acknowledged
-/// 60 ends of the previous incarnation, so that a task of the new incarnation was started again.
+/// 4055: a link that had waited 1.1 s for a slow store did not notice that its VM had restarted 0.8 s before. Its next
+/// query acknowledged 60 ends of the previous incarnation, so that a task of the new incarnation was started again.
 const RESTART_SEEDS: [u64; 2] = [4_000, 4_055];
 /// Seeds of a short run with data halls that are evacuated and returned to service.
 const EVACUATION_SEEDS: [u64; 2] = [5_000, 5_001];
@@ -194,8 +197,8 @@
 }
 
 impl Kind {
-    /// Returns the first of its networks and their number. The seeds of one process use them in turn, so this is also the number of
-    /// seeds that one process may run.
+    /// Returns the first of its networks and their number. The seeds of one process use them in turn, so this is also
+    /// the number of seeds that one process may run.
     const fn nets(self) -> (u8, u64) {
         match self {
             Self::Faults => (100, 60),
--- a/crates/scheduler/tests/soak/bursts.rs
+++ b/crates/scheduler/tests/soak/bursts.rs
@@ -1,9 +1,9 @@
-//! Faults during bursts of work: VMs that are cut off and reconnected together, entries that vanish while their VMs keep working,
-//! nodes that are paused, replaced, or killed and restarted at once.
+//! Faults during bursts of work: VMs that are cut off and reconnected together, entries that vanish while their VMs
+//! keep working, nodes that are paused, replaced, or killed and restarted at once.
 //!
-//! A VM is one incarnation of its machine, and all its runs end before the next incarnation starts. So the next incarnation is never
-//! listed while the previous one works. The faults here are an entry that remains after the next incarnation is listed, and an entry
-//! that vanishes seconds before its VM crashes or is listed again.
+//! A VM is one incarnation of its machine, and all its runs end before the next incarnation starts. So the next
+//! incarnation is never listed while the previous one works. The faults here are an entry that remains after the next
+//! incarnation is listed, and an entry that vanishes seconds before its VM crashes or is listed again.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -19,8 +19,8 @@
 const MIN_CONNECTED_VMS: usize = 2;
 /// How long several VMs are cut off together, in milliseconds. Leases last 6 s at most, so some of them expire.
 const SEVERAL_CUT_OFF_MS: std::ops::Range<u64> = 5_000..9_000;
-/// How long several VMs are cut off as a burst begins, in milliseconds. They reconnect about when their leases expire, after their
-/// tasks were assigned to other VMs.
+/// How long several VMs are cut off as a burst begins, in milliseconds. They reconnect about when their leases expire,
+/// after their tasks were assigned to other VMs.
 const BURST_CUT_OFF_MS: std::ops::Range<u64> = 5_000..7_200;
 /// How long a VM can receive or send only some messages, in milliseconds.
 const PARTLY_CUT_OFF_MS: std::ops::Range<u64> = 1_000..8_000;
@@ -103,7 +103,7 @@
         let machines = &self.system.platform.machines;
         match repair {
             Repair::Reconnect(vms) => {
-                vms.iter().for_each(|vm| vm.set_connectivity(Connectivity::All))
+                vms.iter().for_each(|vm| vm.set_connectivity(Connectivity::All));
             }
             Repair::RewriteEntry(id) => machines.rewrite_entry(&id),
             Repair::RemoveEntry(id) => machines.remove_entry(&id),
--- a/crates/scheduler/tests/soak/checks.rs
+++ b/crates/scheduler/tests/soak/checks.rs
@@ -47,8 +47,8 @@
     started_at: Instant,
     ended_at: Option<Instant>,
     done_acknowledged_at: Option<Instant>,
-    /// Whether the VM's lease expired after the end of the run and before its acknowledgement. A later acknowledgement does not count,
-    /// and the task may run again.
+    /// Whether the VM's lease expired after the end of the run and before its acknowledgement. A later acknowledgement
+    /// does not count, and the task may run again.
     lease_expired_unacknowledged: bool,
 }
 
@@ -78,8 +78,8 @@
     broken
 }
 
-/// Returns the requests that a node accepted, according to its log, and did not answer. A request that a node never read, because it
-/// closed the idle connection at the same moment, does not count.
+/// Returns the requests that a node accepted, according to its log, and did not answer. A request that a node never
+/// read, because it closed the idle connection at the same moment, does not count.
 pub fn cut_requests(system: &System, jobs: &[Job]) -> Vec<BrokenPromise> {
     let logs: Vec<String> = system.nodes.iter().map(super::system::Node::log).collect();
     let mut cut = Vec::new();
@@ -114,8 +114,8 @@
     broken
 }
 
-/// Returns when the end of a run was acknowledged that was done before another run started. Returns `None` if there was no such end or
-/// no acknowledgement.
+/// Returns whether the end of a completed run was acknowledged before or after the start of another run. Returns `None`
+/// if the end was never acknowledged or came after that start.
 fn acknowledgement_of_earlier_run(ended: &Run, started: &Run) -> Option<AckTiming> {
     let noted = ended.done_acknowledged_at?;
     if noted < started.started_at {
@@ -184,9 +184,9 @@
 
     /// Returns the promises broken by these events on one VM and a start of the same task on another VM after 30 ms.
     fn promises_broken_after(first: &[(u64, RunEventKind)]) -> Vec<BrokenPromise> {
-        let began = Instant::now();
+        let first_event = Instant::now();
         let at = |&(ms, ref step): &(u64, RunEventKind), attempt| RunEvent {
-            at: began + Duration::from_millis(ms),
+            at: first_event + Duration::from_millis(ms),
             // The expiry of a lease belongs to no run.
             task: if *step == RunEventKind::LeaseExpired { String::new() } else { TASK.to_owned() },
             attempt: if *step == RunEventKind::LeaseExpired { 0 } else { attempt },
--- a/crates/scheduler/tests/soak/crashing_jobs.rs
+++ b/crates/scheduler/tests/soak/crashing_jobs.rs
@@ -52,7 +52,7 @@
         self.faults.push(format!("foreign entry {id} {entry:?}"));
     }
 
-    /// Writes the entries of all VMs that are up again.
+    /// Rewrites the entries of all VMs that are up.
     pub fn restore_entries(&mut self) {
         for vm in self.system.platform.machines.vms() {
             self.system.platform.store.put(listing::TOPIC, &vm.id, vm.entry());
@@ -73,9 +73,9 @@
         self.crashing_job_ids.iter().map(job).collect()
     }
 
-    /// Returns whether a job was abandoned because VMs crashed under one of its tasks, in a run with jobs that crash them. The platform
-    /// allows this after two crashes. With seed 302 on a busy machine, five of six VMs crashed under a task that ran next to nine
-    /// crashing jobs.
+    /// Returns whether a job was abandoned because VMs crashed under one of its tasks, in a run with jobs that crash
+    /// them. The platform allows this after two crashes. With seed 302 on a busy machine, five of six VMs crashed under
+    /// a task that ran next to nine crashing jobs.
     pub fn was_abandoned(&self, id: &str) -> bool {
         let line = format!("job step=given-up task={id}.");
         !self.crashing_job_ids.is_empty()
--- a/crates/scheduler/tests/soak/evacuations.rs
+++ b/crates/scheduler/tests/soak/evacuations.rs
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Returns the starts in evacuated halls after the evacuation had to be in force. Allows for starts that were sent before and that the
-    /// fake executed late.
+    /// Returns the starts in evacuated halls after the evacuation had to be in force. Allows for starts that were sent
+    /// before and that the fake executed late.
     pub fn starts_in_evacuated_halls(&self) -> Vec<BrokenPromise> {
         let mut broken = Vec::new();
         for evacuation in &self.evacuations {
--- a/crates/scheduler/tests/system/mod.rs
+++ b/crates/scheduler/tests/system/mod.rs
@@ -22,8 +22,8 @@
 /// The API key of callers. It is not checked if no workspace is configured.
 pub const KEY: &str = "soak-key";
 
-/// Returns an address in a test's own part of the loopback network. Concurrent test runs each have a part of that network, set by
-/// `THISTLE_TEST_NET` (20 to 120).
+/// Returns an address in a test's own part of the loopback network. Concurrent test runs each have a part of that
+/// network, set by `THISTLE_TEST_NET` (20 to 120).
 pub fn ip(net: u8, host: u8) -> Ipv4Addr {
     let part = std::env::var("THISTLE_TEST_NET").map_or(20, |part| part.parse().expect("a number"));
     Ipv4Addr::new(127, part, net, host)
