--- a/crates/schedule/tests/caps_of_settled_jobs.rs
+++ b/crates/schedule/tests/caps_of_settled_jobs.rs
@@ -1,4 +1,4 @@
-//! Caps count what runs of jobs that were settled before their pool changed hands.
+//! Caps count runs of jobs that were settled before their pool changed its owner.
 
 mod common;
 
@@ -11,7 +11,7 @@
 const CAP: Room = Room { cpu: 1_000, mem_mb: 0, gpu: 0 };
 const POOL: &str = "desk";
 
-/// Makes a pool's owner that goes by a cap of two tasks, all of it lent to this pool.
+/// Returns a pool with a cap of two tasks for the workspace `lunch`, all of it lent to this pool.
 fn owner() -> Pool {
     let mut pool = pool_with(&["a", "b"]).with_name(POOL.into());
     let name = "lunch".into();
@@ -34,11 +34,11 @@
     JobSpec { workspace: "lunch".into(), admitted_by: 1, ..spec.as_ref().clone() }.into()
 }
 
-/// A workspace got twice its cap. Its job had been cancelled, and the owner of the pool was replaced before the stops were carried out: the record
-/// of a settled job names no runs, so that the next owner counts nothing of what the VM still lists. That VM gets nothing new, but
-/// the others do: with a cap of 1,000 and 1,000 at work on VM a, two tasks of 500 each were ordered to VM b.
+/// A job is cancelled and its pool's owner replaced before the stops are carried out. The record of a settled job names no runs,
+/// so that the next owner counts only those that VMs report. If it does not, it starts as much again on other VMs:
+/// with a cap of 1,000 and 1,000 in use on VM a, two tasks of 500 each are ordered on VM b.
 #[gtest]
-fn runs_of_a_cancelled_job_that_are_still_listed_count_against_its_workspaces_cap() {
+fn runs_of_a_cancelled_job_that_are_still_reported_count_against_the_cap() {
     let (first, second) = (JobId(1), JobId(2));
     let mut before = owner();
     before.submit(first, of_lunch(), at(0));
--- a/crates/schedule/tests/common/mod.rs
+++ b/crates/schedule/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the scheduler share: short ways to make jobs, VMs and reports.
+//! Helpers shared by the scheduler tests: they build jobs, VMs and reports, and filter orders.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use std::sync::Arc;
@@ -37,10 +37,10 @@
     })
 }
 
-pub fn vm(name: &str, life: u32) -> Arc<VmFacts> {
+pub fn vm(name: &str, incarnation: u32) -> Arc<VmFacts> {
     let room = Room { cpu: 4_000, mem_mb: 10_000, gpu: 0 };
     Arc::new(VmFacts {
-        id: VmIncarnation::new(format!("i-{name}-{life}"), None),
+        id: VmIncarnation::new(format!("i-{name}-{incarnation}"), None),
         name: name.into(),
         pool: "desk".into(),
         addr: ([127, 0, 0, 1], 1).into(),
@@ -54,7 +54,7 @@
     })
 }
 
-/// Lists VMs and has each answer once, so that they take work.
+/// Returns a pool with the named VMs listed and one report of each applied, so that tasks may start on them.
 pub fn pool_with(names: &[&str]) -> Pool {
     let mut pool = Pool::new();
     for name in names {
@@ -81,13 +81,13 @@
     orders.iter().filter_map(stop).collect()
 }
 
-/// Returns the start that is the only one.
+/// Returns the only start.
 pub fn start_of_only(starts: &[StartOrder]) -> StartOrder {
     assert_eq!(starts.len(), 1, "{starts:?}");
     starts[0].clone()
 }
 
-/// Plans and confirms every start.
+/// Plans and applies the result `Started` to every start.
 pub fn plan_and_start(pool: &mut Pool, now: Ms) -> Vec<StartOrder> {
     let started = starts(&pool.plan(at(now)));
     pool.take_records();
@@ -109,13 +109,13 @@
     VmReport { requested_at, running, ended }
 }
 
-/// Ends a run in a report of its VM that lists nothing else as running.
+/// Ends a run through a report of its VM that lists no other run.
 pub fn end_run(pool: &mut Pool, start: &StartOrder, kind: EndKind, now: Ms) {
     let ended = vec![end(now, start.run, kind)];
     pool.apply_report(&start.vm, &report(0, Vec::new(), ended), at(now));
 }
 
-/// Reports every lasting run of a VM as at work.
+/// Reports the given runs as running at full speed, each VM with all of its own.
 pub fn all_at_work(pool: &mut Pool, started: &[StartOrder], now: Ms) {
     for start in started {
         let rows = started.iter().filter(|s| s.vm == start.vm).map(|s| row(s.run, 100)).collect();
--- a/crates/schedule/tests/dropped_submissions.rs
+++ b/crates/schedule/tests/dropped_submissions.rs
@@ -1,7 +1,7 @@
-//! Jobs whose submission is dropped, or found to be gone, while it may stand in another partition.
+//! Jobs whose submission is dropped or missing in one partition while it may be in another.
 //!
-//! A settled job was run again: its submission was dropped in one partition, and with it all that was known of its progress, while it stood in the other. Another
-//! one was: a node that had not read for a while took the newest records for additions to what it knew.
+//! A settled job must not run again. It does if its progress is forgotten when its submission is dropped in one partition but is still
+//! in the other, or if a node that has not read for a while only adds the newest records to the jobs that it knows.
 
 mod common;
 
@@ -31,7 +31,7 @@
 }
 
 #[gtest]
-fn a_job_is_known_until_its_submission_is_dropped_wherever_it_stands() {
+fn a_job_is_known_until_its_submission_is_dropped_in_every_partition() {
     let mut log = JobLog::default();
     submit(&mut log, FIRST);
     submit(&mut log, SPARE);
@@ -44,7 +44,7 @@
 }
 
 #[gtest]
-fn a_job_that_the_newest_records_lack_is_out_of_sight_and_comes_back_with_its_progress() {
+fn a_job_missing_from_the_newest_records_is_hidden_and_returns_with_its_progress() {
     let mut log = JobLog::default();
     submit(&mut log, FIRST);
     complete(&mut log);
@@ -59,7 +59,7 @@
 }
 
 #[gtest]
-fn a_job_that_the_newest_records_lack_twice_is_forgotten() {
+fn a_job_missing_from_the_newest_records_twice_is_removed() {
     let mut log = JobLog::default();
     submit(&mut log, FIRST);
     log.record_reload(FIRST, &HashSet::from([JOB]));
--- a/crates/schedule/tests/fleet.rs
+++ b/crates/schedule/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Waves of maintenance and moves between pools, case by case.
+//! Single decisions of the fleet: waves of maintenance and moves of VMs between pools.
 
 mod fleet_common;
 
@@ -23,7 +23,7 @@
 }
 
 #[gtest]
-fn a_report_about_an_earlier_incarnation_says_nothing() {
+fn a_report_about_a_previous_incarnation_is_ignored() {
     let mut fleet = fleet(&["a"], 2);
     fleet.plan(10);
     fleet.set_vms(vec![vm("a", "desk", 2, VmState::Up)], 20);
@@ -32,7 +32,7 @@
 }
 
 #[gtest]
-fn a_report_from_before_a_vm_was_to_be_emptied_says_nothing() {
+fn a_report_from_before_a_vm_was_cordoned_is_ignored() {
     let mut fleet = fleet(&["a"], 2);
     fleet.set_report(&"desk".into(), emptied(&["a"]), 5);
     expect_that!(fleet.plan(10), is_empty());
@@ -41,21 +41,21 @@
 }
 
 #[gtest]
-fn no_more_are_down_at_once_than_the_wave_allows() {
+fn no_more_vms_are_down_at_once_than_the_wave_allows() {
     let names = ["a", "b", "c"];
     let mut fleet = fleet(&names, 1);
     fleet.plan(10);
     fleet.set_report(&"desk".into(), emptied(&names), 15);
     let first = fleet.plan(20);
     expect_that!(first, len(eq(1)));
-    // Without an answer it may be down at any moment.
+    // An order without an answer may take the VM down at any moment.
     fleet.record_order_result(&first[0].vm, OrderOutcome::Unknown, 30);
     fleet.set_report(&"desk".into(), emptied(&names), 35);
     expect_that!(vms_of(&fleet.plan(2_000)), eq(&vec![first[0].vm.as_str()]));
 }
 
 #[gtest]
-fn a_vm_is_maintained_when_its_next_incarnation_is_up() {
+fn maintenance_of_a_vm_is_complete_when_its_next_incarnation_is_up() {
     let mut fleet = fleet(&["a"], 1);
     fleet.plan(10);
     fleet.set_report(&"desk".into(), emptied(&["a"]), 20);
@@ -74,14 +74,14 @@
     expect_that!(fleet.to_complete(), is_empty());
 }
 
-/// Budnet, hunt seed 1068049826278 (MIXED): a VM that had just been added stood in a wave but not
-/// yet in the list of VMs, and counted as gone.
+/// A VM that was just added may be in a wave before it is in the list of VMs.
+/// It must not count as gone: the wave would complete without it.
 #[gtest]
-fn a_vm_that_is_not_listed_yet_is_not_taken_for_gone() {
+fn a_vm_that_is_not_listed_yet_does_not_count_as_gone() {
     let mut fleet = fleet(&["new"], 1);
     fleet.plan(10);
     expect_that!(fleet.to_complete(), is_empty());
-    // A list read after the wave was asked for does not hold it either.
+    // A list read after the wave was requested does not contain the VM either.
     fleet.set_vms(up(&["a"]), 300);
     fleet.plan(310);
     expect_that!(fleet.to_complete(), is_empty());
@@ -91,7 +91,7 @@
 }
 
 #[gtest]
-fn a_vm_that_has_left_for_good_does_not_hold_up_its_wave() {
+fn a_vm_that_left_the_fleet_does_not_delay_its_wave() {
     let mut fleet = fleet(&["gone"], 1);
     for ms in [100, 2_000, 4_000] {
         fleet.set_vms(up(&["a"]), ms);
@@ -109,15 +109,15 @@
     expect_that!(vms_of(&orders), eq(&vec!["o"]));
     let to = |o: &FleetOrder| o.purpose == Purpose::Move { to: "desk".to_owned() };
     expect_that!(orders.iter().all(to), eq(true));
-    // The hub keeps its floor of four, and one more as a margin.
+    // The hub keeps its floor of four VMs and one more as a margin.
     let from_hub = fleet.record().cordoned().filter(|n| n.starts_with('h')).count();
     expect_that!(from_hub, eq(1));
 }
 
-/// Trasteo Listo scale-2, 18 to 24 s: a pool of four VMs waited for 980 cores while another kept
-/// 25, since it needed them too.
+/// When two pools both need more VMs than they have, the one with the larger need must get VMs of the other:
+/// a pool of four VMs would wait for 980 cores while another keeps 25 VMs.
 #[gtest]
-fn pools_that_all_need_more_than_there_is_share_it_by_need() {
+fn pools_that_need_more_vms_than_there_are_share_them_by_need() {
     let mut fleet = two_pools();
     let mut hub = busy(100_000, 60_000, &[]);
     hub.light = (0..6).map(|i| format!("h{i}")).collect();
@@ -130,7 +130,7 @@
 }
 
 #[gtest]
-fn a_vm_that_nobody_needs_is_switched_off_after_some_seconds_only() {
+fn a_vm_that_no_pool_needs_is_switched_off_only_after_some_seconds() {
     let mut fleet = two_pools();
     let idle = ["h0", "h1", "h2", "h3", "h4", "h5"];
     fleet.set_report(&"hub".into(), busy(0, 0, &idle), 10);
@@ -143,10 +143,10 @@
     expect_that!(fleet.record().work.iter().filter(off).count(), eq(2));
 }
 
-/// Quiet day of 350 VMs: what comes is told from the last thirty arrivals, so that needs of 700 and 3,600 cores follow each
-/// other within half a second; the most of some seconds kept 100 VMs idle for four seconds of each turn.
+/// The expected need follows from the last thirty arrivals and may change between 700 and 3,600 cores within half a second.
+/// A pool that goes by the maximum of some seconds keeps about 100 of 350 VMs idle.
 #[gtest]
-fn a_need_that_leaps_up_now_and_then_keeps_no_idle_vms() {
+fn short_peaks_of_need_keep_no_idle_vms() {
     let mut fleet = two_pools();
     for i in 0..8 {
         let need = if i % 2 == 0 { 76_000 } else { 0 };
@@ -158,7 +158,7 @@
 }
 
 #[gtest]
-fn a_vm_with_an_unanswered_order_is_left_alone_until_the_order_cannot_come_any_more() {
+fn a_vm_with_an_unanswered_order_gets_no_other_until_that_order_can_no_longer_arrive() {
     let mut fleet = two_pools();
     fleet.set_report(&"desk".into(), busy(0, 90_000, &[]), 10);
     let orders = fleet.plan(20);
@@ -178,10 +178,10 @@
     expect_that!(fleet.record().cordoned().collect::<Vec<_>>(), eq(&vec!["o"]));
 }
 
-/// Budnet trouble-2: VMs that are switched off have no incarnation; each held its place in the wave
-/// for six seconds.
+/// A VM that is switched off has no incarnation, so that its maintenance is known to be over only by its state.
+/// Otherwise each such VM holds its place in the wave for six seconds.
 #[gtest]
-fn a_vm_that_is_switched_off_is_maintained_when_it_was_away_and_is_up_again() {
+fn maintenance_of_a_switched_off_vm_is_complete_when_it_was_away_and_is_up_again() {
     let mut fleet = Fleet::new(FleetRecord::default(), HoldOff::default());
     fleet.set_pools(["desk".into()].into(), Some("off".into()));
     let off = |state| FleetVm { incarnation: None, ..vm("o", "off", 1, state) };
@@ -200,8 +200,8 @@
     expect_that!(fleet.to_complete(), eq(&vec![1]));
 }
 
-/// Budnet trouble-2: five lasting tasks that may not share a VM stood on a pool of four VMs and one
-/// that was to be emptied; nothing could move and the wave was late.
+/// Lasting tasks that may not share a VM need as many VMs as there are tasks. With five of them on four VMs and one that is
+/// to be emptied, none can move and the wave is late.
 #[gtest]
 fn a_pool_has_as_many_vms_as_its_lasting_tasks_need() {
     let mut fleet = two_pools();
@@ -210,10 +210,9 @@
     expect_that!(vms_of(&fleet.plan(20)), eq(&vec!["o"]));
 }
 
-/// Budnet quiet-1, 18 to 20 s: seven VMs that had come too late for their pool stood idle there,
-/// while another waited for 280 cores.
+/// VMs that arrive in a pool after its need is over must not stay idle there while another pool waits for cores.
 #[gtest]
-fn an_idle_vm_that_has_just_come_may_go_on_to_a_pool_in_need() {
+fn an_idle_vm_that_was_just_moved_may_move_on_to_a_pool_in_need() {
     let mut fleet = two_pools();
     fleet.set_report(&"desk".into(), busy(0, 90_000, &[]), 10);
     expect_that!(vms_of(&fleet.plan(20)), eq(&vec!["o"]));
@@ -229,7 +228,7 @@
 }
 
 #[gtest]
-fn a_pool_to_which_much_comes_gets_vms_before_it_waits() {
+fn a_pool_with_growing_demand_gets_vms_before_its_jobs_wait() {
     let mut fleet = two_pools();
     fleet.set_report(&"desk".into(), busy(0, 0, &[]), 0);
     let coming = PoolReport { soon_cpu: 80_000, ..busy(0, 0, &[]) };
@@ -239,22 +238,22 @@
 }
 
 #[gtest]
-fn a_wave_leaves_vms_to_pools_that_are_short_while_it_has_time() {
+fn a_wave_leaves_vms_to_pools_in_need_while_it_has_time() {
     let mut fleet = two_pools();
     fleet.set_report(&"desk".into(), busy(60_000, 90_000, &[]), 10);
     fleet.set_report(&"hub".into(), busy(0, 20_000, &[]), 10);
     let request = wave(&["d0", "h0"], 2);
     fleet.set_wave(WaveRequest { requested_at: Some(0), ..request });
-    let begun = |fleet: &Fleet| -> Vec<String> {
+    let started = |fleet: &Fleet| -> Vec<String> {
         let maintain = Purpose::Maintain { wave: 1 };
         let work = fleet.record().work.iter().filter(|w| w.purpose == maintain);
         work.map(|w| w.vm.clone()).collect()
     };
     fleet.plan(20);
-    expect_that!(begun(&fleet), eq(&vec!["h0".to_owned()]));
-    // 5 s for one round, and 7 s to spare, of 25 s.
+    expect_that!(started(&fleet), eq(&vec!["h0".to_owned()]));
+    // Of its 25 s, the wave needs 5 s for one round and keeps 7 s as a reserve.
     fleet.plan(12_900);
-    expect_that!(begun(&fleet), eq(&vec!["h0".to_owned()]));
+    expect_that!(started(&fleet), eq(&vec!["h0".to_owned()]));
     fleet.plan(13_100);
-    expect_that!(begun(&fleet), eq(&vec!["h0".to_owned(), "d0".to_owned()]));
+    expect_that!(started(&fleet), eq(&vec!["h0".to_owned(), "d0".to_owned()]));
 }
--- a/crates/schedule/tests/fleet_common/mod.rs
+++ b/crates/schedule/tests/fleet_common/mod.rs
@@ -1,12 +1,12 @@
-//! What the tests of the fleet share: short ways to make VMs, reports, waves and fleets.
+//! Helpers shared by the fleet tests: they build VMs, pool reports, waves and fleets.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use thistle_schedule::fleet::{
     Fleet, FleetOrder, FleetRecord, FleetVm, HoldOff, PoolReport, VmState, WaveRequest,
 };
 
-pub fn vm(name: &str, pool: &str, life: u32, state: VmState) -> FleetVm {
-    let incarnation = Some(format!("{name}-{life}").into());
+pub fn vm(name: &str, pool: &str, incarnation_number: u32, state: VmState) -> FleetVm {
+    let incarnation = Some(format!("{name}-{incarnation_number}").into());
     let (hall, rack) = ("hall-a".into(), "r1".into());
     FleetVm { name: name.into(), pool: pool.into(), state, hall, rack, incarnation }
 }
@@ -50,7 +50,7 @@
     fleet
 }
 
-/// A pool whose work goes on as it is while as much again comes to what waits, twice over.
+/// Returns the report of a pool whose running work stays the same while its waiting work triples.
 pub fn busy(waiting: u64, used: u64, idle: &[&str]) -> PoolReport {
     PoolReport {
         waiting_cpu: waiting,
--- a/crates/schedule/tests/fleet_rows.rs
+++ b/crates/schedule/tests/fleet_rows.rs
@@ -1,8 +1,7 @@
-//! The fleet's record in rows.
+//! The fleet's record is written in rows, one per VM and wave.
 //!
-//! What happened: the owner of 6,000 VMs gave 288 orders within 46 s before and after the load began and none after. Why: its record was one value of
-//! some 95 bytes a VM that is worked on, and the store takes 262,144 bytes. What settled it: `journal topic=control part=2 step=failed` with status 400,
-//! 19 times a second to the end of the day.
+//! As a single value, the record takes about 95 bytes for each VM with work. In a fleet of 6,000 VMs it can exceed the 262,144 bytes
+//! that the store accepts: each append then fails with status 400 and the fleet's owner can order nothing more.
 
 use googletest::prelude::*;
 use rand::rngs::StdRng;
@@ -17,7 +16,7 @@
     format!("vm-{number}")
 }
 
-/// Changes one thing about a VM or a wave.
+/// Makes one random change to the record.
 fn change(record: &mut FleetRecord, rng: &mut StdRng) {
     let vm = name(rng.random_range(0..20));
     match rng.random_range(0..8) {
@@ -44,12 +43,12 @@
     }
 }
 
-/// Returns what a record tells, whatever the order.
+/// Returns the content of a record in sorted order, so that two records can be compared.
 fn told(record: &FleetRecord) -> impl PartialEq + std::fmt::Debug + use<> {
     let mut work: Vec<VmWork> = record.work.iter().cloned().collect();
     work.sort_by(|a, b| a.vm.cmp(&b.vm));
-    let mut lately = record.ordered_lately.clone();
-    lately.sort();
+    let mut ordered_lately = record.ordered_lately.clone();
+    ordered_lately.sort();
     let open = |w: &WaveRecord| match w.completed {
         true => (w.wave, true, Vec::new(), Vec::new()),
         false => {
@@ -63,30 +62,30 @@
     };
     let mut waves: Vec<_> = record.waves.iter().map(open).collect();
     waves.sort();
-    (record.owner.clone(), record.move_ms, work, lately, waves)
+    (record.owner.clone(), record.move_ms, work, ordered_lately, waves)
 }
 
 #[gtest]
-fn whoever_takes_in_all_changes_knows_the_record() {
+fn applying_all_changes_yields_the_same_record() {
     for seed in 0..50 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let (mut record, mut written, mut read) =
+        let (mut record, mut written, mut applied) =
             (FleetRecord::default(), FleetRecord::default(), FleetRecord::default());
         for _ in 0..100 {
             for _ in 0..rng.random_range(1..6) {
                 change(&mut record, &mut rng);
             }
             for row in record.changes_since(&written) {
-                read.apply(row);
+                applied.apply(row);
             }
             written = record.clone();
-            assert_eq!(told(&read), told(&record), "seed {seed}");
+            assert_eq!(told(&applied), told(&record), "seed {seed}");
         }
     }
 }
 
 #[gtest]
-fn a_change_of_one_vm_is_one_row_however_many_are_worked_on() {
+fn a_change_of_one_vm_is_one_row_however_many_vms_have_work() {
     let mut record = FleetRecord::default();
     for number in 0..12_000 {
         record.work.insert(work(&name(number), Stage::Emptying));
--- a/crates/schedule/tests/fleet_succession.rs
+++ b/crates/schedule/tests/fleet_succession.rs
@@ -1,4 +1,4 @@
-//! What a new owner of the fleet may do about VMs that its predecessor worked on.
+//! Orders that a new owner of the fleet may give for VMs on which its predecessor worked.
 
 mod fleet_common;
 
@@ -9,7 +9,7 @@
 };
 
 #[gtest]
-fn a_successor_keeps_its_distance_from_its_predecessors_orders() {
+fn a_successor_holds_off_after_its_predecessors_orders() {
     let mut before = fleet(&["a"], 1);
     before.plan(10);
     before.set_report(&"desk".into(), emptied(&["a"]), 20);
@@ -25,10 +25,10 @@
     expect_that!(vms_of(&after.plan(3_300)), eq(&vec!["a"]));
 }
 
-/// Trasteo Listo trouble-2, 9.274 s (LIMIT): a successor's order was answered before its first list
-/// of VMs came; the VM counted as gone, its maintenance as over, and one more was taken down.
+/// A successor's order may be answered before its first list of VMs is read. The VM must not count as gone and its maintenance
+/// as complete: one VM more than allowed would be taken down.
 #[gtest]
-fn a_successor_without_a_list_takes_no_maintenance_for_over() {
+fn a_successor_without_a_vm_list_counts_no_maintenance_as_complete() {
     let mut before = fleet(&["a", "b"], 1);
     before.plan(10);
     before.set_report(&"desk".into(), emptied(&["a", "b"]), 20);
@@ -49,10 +49,10 @@
     expect_that!(after.plan(220), is_empty());
 }
 
-/// Budnet trouble-3, 6 to 9 s: sixteen VMs that the fleet's owner had told to empty before it was lost
-/// stood idle until its successor dared to order anything about them.
+/// VMs that the predecessor only cordoned, and for which it gave no order yet, need no hold-off:
+/// they would stay empty and idle until it is over.
 #[gtest]
-fn a_successor_takes_on_sooner_what_its_predecessor_had_only_begun() {
+fn a_successor_continues_at_once_with_vms_that_were_not_ordered_yet() {
     let work = |vm: &str, stage| VmWork {
         vm: vm.to_owned(),
         purpose: Purpose::Move { to: "hub".to_owned() },
@@ -72,7 +72,7 @@
 }
 
 #[gtest]
-fn a_successor_leaves_vms_alone_that_were_ordered_of_late_and_takes_others_at_once() {
+fn a_successor_holds_off_for_recently_ordered_vms_and_orders_others_at_once() {
     let record = FleetRecord { ordered_lately: vec!["o".to_owned()], ..FleetRecord::default() };
     let mut fleet = Fleet::new(record, HoldOff { until: 3_000, gap: 3_000 });
     fleet.set_pools(["desk".into()].into(), Some("off".into()));
@@ -85,7 +85,7 @@
 }
 
 #[gtest]
-fn a_vm_that_was_moved_stands_in_the_record_for_as_long_as_a_successor_must_keep_off() {
+fn a_moved_vm_stays_in_the_record_for_as_long_as_a_successor_holds_off() {
     let hold_off = HoldOff { until: 0, gap: 3_000 };
     let mut fleet = Fleet::new(FleetRecord::default(), hold_off);
     fleet.set_pools(["desk".into()].into(), Some("off".into()));
@@ -102,10 +102,10 @@
     expect_that!(fleet.record().ordered_lately, is_empty());
 }
 
-/// Meskel Deskworks grown, trouble-3, 3 to 8 s: 139 VMs had come to a pool in need and took no work, as
-/// the fleet's owner that had ordered them was gone and its successor kept its distance.
+/// A VM that arrived in the pool to which the predecessor moved it must take work at once.
+/// Otherwise a pool in need gets no use of its new VMs until the hold-off is over.
 #[gtest]
-fn a_vm_that_has_come_to_its_pool_takes_work_whoever_ordered_it() {
+fn a_vm_that_arrived_in_its_pool_takes_work_whichever_owner_ordered_its_move() {
     let ordered = Stage::Ordered { incarnation: Some("o-1".to_owned()) };
     let purpose = Purpose::Move { to: "hub".to_owned() };
     let work = vec![VmWork { vm: "o".to_owned(), purpose, stage: ordered }];
@@ -122,10 +122,10 @@
     expect_that!(fleet.record().work, is_empty());
 }
 
-/// Meskel Deskworks trouble-2, seeds 812604458654 and 1029120962118 (MIXED): the answer to a repeated move came when the
-/// VM was already to be maintained, and was taken for the maintenance's.
+/// The answer to a repeated move may arrive when the VM is already cordoned for maintenance.
+/// It must not count as the answer to the order of that maintenance.
 #[gtest]
-fn the_answer_to_a_repeated_move_is_none_to_the_maintenance_after_it() {
+fn the_answer_to_a_repeated_move_does_not_count_for_the_next_maintenance() {
     let ordered = Stage::Ordered { incarnation: Some("o-1".to_owned()) };
     let purpose = Purpose::Move { to: "desk".to_owned() };
     let work = vec![VmWork { vm: "o".to_owned(), purpose, stage: ordered }];
--- a/crates/schedule/tests/job_records.rs
+++ b/crates/schedule/tests/job_records.rs
@@ -1,7 +1,7 @@
-//! Records of jobs that are read in any order: what is settled or done stays so.
+//! Records of jobs may be read in any order: a settled job stays settled, and a finished repetition stays finished.
 //!
-//! The platform keeps the order within a partition and none between partitions, keeps the newest record of each key for good, and may
-//! have dropped all others when a node reads on. A submission may stand in two partitions, and so may progress.
+//! The platform keeps the order of records within a partition, but not between partitions. It keeps the newest record of each key
+//! and may drop all others before a node reads them. A submission may be in two partitions, and so may the progress of a job.
 
 mod common;
 
@@ -47,7 +47,7 @@
     Progress { phase: Phase::Completed, begun: true, settled_ms: 1, ..Progress::default() }
 }
 
-/// Returns the progress of an open job of which some tasks are done.
+/// Returns the progress of an open job with the given number of finished tasks.
 fn open(done: u32) -> Progress {
     let task = |index| TaskRecord {
         time: 0,
@@ -65,7 +65,7 @@
     Progress { begun: true, tasks: (0..4).map(task).collect(), ..Progress::default() }
 }
 
-/// The partitions of one pool, and a node that reads them.
+/// The partitions of one pool and a node that reads them.
 #[derive(Default)]
 struct Reader {
     parts: [Vec<Record>; 4],
@@ -79,22 +79,26 @@
         assert!(applied.is_ok(), "{applied:?}");
     }
 
-    /// Reads some records of a partition on, at times once more from before.
-    fn read_on(&mut self, part: usize, rng: &mut StdRng) {
-        let from = self.next[part] - rng.random_range(0..=self.next[part].min(1));
-        let most = self.parts[part].len() - from;
-        let records: Vec<Record> =
-            self.parts[part].iter().skip(from).take(rng.random_range(0..=most)).cloned().collect();
+    /// Reads some further records of a partition, at times starting with one that was read before.
+    fn read_on(&mut self, partition: usize, rng: &mut StdRng) {
+        let from = self.next[partition] - rng.random_range(0..=self.next[partition].min(1));
+        let most = self.parts[partition].len() - from;
+        let records: Vec<Record> = self.parts[partition]
+            .iter()
+            .skip(from)
+            .take(rng.random_range(0..=most))
+            .cloned()
+            .collect();
         for record in &records {
             self.apply(record);
         }
-        self.next[part] = self.next[part].max(from + records.len());
+        self.next[partition] = self.next[partition].max(from + records.len());
     }
 
-    /// Reads the newest record of each key, as the history was dropped.
-    fn read_newest(&mut self, part: usize) {
+    /// Reads only the newest record of each key, as after the platform dropped the history.
+    fn read_newest(&mut self, partition: usize) {
         let mut newest: BTreeMap<String, Record> = BTreeMap::new();
-        for record in &self.parts[part] {
+        for record in &self.parts[partition] {
             match &record.1 {
                 Some(_) => newest.insert(record.0.clone(), record.clone()),
                 None => newest.remove(&record.0),
@@ -103,19 +107,19 @@
         for record in newest.values() {
             self.apply(record);
         }
-        self.next[part] = self.parts[part].len();
+        self.next[partition] = self.parts[partition].len();
     }
 
     fn read_any(&mut self, rng: &mut StdRng) {
-        let part = rng.random_range(0..4);
+        let partition = rng.random_range(0..4);
         match rng.random_bool(0.2) {
-            true => self.read_newest(part),
-            false => self.read_on(part, rng),
+            true => self.read_newest(partition),
+            false => self.read_on(partition, rng),
         }
     }
 
     fn has_read_all(&self) -> bool {
-        self.next.iter().zip(&self.parts).all(|(&next, part)| next == part.len())
+        self.next.iter().zip(&self.parts).all(|(&next, partition)| next == partition.len())
     }
 
     fn entry(&self) -> JobEntry {
@@ -123,21 +127,21 @@
     }
 }
 
-/// Writes a job as nodes and owners do: copies of its submission, a cancel at times, progress by one owner after the other, each record
-/// to the first partition of progress or the spare one. Returns the newest progress.
-fn write_job(parts: &mut [Vec<Record>; 4], rng: &mut StdRng) -> (Version, Progress) {
-    let lanes: &[usize] = match rng.random_range(0..3) {
+/// Writes the records of a job as nodes and owners do: copies of its submission, sometimes a cancel, and progress by successive owners,
+/// each record in the regular or the fallback partition. Returns the newest progress.
+fn write_job(partitions: &mut [Vec<Record>; 4], rng: &mut StdRng) -> (Version, Progress) {
+    let submitted_to: &[usize] = match rng.random_range(0..3) {
         0 => &[SUBMISSIONS],
         1 => &[SPARE],
         _ => &[SUBMISSIONS, SPARE],
     };
-    for &lane in lanes {
+    for &target in submitted_to {
         for _ in 0..rng.random_range(1..3) {
-            parts[lane].push(submission());
+            partitions[target].push(submission());
         }
     }
     if rng.random_bool(0.3) {
-        parts[lanes[0]].push(cancel());
+        partitions[submitted_to[0]].push(cancel());
     }
     let (mut version, mut newest) = (Version::default(), Progress::default());
     let owners = rng.random_range(1..4);
@@ -145,31 +149,35 @@
         for number in 1..=rng.random_range(1..4) {
             version = Version { token, number };
             newest = open(u32::try_from(token).unwrap_or(1));
-            let part = if rng.random_bool(0.3) { SPARE_PROGRESS } else { PROGRESS };
-            parts[part].push(progress(version, &newest));
+            let partition = if rng.random_bool(0.3) { SPARE_PROGRESS } else { PROGRESS };
+            partitions[partition].push(progress(version, &newest));
         }
     }
     if rng.random_bool(0.5) {
         version.number += 1;
         newest = settled();
-        parts[PROGRESS].push(progress(version, &newest));
+        partitions[PROGRESS].push(progress(version, &newest));
     }
     (version, newest)
 }
 
 #[gtest]
-fn records_read_in_any_order_tell_the_same() {
+fn records_read_in_any_order_give_the_same_state() {
     for seed in 0..SEEDS {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut reader = Reader::default();
         let (version, newest) = write_job(&mut reader.parts, &mut rng);
         let cancelled = reader.parts.iter().flatten().any(|(key, _)| *key == cancel_key(JOB));
-        let mut told = Version::default();
+        let mut last_version = Version::default();
         while !reader.has_read_all() {
             reader.read_any(&mut rng);
             let entry = reader.entry();
-            assert!(entry.version >= told, "seed {seed}: {:?} after {told:?}", entry.version);
-            told = entry.version;
+            assert!(
+                entry.version >= last_version,
+                "seed {seed}: {:?} after {last_version:?}",
+                entry.version
+            );
+            last_version = entry.version;
         }
         let entry = reader.entry();
         assert_eq!((entry.version, entry.progress), (version, newest), "seed {seed}");
@@ -178,35 +186,36 @@
     }
 }
 
-/// Answers to the same read twice, and a read that began before others went on, bring records once more: none is news then.
+/// A read that is answered twice, or that started before other reads continued, delivers records again.
+/// They must not be reported as changes.
 #[gtest]
-fn records_that_are_read_again_are_no_news() {
+fn records_that_are_read_again_report_no_changes() {
     let mut log = JobLog::default();
     let records = [submission(), cancel()];
     let apply = |log: &mut JobLog| -> Vec<LogChange> {
-        let news = records.iter().map(|(key, value)| log.apply(key, value.as_deref()));
-        news.filter_map(|news| news.ok().flatten()).collect()
+        let results = records.iter().map(|(key, value)| log.apply(key, value.as_deref()));
+        results.filter_map(|result| result.ok().flatten()).collect()
     };
     expect_that!(apply(&mut log), len(eq(2)));
     expect_that!(apply(&mut log), is_empty());
 }
 
-/// Returns a job of one task, due once a second and five times.
+/// Returns a job of one task with five repetitions, one a second.
 fn repeating() -> Arc<JobSpec> {
     let repeats = Some(Repeats { count: 5, start_at_ms: WALL, interval_ms: 1_000 });
     Arc::new(JobSpec { repeats, ..job(vec![step(1, 3_000)]).as_ref().clone() })
 }
 
-/// Returns the repetitions that a pool starts and ends, one after the other.
+/// Returns the repetitions that a pool starts, in order; each is ended 50 ms after its start.
 fn times_run(pool: &mut Pool, from: u64) -> Vec<u32> {
-    let mut times = Vec::new();
+    let mut repetitions = Vec::new();
     for now in (0..40).map(|i| from + 300 * i) {
         for start in plan_and_start(pool, now) {
-            times.push(start.run.task.time);
+            repetitions.push(start.run.task.time);
             end_run(pool, &start, EndKind::Done, now + 50);
         }
     }
-    times
+    repetitions
 }
 
 fn entry_of(pool: &mut Pool, spec: &Arc<JobSpec>) -> JobEntry {
@@ -217,7 +226,7 @@
 }
 
 #[gtest]
-fn a_repetition_that_is_done_is_not_opened_again_by_the_next_owner() {
+fn a_finished_repetition_is_not_reopened_by_the_next_owner() {
     let spec = repeating();
     let mut before = pool_with(&["a"]);
     before.submit(JOB, spec.clone(), at(0));
@@ -235,12 +244,11 @@
     expect_that!(times, not(contains(eq(&0))));
 }
 
-/// A repetition that waited beside a later one, which had been started, was never opened by the next owner: the clock of that one's node was
-/// behind by more than the time between them, and the records of what waits for its first start name nothing. The job was told
-/// as completed without it.
+/// A later repetition may be recorded as started while an earlier one still waits and has no record. A new owner whose clock
+/// is behind by more than the interval must still open the earlier one: the job would complete without it.
 #[gtest]
-fn a_repetition_that_waits_is_not_passed_over_by_an_owner_whose_clock_is_behind() {
-    let started_later = TaskRecord {
+fn a_waiting_repetition_is_not_skipped_by_an_owner_whose_clock_is_behind() {
+    let later_task = TaskRecord {
         time: 3,
         step: 0,
         index: 0,
@@ -249,11 +257,11 @@
         failures: 1,
         checkpoint: String::new(),
     };
-    let tasks = vec![started_later];
+    let tasks = vec![later_task];
     let progress = Progress { begun: true, done_times: vec![1], tasks, ..Progress::default() };
     let entry = JobEntry { spec: Some(repeating()), progress, ..JobEntry::default() };
     let mut after = pool_with(&["a"]);
-    // Only the first repetition is due by this clock.
+    // By this clock only the first repetition is due.
     after.adopt(JOB, &entry, Now { steady: 4_000, wall: WALL + 500 });
     let mut times = times_run(&mut after, 5_000);
     times.sort_unstable();
--- a/crates/schedule/tests/ownership.rs
+++ b/crates/schedule/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Who claims a pool, and when.
+//! Claims of pools: which node claims a pool, and when; and the leases of tasks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,15 +17,15 @@
     Heartbeat { incarnation, sequence, leaving: false, relay: None, speed: 0 }
 }
 
-fn claim(name: &str, life: u64) -> Claim {
-    Claim { owner: node(name, life), released: false }
+fn claim(name: &str, incarnation: u64) -> Claim {
+    Claim { owner: node(name, incarnation), released: false }
 }
 
 fn pools(names: &[&str]) -> Vec<Arc<str>> {
     names.iter().map(|n| Arc::from(*n)).collect()
 }
 
-/// Returns what a node that has listened all the time claims.
+/// Returns the claims of a node that has just read the heartbeats.
 fn claims_of(view: &mut Ownership, names: &[&str], now: Ms) -> Vec<Arc<str>> {
     view.record_read(now);
     wanted(view, names, now)
@@ -36,7 +36,7 @@
 }
 
 #[gtest]
-fn new_nodes_share_pools_that_nobody_had() {
+fn new_nodes_share_unowned_pools_evenly() {
     let mut claimed = [0; 3];
     let mut views: Vec<Ownership> =
         (0..3).map(|i| Ownership::new(node(&format!("n{i}"), 1), 0)).collect();
@@ -63,7 +63,7 @@
 }
 
 #[gtest]
-fn a_silent_owner_keeps_its_pool_for_longer_than_its_lease() {
+fn an_unresponsive_owner_keeps_its_pool_for_longer_than_its_lease() {
     let mut view = Ownership::new(node("b", 1), 0);
     view.record_heartbeat("b", &beat(1, 1), 0);
     view.record_heartbeat("a", &beat(1, 1), 1_000);
@@ -78,7 +78,7 @@
 }
 
 #[gtest]
-fn silence_counts_anew_after_this_node_could_not_listen() {
+fn owner_timeouts_restart_after_this_node_could_not_read() {
     let mut view = Ownership::new(node("b", 1), 0);
     view.record_heartbeat("a", &beat(1, 1), 1_000);
     view.record_claim(&"desk".into(), claim("a", 1), 0, 900);
@@ -90,10 +90,10 @@
     expect_that!(wanted(&mut view, &["desk"], 12_000), len(eq(1)));
 }
 
-/// Trasteo Listo trouble-1, 11.6 s: a node that the store had turned away for nine seconds looked
-/// for silent owners before it had read their heartbeats, and took all pools.
+/// A node that the store refused for some seconds must read the missed heartbeats
+/// before it looks for unresponsive owners. Otherwise it claims all pools.
 #[gtest]
-fn a_node_that_has_not_listened_lately_claims_nothing() {
+fn a_node_without_recent_reads_claims_nothing() {
     let mut view = Ownership::new(node("b", 1), 0);
     view.record_read(1_000);
     view.record_heartbeat("a", &beat(1, 1), 1_000);
@@ -102,14 +102,14 @@
 }
 
 #[gtest]
-fn a_restarted_owner_takes_its_pool_back_at_once() {
+fn a_restarted_owner_reclaims_its_pool_at_once() {
     let mut view = Ownership::new(node("a", 2), 5_000);
     view.record_claim(&"desk".into(), claim("a", 1), 0, 5_010);
     expect_that!(claims_of(&mut view, &["desk"], 5_020), len(eq(1)));
 }
 
 #[gtest]
-fn a_pool_that_was_given_up_is_taken_at_once_by_one_node() {
+fn a_released_pool_is_claimed_at_once_by_one_node() {
     let mut views = [Ownership::new(node("a", 1), 0), Ownership::new(node("b", 1), 0)];
     let released = Claim { owner: node("c", 1), released: true };
     let mut first = 0;
@@ -124,7 +124,7 @@
 }
 
 #[gtest]
-fn a_late_giving_up_by_a_former_owner_changes_nothing() {
+fn a_late_release_by_a_previous_owner_changes_nothing() {
     let mut view = Ownership::new(node("b", 1), 0);
     view.record_claim(&"desk".into(), claim("a", 1), 0, 100);
     view.record_claim(&"desk".into(), claim("b", 1), 1, 200);
@@ -134,7 +134,7 @@
 }
 
 #[gtest]
-fn tokens_rise_and_an_older_claim_is_no_news() {
+fn tokens_increase_and_an_older_claim_is_ignored() {
     let mut view = Ownership::new(node("a", 1), 0);
     view.record_claim(&"desk".into(), claim("a", 1), 7, 100);
     view.record_claim(&"desk".into(), claim("b", 1), 3, 200);
@@ -144,14 +144,14 @@
 }
 
 #[gtest]
-fn a_lease_of_unknown_origin_is_over_after_its_full_length_on_a_slow_clock() {
+fn a_lease_of_unknown_start_expires_after_its_full_length_on_a_slow_clock() {
     let lease = TaskLease::new(6_000, 1_000);
     expect_that!(lease.is_expired(7_100), eq(false));
     expect_that!(lease.is_expired(7_300), eq(true));
 }
 
 #[gtest]
-fn a_lease_given_on_an_old_reading_of_the_clock_is_bounded_from_that_reading() {
+fn a_lease_granted_on_an_old_clock_reading_is_bounded_from_that_reading() {
     let mut lease = TaskLease::new(6_000, 0);
     expect_that!(lease.grant(10), none());
     lease.record_clock(500_000, 100);
@@ -162,7 +162,7 @@
 }
 
 #[gtest]
-fn an_owner_whose_heartbeats_go_elsewhere_is_not_silent() {
+fn an_owner_with_heartbeats_in_the_fallback_partition_is_responsive() {
     let mut view = Ownership::new(node("b", 1), 0);
     view.record_claim(&"desk".into(), claim("a", 1), 0, 900);
     view.record_heartbeat("a", &beat(1, 1), 1_000);
@@ -173,7 +173,7 @@
         view.record_fallback_heartbeat("a", &beat(1, sequence), now);
         expect_that!(wanted(&mut view, &["desk"], now), is_empty());
     }
-    // An old word of an earlier life says nothing.
+    // A late heartbeat of another incarnation does not count.
     view.record_fallback_heartbeat("a", &beat(9, 90), 5_500);
     view.record_read(6_000);
     view.record_read(7_000);
@@ -183,7 +183,7 @@
 }
 
 #[gtest]
-fn silence_counts_anew_when_not_all_heartbeats_can_be_read() {
+fn owner_timeouts_restart_when_not_all_heartbeats_can_be_read() {
     let mut view = Ownership::new(node("b", 1), 0);
     view.record_claim(&"desk".into(), claim("a", 1), 0, 900);
     view.record_heartbeat("a", &beat(1, 1), 1_000);
@@ -195,11 +195,10 @@
     expect_that!(wanted(&mut view, &["desk"], 4_000), is_empty());
 }
 
-/// Trasteo Listo, hunt seed 773173945759 (LOST): starts that had queued up for a VM that had gone dark
-/// were tried one after the other, each with a new lease, and its lasting tasks counted as running for
-/// nine seconds more.
+/// Starts queued for an unresponsive VM are tried one after the other. Each must not grant a new lease:
+/// the lasting tasks of the VM would count as running for seconds longer.
 #[gtest]
-fn a_vm_that_does_not_answer_gets_no_new_lease() {
+fn an_unresponsive_vm_is_granted_no_new_lease() {
     let mut lease = TaskLease::new(6_000, 0);
     lease.record_clock(50_000, 1_000);
     expect_that!(lease.grant(1_000), some(eq(56_000)));
@@ -213,7 +212,7 @@
 }
 
 #[gtest]
-fn nodes_that_compute_slowly_leave_pools_to_faster_ones() {
+fn slow_nodes_leave_pools_to_faster_ones() {
     let mut views: Vec<Ownership> =
         ["a", "b", "c"].map(|name| Ownership::new(node(name, 1), 0)).into();
     let speeds = [("a", 250), ("b", 1_000), ("c", 900)];
@@ -224,19 +223,19 @@
         }
     }
     for (i, (name, _)) in speeds.into_iter().enumerate() {
-        let wanted = claims_of(&mut views[i], &["p", "q", "r"], 1_000);
-        claimed.push((name, wanted.len()));
+        let claims = claims_of(&mut views[i], &["p", "q", "r"], 1_000);
+        claimed.push((name, claims.len()));
     }
     expect_that!(claimed[0], eq(("a", 0)));
     expect_that!(claimed[1].1 + claimed[2].1, ge(2));
 }
 
-/// A pool in its turn whose owner the store turned away wrote all its records through a node with an eighth of a core and a
-/// link of 10 Mbit/s: ends were known seconds late, and 250 VMs stood full of tasks that had ended.
+/// An owner that the store refuses writes its records through a relay. Through a slow one, with an eighth of a core
+/// and a link of 10 Mbit/s, ends are known seconds late and the VMs of the pool stay full of ended tasks.
 #[gtest]
-fn an_owner_asks_fast_nodes_first_to_pass_its_calls_on() {
+fn an_owner_prefers_fast_nodes_as_relays() {
     let relay = |i: u16| Some(SocketAddr::from(([10, 0, 0, 1], i)));
-    let heard = |view: &mut Ownership| {
+    let record_heartbeats = |view: &mut Ownership| {
         for i in 0..12 {
             let speed = if i % 4 == 0 { 20_000 } else { 5_000 };
             let beat = Heartbeat { speed, relay: relay(i), ..beat(1, 1) };
@@ -244,25 +243,25 @@
         }
     };
     let mut view = Ownership::new(node("me", 1), 0);
-    heard(&mut view);
+    record_heartbeats(&mut view);
     view.record_claim(&"desk".into(), claim("me", 1), 0, 900);
     let first: Vec<u16> = view.relays(1_000).iter().take(3).map(|addr| addr.port() % 4).collect();
     expect_that!(first, eq(&vec![0, 0, 0]));
     expect_that!(view.relays(1_000), len(eq(12)));
-    // Nodes that own nothing have few calls, and leave the fast ones to owners.
+    // Nodes that own nothing send few calls and leave the fast relays to owners.
     let mut firsts = Vec::new();
     for i in 0..40 {
         let mut view = Ownership::new(node(&format!("me{i}"), 1), 0);
-        heard(&mut view);
+        record_heartbeats(&mut view);
         firsts.push(view.relays(1_000)[0].port().is_multiple_of(4));
     }
     expect_that!(firsts.iter().filter(|&&fast| fast).count(), lt(30));
 }
 
-/// An owner ended by itself, by a panic or a VM's mistaken word, and was begun again under its token. It numbered its records from 1 again, so that
-/// newer ones passed for older, and orders of before were not barred: tasks that were done were started again.
+/// An owner ends unexpectedly after a panic or a VM's wrong report. Restarted under its old token, it numbers its records
+/// from 1 again, so that newer records pass for older ones, and earlier orders are not fenced: finished tasks run again.
 #[gtest]
-fn an_owner_that_has_ended_by_itself_is_begun_again_under_a_new_token_only() {
+fn an_owner_that_ended_unexpectedly_is_restarted_only_under_a_new_token() {
     let mut view = Ownership::new(node("a", 1), 0);
     let desk: Arc<str> = "desk".into();
     view.record_claim(&desk, claim("a", 1), 0, 1_000);
@@ -272,7 +271,7 @@
     expect_that!(view.has_ended("desk"), eq(true));
     expect_that!(view.my_token("desk"), none());
     expect_that!(claims_of(&mut view, &["desk"], 2_200), len(eq(1)));
-    // The claim of before, read once more, changes nothing.
+    // The previous claim, read again, changes nothing.
     view.record_claim(&desk, claim("a", 1), 0, 2_200);
     expect_that!(view.my_token("desk"), none());
     view.record_claim(&desk, claim("a", 1), 7, 2_300);
@@ -292,7 +291,7 @@
 }
 
 #[gtest]
-fn owners_that_end_again_and_again_are_begun_ever_more_seldom() {
+fn owners_that_end_repeatedly_are_restarted_after_growing_delays() {
     let mut view = Ownership::new(node("a", 1), 0);
     let desk: Arc<str> = "desk".into();
     let (mut now, mut claims) = (1_000, 0);
@@ -307,35 +306,31 @@
             claims += 1;
         }
     }
-    // Every 100 ms it was 600 times in a minute.
+    // A restart every 100 ms would make 600 claims in a minute.
     expect_that!(claims, le(25));
     view.record_owner_end(&desk, claims, now);
-    // One that has worked for long is begun again soon.
+    // An owner that ran for a long time is restarted soon.
     view.record_claim(&desk, claim("a", 1), claims, now);
     view.record_owner_end(&desk, claims + 1, now + 20_000);
     expect_that!(claims_of(&mut view, &["desk"], now + 20_200), len(eq(1)));
 }
 
-/// A node that had owned a pool was started anew, took its own former life for the pool's owner, and was ready before anybody could tell of the
-/// pool's jobs: a caller that asked for one 4 ms after the node had read the claims was told to come back.
+/// A restarted node must not take its own previous incarnation for the pool's owner: it would be ready before any node
+/// can answer for the pool's jobs, and refuse callers that ask for one.
 #[gtest]
-fn a_former_life_of_this_node_is_no_owner_to_ask() {
+fn a_previous_incarnation_of_this_node_is_no_owner_to_query() {
     let mut view = Ownership::new(node("a", 2), 0);
     let relay: SocketAddr = ([127, 0, 0, 1], 7_060).into();
-    let former = Heartbeat { relay: Some(relay), ..beat(1, 9) };
-    view.record_heartbeat("a", &former, 100);
+    let previous = Heartbeat { relay: Some(relay), ..beat(1, 9) };
+    view.record_heartbeat("a", &previous, 100);
     view.record_claim(&"desk".into(), claim("a", 1), 0, 100);
     expect_that!(view.relay_of_owner("desk"), none());
 }
 
-/// A node that computes slowly claimed a pool 0.82 s after it had started beside 96 others: it had read heartbeats once, 0.36 s after its start, when
-/// the fast nodes had not sent theirs. Its pool stood still for seconds when its turn came, and the node kept it:
-///
-///     -13.9766 node name=frontend-aarhus-hal-b-7 step=start speed=10770
-///     -13.6128 heartbeat step=listening-again
-///     -13.1565 owner pool=zipu94a step=claimed node=frontend-aarhus-hal-b-7 token_offset=1
+/// A slow node that starts with many others must not claim an unowned pool after its first read of the heartbeats
+/// (0.36 s after its start), when the fast nodes have not sent theirs yet: the pool then stalls on a slow owner.
 #[gtest]
-fn a_node_that_starts_with_many_others_hears_them_before_it_claims_what_nobody_had() {
+fn a_node_receives_first_heartbeats_before_it_claims_an_unowned_pool() {
     let mut slow = Ownership::new(node("b", 1), 0);
     expect_that!(claims_of(&mut slow, &["desk"], 360), is_empty());
     expect_that!(claims_of(&mut slow, &["desk"], 820), is_empty());
@@ -345,16 +340,16 @@
     expect_that!(claims_of(&mut slow, &["desk"], 1_450), len(eq(1)));
 }
 
-/// What happened: of 585 nodes that started together slow ones came to own the busiest pool and the fleet, and one of them took 2.6 s to take its pool over after a loss of power. Why: nodes
-/// listened for a second, in which a partition carries 250 heartbeats. What settled it: `owner step=took-over took_ms=2630` on one of 0.12 cores, beside nodes of a whole one.
+/// A partition carries 250 heartbeats a second. When 585 nodes start together and wait for one second only, slow ones
+/// claim the busiest pool and the fleet before the heartbeats of faster ones arrive, and take over slowly later.
 #[gtest]
-fn a_node_listens_for_as_long_as_the_first_heartbeats_of_all_take() {
+fn a_node_waits_for_as_long_as_the_first_heartbeats_of_all_nodes_take() {
     let first_claim = |nodes: u64| {
         let mut view = Ownership::new(NodeIncarnation { name: "me".to_owned(), incarnation: 1 }, 0);
         let pool = ["desk".into()];
         (900..60_000).step_by(50).find(|&now| {
             view.record_read(now);
-            // It is the fastest of all that it hears.
+            // This node is the fastest of all known nodes.
             let slow = Heartbeat { speed: 10, ..beat(1, now) };
             (0..nodes).for_each(|i| view.record_heartbeat(&format!("n{i}"), &slow, now));
             view.record_heartbeat("me", &Heartbeat { speed: 100, ..beat(1, now) }, now);
@@ -362,8 +357,8 @@
         })
     };
     for nodes in [0, 97, 585, 1_200] {
-        let more = 4 * (nodes + 1_u64).saturating_sub(100);
-        expect_that!(first_claim(nodes), some(ge(1_000 + more)), "{nodes}");
-        expect_that!(first_claim(nodes), some(le(1_100 + more)), "{nodes}");
+        let extra_ms = 4 * (nodes + 1_u64).saturating_sub(100);
+        expect_that!(first_claim(nodes), some(ge(1_000 + extra_ms)), "{nodes}");
+        expect_that!(first_claim(nodes), some(le(1_100 + extra_ms)), "{nodes}");
     }
 }
--- a/crates/schedule/tests/policies.rs
+++ b/crates/schedule/tests/policies.rs
@@ -1,4 +1,4 @@
-//! Queues that need advice, and filling tasks beside serving ones.
+//! Steps that need advice on placement, and filling tasks co-located with serving ones.
 
 mod common;
 
@@ -11,19 +11,19 @@
 use thistle_schedule::{EndKind, JobId, JobSpec, Pool, Progress, RunRow, Step};
 
 fn questions(orders: &[Order]) -> Vec<AdviceRequest> {
-    let question = |o: &Order| match o {
-        Order::RequestAdvice(question) => Some(question.clone()),
+    let request = |o: &Order| match o {
+        Order::RequestAdvice(request) => Some(request.clone()),
         Order::Start(_) | Order::Stop { .. } | Order::Throttle { .. } => None,
     };
-    orders.iter().filter_map(question).collect()
+    orders.iter().filter_map(request).collect()
 }
 
 fn paces(orders: &[Order]) -> Vec<u32> {
-    let pace = |o: &Order| match o {
+    let percent_of = |o: &Order| match o {
         Order::Throttle { percent, .. } => Some(*percent),
         Order::Start(_) | Order::Stop { .. } | Order::RequestAdvice(_) => None,
     };
-    orders.iter().filter_map(pace).collect()
+    orders.iter().filter_map(percent_of).collect()
 }
 
 fn advised_job() -> std::sync::Arc<JobSpec> {
@@ -37,42 +37,42 @@
     pool.submit(JOB, advised_job(), at(0));
     let orders = pool.plan(at(10));
     expect_that!(starts(&orders), is_empty());
-    let asked = questions(&orders);
-    expect_that!(asked, len(eq(1)));
-    expect_that!(asked[0].vms, len(eq(2)));
-    // One question at a time.
+    let requests = questions(&orders);
+    expect_that!(requests, len(eq(1)));
+    expect_that!(requests[0].vms, len(eq(2)));
+    // A step has one open request at a time.
     expect_that!(questions(&pool.plan(at(20))), is_empty());
-    let good = vec![(asked[0].vms[1].clone(), "t-1".to_owned())];
-    pool.apply_advice(asked[0].step, Some((good, 3_000)), at(60));
+    let good = vec![(requests[0].vms[1].clone(), "t-1".to_owned())];
+    pool.apply_advice(requests[0].step, Some((good, 3_000)), at(60));
     let started = starts(&pool.plan(at(70)));
     expect_that!(started, len(eq(2)));
-    expect_that!(started.iter().all(|s| s.vm == asked[0].vms[1]), eq(true));
+    expect_that!(started.iter().all(|s| s.vm == requests[0].vms[1]), eq(true));
     expect_that!(started[0].ticket, some(eq("t-1")));
 }
 
 #[gtest]
-fn a_ticket_that_has_run_out_is_not_used_and_is_asked_for_again() {
+fn an_expired_ticket_is_not_used_and_is_requested_again() {
     let mut pool = pool_with(&["a"]);
     pool.submit(JOB, advised_job(), at(0));
-    let asked = questions(&pool.plan(at(10)));
-    let good = vec![(asked[0].vms[0].clone(), "t-1".to_owned())];
-    pool.apply_advice(asked[0].step, Some((good, 1_000)), at(60));
+    let requests = questions(&pool.plan(at(10)));
+    let good = vec![(requests[0].vms[0].clone(), "t-1".to_owned())];
+    pool.apply_advice(requests[0].step, Some((good, 1_000)), at(60));
     let orders = pool.plan(at(1_100));
     expect_that!(starts(&orders), is_empty());
     expect_that!(questions(&orders), len(eq(1)));
 }
 
 #[gtest]
-fn a_question_without_an_answer_is_asked_again_after_a_pause() {
+fn an_unanswered_advice_request_is_repeated_after_a_pause() {
     let mut pool = pool_with(&["a"]);
     pool.submit(JOB, advised_job(), at(0));
-    let asked = questions(&pool.plan(at(10)));
-    pool.apply_advice(asked[0].step, None, at(900));
+    let requests = questions(&pool.plan(at(10)));
+    pool.apply_advice(requests[0].step, None, at(900));
     expect_that!(questions(&pool.plan(at(910))), is_empty());
     expect_that!(questions(&pool.plan(at(1_300))), len(eq(1)));
 }
 
-/// A pool whose only VM runs a serving task, with a target of 100 ms, and a filling one.
+/// Returns a pool whose only VM runs a serving task, with a tail target of 100 ms, and a filling task, and the rows of both runs.
 fn mixed() -> (Pool, Vec<RunRow>) {
     let mut pool = pool_with(&["a"]);
     let serving = Step { lasting: true, tail_target_ms: 100, ..step(1, 500) };
@@ -92,7 +92,7 @@
 }
 
 #[gtest]
-fn filling_tasks_are_slowed_fast_and_let_go_slowly() {
+fn filling_tasks_are_throttled_quickly_and_released_slowly() {
     let (mut pool, rows) = mixed();
     let vm = common::vm("a", 1).id.clone();
     expect_that!(pool.poll_reason(&vm), eq(thistle_schedule::pool::PollReason::Figures));
@@ -107,7 +107,7 @@
 }
 
 #[gtest]
-fn a_filling_task_goes_elsewhere_than_beside_a_serving_one_if_it_can() {
+fn a_filling_task_avoids_vms_with_serving_tasks() {
     let mut pool = pool_with(&["a", "b"]);
     let serving = Step { lasting: true, tail_target_ms: 100, ..step(1, 500) };
     let filling = Step { fills: true, ..step(1, 3_000) };
@@ -117,10 +117,10 @@
     expect_that!(started[0].vm, not(eq(&started[1].vm)));
 }
 
-/// By reading: a filling task's progress was taken for its share of speed, and each report of a task
-/// at 41% of its work had it told to work at 61% of its speed.
+/// A filling task's progress must not be taken for its share of speed: each report of a task at 41% of its work
+/// would throttle it to 61% of its speed.
 #[gtest]
-fn how_far_a_filling_task_is_says_nothing_of_its_speed() {
+fn the_progress_of_a_filling_task_is_not_its_speed() {
     let (mut pool, rows) = mixed();
     let vm = common::vm("a", 1).id.clone();
     for (time, progress) in [(1_000, 41), (1_600, 55), (2_200, 80)] {
@@ -130,25 +130,25 @@
 }
 
 #[gtest]
-fn filling_tasks_work_at_full_speed_again_when_nothing_serves_beside_them() {
+fn filling_tasks_return_to_full_speed_without_a_serving_task_on_their_vm() {
     let (mut pool, rows) = mixed();
     let vm = common::vm("a", 1).id.clone();
     pool.apply_report(&vm, &report(1_000, with_tail(&rows, 95, 10), vec![]), at(1_000));
     expect_that!(paces(&pool.plan(at(1_000))), eq(&vec![25]));
     pool.cancel(JOB, at(1_100));
     let ended = vec![common::end(1, rows[0].run, EndKind::Stopped)];
-    let mut told = Vec::new();
+    let mut percents = Vec::new();
     for time in (1_600..4_500).step_by(600) {
         let ended = if time == 1_600 { ended.clone() } else { Vec::new() };
         pool.apply_report(&vm, &report(time, vec![rows[1].clone()], ended), at(time));
-        told.extend(paces(&pool.plan(at(time))));
+        percents.extend(paces(&pool.plan(at(time))));
     }
-    expect_that!(told, eq(&vec![45, 65, 85, 100]));
+    expect_that!(percents, eq(&vec![45, 65, 85, 100]));
 }
 
 #[gtest]
-fn a_new_owner_says_at_which_speed_filling_tasks_work() {
-    for (tail, told) in [(95, vec![0]), (70, vec![]), (40, vec![100])] {
+fn a_new_owner_sets_the_speed_of_filling_tasks() {
+    for (tail, expected) in [(95, vec![0]), (70, vec![]), (40, vec![100])] {
         let (_, rows) = mixed();
         let mut after = Pool::new();
         let serving = Step { lasting: true, tail_target_ms: 100, ..step(1, 500) };
@@ -171,6 +171,6 @@
         let vm = common::vm("a", 1);
         after.list_vm(vm.clone());
         after.apply_report(&vm.id, &report(110, with_tail(&rows, tail, 50), vec![]), at(110));
-        expect_that!(paces(&after.plan(at(110))), eq(&told), "tail {tail}");
+        expect_that!(paces(&after.plan(at(110))), eq(&expected), "tail {tail}");
     }
 }
--- a/crates/schedule/tests/pool.rs
+++ b/crates/schedule/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Steps, attempts, cancels, room: decisions of a pool's schedule, case by case.
+//! Single decisions of a pool's schedule: steps, attempts, cancellations and room.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use thistle_schedule::{EndKind, JobId, Phase, Repeats, Step, VmLoss, VmReport};
 
 #[gtest]
-fn a_step_waits_until_all_it_depends_on_is_done() {
+fn a_step_waits_until_all_its_dependencies_are_done() {
     let mut pool = pool_with(&["a"]);
     let second = Step { depends_on: vec![0], ..step(1, 500) };
     pool.submit(JOB, job(vec![step(2, 500), second]), at(0));
@@ -29,7 +29,7 @@
 }
 
 #[gtest]
-fn a_task_that_fails_is_tried_elsewhere_and_then_given_up() {
+fn a_failed_task_is_retried_on_another_vm_and_then_abandoned() {
     let mut pool = pool_with(&["a", "b"]);
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     let first = plan_and_start(&mut pool, 10);
@@ -43,7 +43,7 @@
 }
 
 #[gtest]
-fn a_stopped_run_is_no_failed_attempt_and_resumes_from_its_checkpoint() {
+fn a_stopped_run_does_not_count_as_failed_and_resumes_from_its_checkpoint() {
     let mut pool = pool_with(&["a"]);
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     for round in 1..=4 {
@@ -71,29 +71,29 @@
 }
 
 #[gtest]
-fn room_counts_for_starts_without_an_answer_and_stops_that_are_not_listed() {
+fn room_stays_reserved_for_unanswered_starts_and_unreported_ends() {
     let mut pool = pool_with(&["a"]);
     pool.submit(JOB, job(vec![step(4, 1_000)]), at(0));
     let first = starts(&pool.plan(at(10)));
     expect_that!(first, len(eq(4)));
     pool.submit(JobId(2), job(vec![step(1, 1_000)]), at(20));
-    // No start was answered.
+    // None of the starts has been answered.
     expect_that!(starts(&pool.plan(at(30))), is_empty());
     pool.cancel(JOB, at(40));
     expect_that!(starts(&pool.plan(at(40))), is_empty());
-    // Stops were answered, ends are not listed yet: a report asked for before says nothing.
+    // The stops are answered but no end is reported; a report requested before the answers proves nothing.
     for start in &first {
         pool.record_stop_answer(&start.vm, start.run, at(50));
     }
     pool.apply_report(&first[0].vm, &report(45, vec![], vec![]), at(55));
     expect_that!(starts(&pool.plan(at(56))), is_empty());
-    // One asked for afterwards shows that they never came to run.
+    // A report requested afterwards shows that the runs never started.
     pool.apply_report(&first[0].vm, &report(60, vec![], vec![]), at(65));
     expect_that!(starts(&pool.plan(at(66))), len(eq(1)));
 }
 
 #[gtest]
-fn a_report_older_than_the_answer_to_a_start_takes_nothing_away() {
+fn a_report_older_than_the_answer_to_a_start_ends_no_run() {
     let mut pool = pool_with(&["a"]);
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     let started = plan_and_start(&mut pool, 100);
@@ -105,7 +105,7 @@
 }
 
 #[gtest]
-fn nothing_starts_on_a_vm_before_it_answers_this_owner() {
+fn nothing_starts_on_a_vm_before_its_first_report_to_this_owner() {
     let mut pool = thistle_schedule::Pool::new();
     pool.list_vm(vm("a", 1));
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
@@ -115,7 +115,7 @@
 }
 
 #[gtest]
-fn nothing_starts_on_a_vm_that_drains_or_is_to_be_emptied() {
+fn nothing_starts_on_a_draining_or_cordoned_vm() {
     let mut pool = pool_with(&["a", "b"]);
     pool.set_cordoned(["a".into()].into());
     let mut leaving = vm("b", 1).as_ref().clone();
@@ -128,24 +128,28 @@
 }
 
 #[gtest]
-fn a_run_that_is_not_ours_is_stopped_and_nothing_starts_beside_it() {
+fn an_unknown_run_is_stopped_and_nothing_starts_on_its_vm_until_it_ended() {
     let mut pool = pool_with(&["a"]);
-    let stray = thistle_schedule::RunId {
+    let unknown_run = thistle_schedule::RunId {
         task: thistle_schedule::TaskId { job: JobId(9), time: 0, step: 0, index: 0 },
         attempt: 3,
     };
     let id = vm("a", 1).id.clone();
-    pool.apply_report(&id, &report(5, vec![row(stray, 100)], vec![]), at(10));
+    pool.apply_report(&id, &report(5, vec![row(unknown_run, 100)], vec![]), at(10));
     pool.submit(JOB, job(vec![step(1, 500)]), at(20));
     let orders = pool.plan(at(30));
-    expect_that!(stops(&orders), eq(&vec![stray]));
+    expect_that!(stops(&orders), eq(&vec![unknown_run]));
     expect_that!(starts(&orders), is_empty());
-    pool.apply_report(&id, &report(40, vec![], vec![end(1, stray, EndKind::Stopped)]), at(50));
+    pool.apply_report(
+        &id,
+        &report(40, vec![], vec![end(1, unknown_run, EndKind::Stopped)]),
+        at(50),
+    );
     expect_that!(starts(&pool.plan(at(60))), len(eq(1)));
 }
 
 #[gtest]
-fn a_vm_that_fails_the_tasks_of_three_jobs_is_set_aside_for_a_while() {
+fn a_vm_that_fails_the_tasks_of_three_jobs_is_excluded_briefly() {
     let mut pool = pool_with(&["a"]);
     for i in 0..3 {
         pool.submit(JobId(i), job(vec![step(1, 500)]), at(0));
@@ -179,7 +183,7 @@
 }
 
 #[gtest]
-fn a_gang_starts_whole_or_not_at_all() {
+fn the_tasks_of_a_gang_start_all_together_or_not_at_all() {
     let mut pool = pool_with(&["a"]);
     let gang = Step { gang: true, ..step(5, 1_000) };
     pool.submit(JOB, job(vec![gang]), at(0));
@@ -193,17 +197,17 @@
 }
 
 #[gtest]
-fn a_job_that_fits_nowhere_is_not_begun_and_asks_for_no_vms() {
+fn a_job_that_fits_on_no_vm_is_not_started_and_requests_no_vms() {
     let mut pool = pool_with(&["a"]);
     pool.submit(JOB, job(vec![step(1, 64_000)]), at(0));
     expect_that!(starts(&pool.plan(at(10))), is_empty());
     expect_that!(pool.load(at(10)).waiting_cpu, eq(0));
 }
 
-/// Budnet quiet-1, 6.105 s: a task that was told to stop was still listed at full speed, counted
-/// as at work again, and a second task of its step was stopped.
+/// A task that was ordered to stop and is still reported at full speed must not count as running:
+/// a second task of its step would then be stopped too.
 #[gtest]
-fn a_task_that_was_told_to_stop_counts_as_away_while_it_is_still_listed() {
+fn a_task_ordered_to_stop_counts_as_missing_while_it_is_still_reported() {
     let mut pool = pool_with(&["a", "b", "c", "d"]);
     pool.submit(JOB, job(vec![lasting(2, 1)]), at(0));
     let started = plan_and_start(&mut pool, 10);
@@ -215,9 +219,10 @@
     expect_that!(stops(&pool.plan(at(50))), is_empty());
 }
 
-/// Budnet trouble-3, 13.765 s: two tasks of the step were on a dark rack and counted as at work.
+/// Tasks on an unreachable rack must not count as running: another task of their step
+/// would then be stopped, and more would be missing than the step allows.
 #[gtest]
-fn a_task_on_a_vm_that_does_not_answer_counts_as_away() {
+fn a_task_on_an_unreachable_vm_counts_as_missing() {
     let mut pool = pool_with(&["a", "b", "c", "d"]);
     pool.submit(JOB, job(vec![lasting(2, 1)]), at(0));
     let started = plan_and_start(&mut pool, 10);
@@ -230,7 +235,7 @@
 }
 
 #[gtest]
-fn a_lasting_task_is_started_again_however_it_ends() {
+fn a_lasting_task_is_restarted_however_it_ends() {
     let mut pool = pool_with(&["a", "b"]);
     pool.submit(JOB, job(vec![lasting(1, 1)]), at(0));
     for (i, kind) in (1..).zip([EndKind::Done, EndKind::Failed, EndKind::Failed, EndKind::Lapsed]) {
@@ -253,7 +258,7 @@
 }
 
 #[gtest]
-fn ends_are_acknowledged_only_after_they_were_handed_out_for_writing() {
+fn ends_are_acknowledged_only_after_their_records_were_taken_for_writing() {
     let mut pool = pool_with(&["a"]);
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     let started = plan_and_start(&mut pool, 10);
@@ -265,7 +270,7 @@
 }
 
 #[gtest]
-fn a_start_that_an_unhealthy_vm_turned_away_goes_elsewhere() {
+fn a_start_rejected_by_an_unhealthy_vm_is_retried_on_another_vm() {
     let mut pool = pool_with(&["a", "b"]);
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     let first = starts(&pool.plan(at(10)));
@@ -275,10 +280,10 @@
     expect_that!(second[0].run.attempt, eq(2));
 }
 
-/// Trasteo Listo, hunt seed 34770722813: a VM left for good before its lasting tasks had been moved
-/// one by one, two seconds each.
+/// A VM that drains may be gone before its lasting tasks have been moved one after the other,
+/// which takes two seconds each.
 #[gtest]
-fn all_lasting_tasks_leave_a_vm_that_is_about_to_leave() {
+fn all_lasting_tasks_are_stopped_at_once_on_a_draining_vm() {
     let mut pool = pool_with(&["a"]);
     pool.submit(JOB, job(vec![Step { anti_affinity: 0, ..lasting(3, 1) }]), at(0));
     let started = plan_and_start(&mut pool, 10);
@@ -309,7 +314,7 @@
 }
 
 #[gtest]
-fn a_task_whose_vm_is_lost_resumes_from_the_checkpoint_that_was_last_seen() {
+fn a_task_whose_vm_is_lost_resumes_from_its_last_reported_checkpoint() {
     let mut pool = pool_with(&["a", "b"]);
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     let started = plan_and_start(&mut pool, 10);
@@ -322,7 +327,7 @@
 }
 
 #[gtest]
-fn all_members_of_a_gang_bring_the_same_checkpoint() {
+fn all_members_of_a_gang_resume_from_the_same_checkpoint() {
     let mut pool = pool_with(&["a"]);
     pool.submit(JOB, job(vec![Step { gang: true, ..step(2, 500) }]), at(0));
     let started = plan_and_start(&mut pool, 10);
@@ -334,10 +339,10 @@
     expect_that!(again.iter().all(|s| s.checkpoint == "half"), eq(true));
 }
 
-/// Budnet quiet-1, 19 to 21 s: tasks that were ending on VMs on their way to another pool counted as
-/// need of their old pool, which kept five idle VMs for them.
+/// Tasks that end on VMs on their way to another pool must not count as need of their old pool:
+/// it would keep idle VMs for them.
 #[gtest]
-fn tasks_on_vms_that_are_being_emptied_are_no_need_of_their_pool() {
+fn tasks_on_cordoned_vms_do_not_count_as_need_of_their_pool() {
     let mut pool = pool_with(&["a", "b"]);
     pool.submit(JOB, job(vec![step(1, 1_500)]), at(0));
     let started = plan_and_start(&mut pool, 10);
@@ -347,11 +352,11 @@
 }
 
 #[gtest]
-fn a_task_that_fits_nowhere_now_keeps_no_smaller_one_waiting() {
+fn a_task_that_fits_on_no_vm_does_not_block_smaller_ones() {
     let mut pool = pool_with(&["a", "b"]);
     pool.submit(JOB, job(vec![step(2, 3_500)]), at(0));
     plan_and_start(&mut pool, 10);
-    // 500 thousandths are left on each VM.
+    // Each VM has half a core (500 thousandths) left.
     pool.submit(JobId(2), job(vec![step(3, 900)]), at(20));
     pool.submit(JobId(3), job(vec![step(3, 400)]), at(30));
     let started = plan_and_start(&mut pool, 40);
--- a/crates/schedule/tests/quota_kinds.rs
+++ b/crates/schedule/tests/quota_kinds.rs
@@ -1,4 +1,4 @@
-//! A cap whose kinds are limited one after the other.
+//! A cap that limits its resources one after the other: processors first, memory later.
 
 use thistle_schedule::quota::{CapUse, Lender};
 use thistle_schedule::{Room, Workspace};
@@ -16,10 +16,10 @@
     lender.record_use(CapUse { pool, workspace, sequence: (1, count), number, used, wanted: used });
 }
 
-/// Memory had no limit while processors had one. What pools had of it was known by words that bound nobody, and the whole
-/// of its cap was lent beside it.
+/// While memory has no limit, the reported use of it binds no pool. When it is limited later, the whole cap must not be lent
+/// in addition to the memory that is in use.
 #[test]
-fn a_kind_that_is_limited_later_is_not_lent_beside_what_runs() {
+fn a_resource_that_is_limited_later_is_not_lent_in_addition_to_its_use() {
     let pools = || ["desk".into(), "plan".into()].into_iter();
     let mut lender = Lender::default();
     lender.set_config(1, pools(), &[workspace(cores(100, 0), 1)]);
@@ -28,7 +28,7 @@
         say(&mut lender, pool, 1, first, cores(10, 50));
     }
     let number = lender.plan().lent.last().map_or(first, |lent| lent.number);
-    // Since they said so, one has taken much more memory.
+    // Since these reports, one pool has taken much more memory.
     lender.set_config(2, pools(), &[workspace(cores(100, 1_000), 1)]);
     let lent = lender.plan().lent.remove(0);
     assert!(lent.number > number);
--- a/crates/schedule/tests/quota_world/mod.rs
+++ b/crates/schedule/tests/quota_world/mod.rs
@@ -1,5 +1,5 @@
-//! A lender, the owners of three pools, and the store between them: records that are read late, words that arrive late or out of
-//! order, owners and lenders that are replaced at any moment, caps that change. What runs is counted by itself.
+//! Simulates a lender, the owners of three pools and the store between them. Records are read late, usage reports arrive late or out
+//! of order, owners and lenders are replaced at any moment, and caps change. The running tasks are counted independently of the owners.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 mod parts;
@@ -14,15 +14,15 @@
 use parts::{Owner, Run};
 pub use parts::{Way, Without};
 
-/// Milliseconds of one turn.
+/// The duration of one tick, in milliseconds.
 pub const TURN_MS: u64 = 10;
-/// Within how many turns each node has the newest configuration.
+/// The number of ticks within which each node has the newest configuration.
 const CONFIG_TURNS: u64 = 30;
-/// Cores of the largest task, of a cap of 100.
+/// The cores of the largest task; the first cap is 100.
 const LARGEST_TASK: u32 = 3;
-/// Caps that come by turns, in cores; 0 is no limit.
+/// The caps that may be configured, in cores; 0 is no limit.
 const CAPS: [u32; 5] = [100, 60, 25, 140, 0];
-/// After how many turns an owner says something again.
+/// The minimum number of ticks between two usage reports of an owner.
 const SAY_EVERY: u64 = 4;
 const POOLS: [&str; 3] = ["desk", "plan", "hub"];
 pub const WORKSPACE: &str = "lunch";
@@ -34,9 +34,9 @@
     pub now: u64,
     configs: Vec<(u64, Room)>,
     records: Vec<LentCap>,
-    /// Versions for which all records hold, each with how many there were.
+    /// Configuration versions up to which the records are complete, each with the number of records then.
     as_of: Vec<(usize, u64)>,
-    /// Words on their way, with when each arrives.
+    /// Usage reports in flight, each with the tick of its arrival.
     words: Vec<(u64, CapUse)>,
     arrived: Vec<CapUse>,
     lender: Lender,
@@ -108,7 +108,7 @@
         world
     }
 
-    /// Returns the highest cap that may be in force.
+    /// Returns the highest cap that may still be in force at any node.
     fn cap_now(&self) -> u32 {
         let until =
             |i: usize| self.configs.get(i + 1).map_or(u64::MAX, |next| next.0 + CONFIG_TURNS);
@@ -144,10 +144,10 @@
         }
     }
 
-    /// Returns the workspace by a version, as a node knows it that has read on from another one.
-    fn workspace(&self, version: usize, began: usize) -> Workspace {
-        let unlimited = (began..=version).rev().find(|&v| self.configs[v].1.cpu == 0);
-        let limited_since = unlimited.map_or(began as u64 + 1, |v| v as u64 + 2);
+    /// Returns the workspace as of a version for a node that has read every version since `first_version`.
+    fn workspace(&self, version: usize, first_version: usize) -> Workspace {
+        let unlimited = (first_version..=version).rev().find(|&v| self.configs[v].1.cpu == 0);
+        let limited_since = unlimited.map_or(first_version as u64 + 1, |v| v as u64 + 2);
         let cap = self.configs[version].1;
         Workspace { name: WORKSPACE.into(), weight: 1, cap, limited_since }
     }
@@ -158,7 +158,7 @@
         owner.ledger.set_workspaces(owner.version as u64 + 1, &[workspace]);
     }
 
-    /// One turn; `busy` is the pool whose turn it is.
+    /// Advances the simulation by one tick; most tasks are submitted to the pool `busy`.
     pub fn turn(&mut self, busy: usize) {
         self.now += 1;
         if self.trouble {
@@ -169,8 +169,8 @@
         self.lend();
         for pool in 0..POOLS.len() {
             self.read(pool);
-            let comes = if pool == busy { 0.9 } else { 0.05 };
-            if self.rng.random_bool(comes) {
+            let probability = if pool == busy { 0.9 } else { 0.05 };
+            if self.rng.random_bool(probability) {
                 let room = cap(self.rng.random_range(1..=LARGEST_TASK));
                 self.owners[pool].waiting.push(room);
             }
@@ -187,7 +187,7 @@
         }
         if self.rng.random_bool(0.005) {
             self.lender_back_at = self.now + self.rng.random_range(5..100);
-            let as_of = self.as_of.last().map_or(0, |told| told.1);
+            let as_of = self.as_of.last().map_or(0, |known| known.1);
             self.lender = Lender::new(as_of, self.newest_records());
             self.lender_began = self.lender_version;
             self.heard = 0;
@@ -211,13 +211,13 @@
         let now = self.now;
         for owner in &mut self.owners {
             let (ledger, key) = (&mut owner.ledger, owner.key);
-            let forget = self.without == Without::Predecessor;
+            let skip_counting = self.without == Without::Predecessor;
             owner.runs.retain(|run| {
-                let gone = now >= run.told;
-                if gone && !forget {
+                let is_ended = now >= run.told;
+                if is_ended && !skip_counting {
                     ledger.remove(key, run.room);
                 }
-                !gone
+                !is_ended
             });
         }
     }
@@ -226,35 +226,36 @@
         let (oldest, newest) = (self.oldest_version(), self.configs.len() - 1);
         for pool in 0..POOLS.len() {
             let version = self.owners[pool].version.max(oldest);
-            let hears = self.rng.random_bool(0.1);
-            let version = if hears { newest } else { version };
+            let reads_newest = self.rng.random_bool(0.1);
+            let version = if reads_newest { newest } else { version };
             if version != self.owners[pool].version || self.without == Without::Admission {
                 self.owners[pool].version = version;
-                if self.without != Without::Admission || hears {
+                if self.without != Without::Admission || reads_newest {
                     self.tell_caps(pool);
                 }
             }
         }
-        let hears = self.rng.random_bool(0.1);
-        self.lender_version = if hears { newest } else { self.lender_version.max(oldest) };
+        let reads_newest = self.rng.random_bool(0.1);
+        self.lender_version = if reads_newest { newest } else { self.lender_version.max(oldest) };
     }
 
     fn lend(&mut self) {
         let now = self.now;
-        let (here, later) = std::mem::take(&mut self.words).into_iter().partition(|w| w.0 <= now);
-        self.words = later;
-        let here: Vec<(u64, CapUse)> = here;
-        self.arrived.extend(here.into_iter().map(|w| w.1));
+        let (arrived, in_flight) =
+            std::mem::take(&mut self.words).into_iter().partition(|report| report.0 <= now);
+        self.words = in_flight;
+        let arrived: Vec<(u64, CapUse)> = arrived;
+        self.arrived.extend(arrived.into_iter().map(|report| report.1));
         if now < self.lender_back_at {
             return;
         }
         let number = self.records.last().map_or(0, |r| r.number);
-        for word in &self.arrived[self.heard..] {
-            let mut word = word.clone();
+        for usage in &self.arrived[self.heard..] {
+            let mut usage = usage.clone();
             if self.without == Without::Confirmation {
-                word.number = number;
+                usage.number = number;
             }
-            self.lender.record_use(word);
+            self.lender.record_use(usage);
         }
         self.heard = self.arrived.len();
         let cap = self.configs[self.lender_version].1;
@@ -277,7 +278,7 @@
         let owner = &mut self.owners[pool];
         let end = self.records.len();
         if self.now == owner.reads_at {
-            // Another node's view may lag behind by any number of records.
+            // Without this safeguard, the owner uses the view of another node, which lags behind by 4 records.
             let lag = if self.without == Without::ReadingFirst { 4 } else { 0 };
             owner.cursor = end.saturating_sub(lag);
         } else if self.now < owner.reads_at || late {
@@ -292,8 +293,8 @@
                 record.cap = self.configs[owner.version].1;
             }
         }
-        let told = self.as_of.iter().rev().find(|told| told.0 <= owner.cursor);
-        owner.ledger.set_records(told.map_or(0, |told| told.1), records.iter());
+        let complete = self.as_of.iter().rev().find(|complete| complete.0 <= owner.cursor);
+        owner.ledger.set_records(complete.map_or(0, |complete| complete.1), records.iter());
     }
 
     fn start_waiting(&mut self, pool: usize) {
@@ -310,9 +311,9 @@
             }
             owner.waiting.remove(0);
             owner.ledger.add(owner.key, room);
-            let ends = self.now + self.rng.random_range(5..120);
-            let told = ends + if self.trouble { self.rng.random_range(0..60) } else { 1 };
-            self.owners[pool].runs.push(Run { room, ends, told });
+            let ends_at = self.now + self.rng.random_range(5..120);
+            let reported_at = ends_at + if self.trouble { self.rng.random_range(0..60) } else { 1 };
+            self.owners[pool].runs.push(Run { room, ends: ends_at, told: reported_at });
             self.starts += 1;
             let running = self.running();
             let alone = running == u64::from(room.cpu);
@@ -333,18 +334,18 @@
         let waiting = owner.waiting.iter().fold(Room::default(), |sum, r| sum.plus(*r));
         let waiting: HashMap<WorkspaceKey, Room> =
             owner.key.map(|k| (k, waiting)).into_iter().collect();
-        let words = owner.ledger.to_report(owner.token, &mut owner.count, &waiting);
-        if !words.is_empty() {
+        let reports = owner.ledger.to_report(owner.token, &mut owner.count, &waiting);
+        if !reports.is_empty() {
             owner.says_at = self.now + SAY_EVERY;
         }
-        for word in words {
+        for usage in reports {
             let delay = if self.trouble { self.rng.random_range(1..60) } else { 1 };
-            // Some never arrive, and the owner is told so, or is gone by then.
+            // Some reports never arrive. The owner learns of that, unless it has been replaced by then.
             if self.trouble && self.rng.random_bool(0.1) {
                 self.owners[pool].ledger.forget_reported();
                 continue;
             }
-            self.words.push((self.now + delay, word));
+            self.words.push((self.now + delay, usage));
         }
     }
 
@@ -353,8 +354,8 @@
             self.owners.iter().flat_map(|o| &o.waiting).map(|r| u64::from(r.cpu)).sum();
         if waiting > 0 {
             let cap = u64::from(self.configs.last().map_or(0, |c| c.1.cpu));
-            // What waits for its own size to come free is no fault of the split.
-            // An end that its owner has not heard of is no fault of the split.
+            // Capacity counts as idle only if a waiting task fits into it. Runs whose end is not reported yet still take theirs:
+            // neither is a fault of the split.
             let counted = self.owners.iter().flat_map(|o| &o.runs).map(|r| u64::from(r.room.cpu));
             let left = cap.saturating_sub(counted.sum());
             let heads = self.owners.iter().filter_map(|o| o.waiting.first());
--- a/crates/schedule/tests/quota_world/parts.rs
+++ b/crates/schedule/tests/quota_world/parts.rs
@@ -1,30 +1,30 @@
-//! What a world of caps is made of: ways of splitting, safeguards that can be taken out, owners and runs.
+//! Parts of the simulation: ways to split a cap, safeguards that can be disabled, owners and runs.
 
 use thistle_schedule::Room;
 use thistle_schedule::quota::{Ledger, WorkspaceKey};
 
-/// How caps are split.
+/// How a cap is split between the pools.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// By a lender, by what pools want.
+    /// A lender splits the cap by the demand of the pools.
     Lent,
-    /// Each pool has an equal part for good.
+    /// Each pool always has an equal part.
     Equal,
 }
 
-/// A safeguard that is taken out, to see that the check would show it.
+/// A safeguard that is disabled to show that the check finds the fault it prevents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Without {
     Nothing,
-    /// What a pool says counts as said of the newest record.
+    /// A pool's usage report counts as a confirmation of the newest record.
     Confirmation,
-    /// A new owner goes by old records of how caps are lent.
+    /// A new owner uses old records of lent caps.
     ReadingFirst,
-    /// A lowered cap counts as lent.
+    /// The records count as made for the cap that the owner knows, even after that cap was lowered.
     LoweredCap,
-    /// A new owner does not count what its predecessor started.
+    /// A new owner does not count the runs that its predecessor started.
     Predecessor,
-    /// A job of a workspace that is not known yet has no limit.
+    /// A job has no limit as long as the owner does not know its workspace.
     Admission,
 }
 
@@ -40,13 +40,13 @@
     pub token: u64,
     pub count: u64,
     pub version: usize,
-    /// The version that its node has read first.
+    /// The first configuration version that its node has read.
     pub began: usize,
-    /// Up to which record of the lender it has read.
+    /// The number of lender records that it has read.
     pub cursor: usize,
-    /// When it has read the newest records.
+    /// The tick at which it first reads the records.
     pub reads_at: u64,
-    /// What its runs that are not known to have ended take.
+    /// The runs whose end is not reported yet.
     pub runs: Vec<Run>,
     pub waiting: Vec<Room>,
     pub short_since: Option<u64>,
--- a/crates/schedule/tests/shares.rs
+++ b/crates/schedule/tests/shares.rs
@@ -1,4 +1,4 @@
-//! One workspace sends twenty times its share to a pool that is full by it: the others are served as if it did not.
+//! A workspace that submits twenty times its share fills a pool, and the jobs of other workspaces still complete in time.
 
 mod common;
 
@@ -12,19 +12,19 @@
     EndKind, JobId, JobSpec, Ms, Policy, Pool, Room, RunId, VmIncarnation, VmReport, Workspace,
 };
 
-/// VMs of four cores.
+/// The number of VMs, of four cores each.
 const VMS: usize = 5;
-/// How long a task works; a job is due after 2.1 s.
+/// The duration of a task; a job is due 2.1 s after its submission.
 const WORK_MS: Ms = 1_000;
 const DUE_MS: Ms = 2_100;
-/// How long jobs come, and until when they are waited for.
+/// Jobs are submitted until `SEND_MS`, and the simulation ends at `END_MS`.
 const SEND_MS: Ms = 6_000;
 const END_MS: Ms = 60_000;
 const TICK: Ms = 50;
-/// Workspaces beside the one that sends too much; each may send two jobs a second, and does.
+/// The number of workspaces that keep to their share; each submits the two jobs a second that it may.
 const OTHERS: usize = 4;
 const WEIGHT: u32 = 2;
-/// Jobs a second of the one that sends too much: twenty times its share.
+/// Jobs a second of the workspace that exceeds its share: twenty times as many.
 const BURST: u64 = 40;
 
 struct Play {
@@ -53,7 +53,7 @@
             limited_since: 0,
         };
         pool.set_workspaces(1, &names.map(workspace).collect::<Vec<_>>());
-        // An owner has read how caps are lent before it starts anything: nobody is limited.
+        // An owner starts nothing before it has read the lent caps; here no workspace has a cap.
         pool.set_lent_caps(1, std::iter::empty());
         Self { pool, due: BTreeMap::new(), runs: Vec::new(), sequence: 0, in_time: 0 }
     }
@@ -95,43 +95,43 @@
     }
 }
 
-/// Returns how many jobs of the others were in time.
+/// Returns the number of jobs of the other workspaces that ended in time.
 fn served(shares: SharePolicy, burst: u64) -> usize {
-    let mut play = Play::new(shares);
+    let mut simulation = Play::new(shares);
     for now in (0..END_MS).step_by(TICK as usize) {
         if now < SEND_MS {
             for other in 1..=OTHERS {
                 if now % 500 == 0 {
-                    play.submit(other, now);
+                    simulation.submit(other, now);
                 }
             }
             for i in 0..burst {
                 let at = i * 1_000 / burst.max(1);
                 if now % 1_000 <= at && at < now % 1_000 + TICK {
-                    play.submit(0, now);
+                    simulation.submit(0, now);
                 }
             }
         }
-        play.tick(now);
+        simulation.tick(now);
     }
-    play.in_time
+    simulation.in_time
 }
 
 #[test]
-fn one_workspace_that_sends_twenty_times_its_share_costs_the_others_little() {
-    // The VMs have room for twenty such jobs at once; eight a second come from the others.
-    let calm = served(SharePolicy::BeyondLast, 0);
-    let beside = |shares| served(shares, BURST);
-    for way in [SharePolicy::DueFirst, SharePolicy::BeyondLast] {
-        println!("{way:?}: {} of {calm} in time beside the burst", beside(way));
+fn a_workspace_that_submits_twenty_times_its_share_delays_few_jobs_of_others() {
+    // The VMs have room for twenty jobs at once, and the other workspaces submit eight a second.
+    let baseline = served(SharePolicy::BeyondLast, 0);
+    let during_burst = |shares| served(shares, BURST);
+    for policy in [SharePolicy::DueFirst, SharePolicy::BeyondLast] {
+        println!("{policy:?}: {} of {baseline} in time beside the burst", during_burst(policy));
     }
-    let kept = beside(SharePolicy::BeyondLast);
-    assert!(kept * 20 >= calm * 19, "{kept} of {calm}");
-    assert!(beside(SharePolicy::DueFirst) < kept);
+    let in_time = during_burst(SharePolicy::BeyondLast);
+    assert!(in_time * 20 >= baseline * 19, "{in_time} of {baseline}");
+    assert!(during_burst(SharePolicy::DueFirst) < in_time);
 }
 
 #[test]
-fn a_workspace_keeps_its_share_however_much_it_sends() {
+fn a_workspace_keeps_its_share_however_much_it_submits() {
     let mut pool = pool_with(&["a"]).with_name("desk".into());
     let workspace =
         Workspace { name: "w".into(), weight: 1, cap: Room::default(), limited_since: 0 };
@@ -141,7 +141,7 @@
     for id in 1..20 {
         pool.submit(JobId(id), Arc::new(spec.clone()), at(0));
     }
-    // Five seconds' worth may come at once, and those go first.
+    // A workspace may submit the jobs of five seconds at once, and these start first.
     let first: Vec<JobId> = starts(&pool.plan(at(10))).iter().map(|s| s.run.task.job).collect();
     assert_eq!(first[..5], [1, 2, 3, 4, 5].map(JobId));
 }
--- a/crates/schedule/tests/workspaces.rs
+++ b/crates/schedule/tests/workspaces.rs
@@ -1,4 +1,4 @@
-//! Four hundred workspaces with many keys: every key names its workspace and nothing else does.
+//! Four hundred workspaces with fifty keys each: every key is found with its workspace, and no other key is.
 
 use std::time::Instant;
 
@@ -12,9 +12,9 @@
     format!("k{workspace:04}x{key:04}secret")
 }
 
-/// Prints what it takes: `cargo test --release -p thistle-schedule --test workspaces -- --nocapture`.
+/// Prints the time to build and to search the keys: `cargo test --release -p thistle-schedule --test workspaces -- --nocapture`.
 #[test]
-fn each_of_twenty_thousand_keys_names_its_workspace() {
+fn each_of_twenty_thousand_keys_is_found_with_its_workspace() {
     let secret = KeySecret::new([7; 32]);
     let config = |w: usize| WorkspaceConfig {
         workspace: Workspace {
@@ -26,25 +26,25 @@
         keys: (0..KEYS_EACH).map(|k| key_of(w, k)).collect(),
     };
     let configs: Vec<WorkspaceConfig> = (0..WORKSPACES).map(config).collect();
-    let began = Instant::now();
+    let started_at = Instant::now();
     let workspaces = Workspaces::new(configs, &secret);
-    let built = began.elapsed();
+    let built = started_at.elapsed();
     assert_eq!(workspaces.keys(), WORKSPACES * KEYS_EACH);
     assert_eq!(workspaces.warnings(), [""; 0]);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut found = 0;
     for i in 0..LOOK_UPS {
         let (workspace, key) = (i % WORKSPACES, i % KEYS_EACH);
         let named = workspaces.of_key(&key_of(workspace, key), &secret);
         found += usize::from(named.is_some_and(|w| *w.name == *format!("w{workspace}")));
     }
-    let each = began.elapsed() / u32::try_from(LOOK_UPS).unwrap_or(1);
+    let each = started_at.elapsed() / u32::try_from(LOOK_UPS).unwrap_or(1);
     assert_eq!(found, LOOK_UPS);
     assert!(workspaces.of_key("k0000x0000secreT", &secret).is_none());
     println!("{} keys: built in {built:?}, {each:?} a look-up", workspaces.keys());
 }
 
-/// Four hundred names on each node would be most of what operators scrape.
+/// The labels of four hundred workspaces on each node would make up most of the scraped metrics.
 #[test]
 fn metrics_name_the_largest_workspaces_only() {
     let config = |w: u32| WorkspaceConfig {
