--- a/crates/schedule/tests/admission.rs
+++ b/crates/schedule/tests/admission.rs
@@ -5,11 +5,11 @@
 use thistle_schedule::admission::StoreView;
 
 /// The timeout of an append, in milliseconds.
-const PATIENCE_MS: Ms = 600;
+const APPEND_TIMEOUT_MS: Ms = 600;
 /// The interval between reads of heartbeats, in milliseconds.
-const READ_EVERY_MS: Ms = 450;
+const READ_INTERVAL_MS: Ms = 450;
 /// The interval between submissions at one node, in milliseconds.
-const JOB_EVERY_MS: Ms = 10;
+const SUBMISSION_INTERVAL_MS: Ms = 10;
 const OUTAGE: std::ops::Range<Ms> = 10_000..13_000;
 
 /// The outcomes of the submissions at one node.
@@ -26,19 +26,19 @@
 
 /// Replays regular submissions at a node whose store answers after `answer_ms` and takes no appends during the outage.
 /// With `reads_answered`, only one partition is unresponsive, so that reads are still answered.
-fn replay(answer_ms: Ms, reads_answered: bool) -> Outcome {
+fn simulate(answer_ms: Ms, reads_answered: bool) -> Outcome {
     let mut view = StoreView::default();
     let mut outcome = Outcome::default();
     let mut next_read = 0;
     for now in 0..20_000 {
         let unresponsive = OUTAGE.contains(&now);
         if now >= next_read {
-            next_read = now + READ_EVERY_MS + answer_ms;
+            next_read = now + READ_INTERVAL_MS + answer_ms;
         }
-        if now + READ_EVERY_MS == next_read && (!unresponsive || reads_answered) {
+        if now + READ_INTERVAL_MS == next_read && (!unresponsive || reads_answered) {
             view.answered_at = now;
         }
-        if now < 2_000 || now % JOB_EVERY_MS != 0 {
+        if now < 2_000 || now % SUBMISSION_INTERVAL_MS != 0 {
             continue;
         }
         if !view.accepts_submissions(now) {
@@ -47,7 +47,7 @@
         } else if !unresponsive {
             outcome.kept += 1;
         } else {
-            outcome.held_ms += PATIENCE_MS;
+            outcome.held_ms += APPEND_TIMEOUT_MS;
             let has_answered = reads_answered;
             let later_view = StoreView {
                 answered_at: if has_answered { now + 1 } else { view.answered_at },
@@ -69,25 +69,28 @@
 /// the present limits hold 120 for 0.6 s each, 72 s in all.
 #[gtest]
 fn an_unresponsive_store_delays_few_callers_and_briefly() {
-    let outcome = replay(4, false);
+    let outcome = simulate(4, false);
     expect_that!(outcome.unknown, le(120));
     expect_that!(outcome.held_ms, le(72_000));
     expect_that!(outcome.refused_at_once, ge(180));
     // Until the next read after the outage.
-    expect_that!(outcome.refused_needlessly, le((READ_EVERY_MS / JOB_EVERY_MS) as u32 + 1));
+    expect_that!(
+        outcome.refused_needlessly,
+        le((READ_INTERVAL_MS / SUBMISSION_INTERVAL_MS) as u32 + 1)
+    );
 }
 
 #[gtest]
 fn a_slow_store_accepts_every_submission() {
     for answer_ms in [60, 120, 240, 480] {
-        let outcome = replay(answer_ms, true);
+        let outcome = simulate(answer_ms, true);
         expect_that!(outcome.refused_at_once, eq(0), "{answer_ms} ms an answer");
     }
 }
 
 #[gtest]
 fn the_fallback_partition_is_tried_while_another_is_unresponsive() {
-    let outcome = replay(4, true);
+    let outcome = simulate(4, true);
     expect_that!((outcome.refused_at_once, outcome.unknown), eq((0, 0)));
 }
 
--- a/crates/schedule/tests/caps_of_settled_jobs.rs
+++ b/crates/schedule/tests/caps_of_settled_jobs.rs
@@ -12,7 +12,7 @@
 const POOL: &str = "desk";
 
 /// Returns a pool with a cap of two tasks for the workspace `lunch`, all of it lent to this pool.
-fn owner() -> Pool {
+fn pool_with_cap() -> Pool {
     let mut pool = pool_with(&["a", "b"]).with_name(POOL.into());
     let name = "lunch".into();
     pool.set_workspaces(1, &[Workspace { name, weight: 100, cap: CAP, limited_since: 1 }]);
@@ -29,7 +29,7 @@
     pool
 }
 
-fn of_lunch() -> std::sync::Arc<JobSpec> {
+fn job_of_lunch() -> std::sync::Arc<JobSpec> {
     let spec = job(vec![step(2, 500)]);
     JobSpec { workspace: "lunch".into(), admitted_by: 1, ..spec.as_ref().clone() }.into()
 }
@@ -40,21 +40,21 @@
 #[gtest]
 fn runs_of_a_cancelled_job_that_are_still_reported_count_against_the_cap() {
     let (first, second) = (JobId(1), JobId(2));
-    let mut before = owner();
-    before.submit(first, of_lunch(), at(0));
+    let mut before = pool_with_cap();
+    before.submit(first, job_of_lunch(), at(0));
     let running = starts(&before.plan(at(10)));
     expect_that!(running, len(eq(2)));
     before.cancel(first, at(20));
     before.plan(at(20));
     let (_, progress) = before.take_records().pop().expect("the cancel is written");
     let entry =
-        JobEntry { spec: Some(of_lunch()), cancelled: true, progress, ..JobEntry::default() };
+        JobEntry { spec: Some(job_of_lunch()), cancelled: true, progress, ..JobEntry::default() };
 
-    let mut after = owner();
+    let mut after = pool_with_cap();
     after.adopt(first, &entry, at(100));
     let rows = running.iter().map(|start| row(start.run, 50)).collect();
     after.apply_report(&vm("a", 1).id, &report(110, rows, vec![]), at(110));
-    after.submit(second, of_lunch(), at(120));
+    after.submit(second, job_of_lunch(), at(120));
     expect_that!(
         starts(&after.plan(at(130))),
         is_empty(),
--- a/crates/schedule/tests/dropped_submissions.rs
+++ b/crates/schedule/tests/dropped_submissions.rs
@@ -13,14 +13,14 @@
 use thistle_schedule::{JobLog, LogChange, Phase, Progress};
 
 const FIRST: u32 = 0;
-const SPARE: u32 = 2;
+const FALLBACK: u32 = 2;
 
-fn submit(log: &mut JobLog, part: u32) -> Option<LogChange> {
+fn apply_submission(log: &mut JobLog, part: u32) -> Option<LogChange> {
     let spec = encode(job(vec![step(1, 500)]).as_ref());
     log.apply_from(part, &submit_key(JOB), Some(&spec)).expect("it can be read")
 }
 
-fn complete(log: &mut JobLog) {
+fn apply_completion(log: &mut JobLog) {
     let progress = Progress { phase: Phase::Completed, ..Progress::default() };
     let record = encode(&(Version { token: 1, number: 1 }, progress));
     expect_that!(log.apply(&progress_key(JOB), Some(&record)), ok(none()));
@@ -33,10 +33,10 @@
 #[gtest]
 fn a_job_is_known_until_its_submission_is_dropped_in_every_partition() {
     let mut log = JobLog::default();
-    submit(&mut log, FIRST);
-    submit(&mut log, SPARE);
-    complete(&mut log);
-    for part in [FIRST, SPARE] {
+    apply_submission(&mut log, FIRST);
+    apply_submission(&mut log, FALLBACK);
+    apply_completion(&mut log);
+    for part in [FIRST, FALLBACK] {
         expect_that!(phase(&log), some(eq(Phase::Completed)));
         expect_that!(log.apply_from(part, &submit_key(JOB), None), ok(none()));
     }
@@ -46,22 +46,22 @@
 #[gtest]
 fn a_job_missing_from_the_newest_records_is_hidden_and_returns_with_its_progress() {
     let mut log = JobLog::default();
-    submit(&mut log, FIRST);
-    complete(&mut log);
-    log.record_reload(SPARE, &HashSet::new());
+    apply_submission(&mut log, FIRST);
+    apply_completion(&mut log);
+    log.record_reload(FALLBACK, &HashSet::new());
     expect_that!(phase(&log), some(eq(Phase::Completed)), "it never stood in the spare partition");
     log.record_reload(FIRST, &HashSet::new());
     expect_that!(phase(&log), none());
     expect_that!(log.iter().count(), eq(0));
-    log.record_reload(SPARE, &HashSet::new());
-    expect_that!(submit(&mut log, FIRST), some(eq(LogChange::Submitted(JOB))));
+    log.record_reload(FALLBACK, &HashSet::new());
+    expect_that!(apply_submission(&mut log, FIRST), some(eq(LogChange::Submitted(JOB))));
     expect_that!(phase(&log), some(eq(Phase::Completed)));
 }
 
 #[gtest]
 fn a_job_missing_from_the_newest_records_twice_is_removed() {
     let mut log = JobLog::default();
-    submit(&mut log, FIRST);
+    apply_submission(&mut log, FIRST);
     log.record_reload(FIRST, &HashSet::from([JOB]));
     expect_that!(log.len(), eq(1));
     log.record_reload(FIRST, &HashSet::new());
--- a/crates/schedule/tests/fleet.rs
+++ b/crates/schedule/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod fleet_common;
 
-use fleet_common::{busy, emptied, fleet, two_pools, up, vm, vms_of, wave};
+use fleet_common::{busy, emptied, fleet, two_pools, up_vms, vm, vms_of, wave};
 use googletest::prelude::*;
 use thistle_schedule::fleet::{
     Fleet, FleetOrder, FleetRecord, FleetVm, HoldOff, OrderOutcome, PoolReport, Purpose, VmState,
@@ -82,10 +82,10 @@
     fleet.plan(10);
     expect_that!(fleet.to_complete(), is_empty());
     // A list read after the wave was requested does not contain the VM either.
-    fleet.set_vms(up(&["a"]), 300);
+    fleet.set_vms(up_vms(&["a"]), 300);
     fleet.plan(310);
     expect_that!(fleet.to_complete(), is_empty());
-    fleet.set_vms(up(&["a", "new"]), 500);
+    fleet.set_vms(up_vms(&["a", "new"]), 500);
     fleet.plan(510);
     expect_that!(fleet.record().cordoned().collect::<Vec<_>>(), eq(&vec!["new"]));
 }
@@ -94,7 +94,7 @@
 fn a_vm_that_left_the_fleet_does_not_delay_its_wave() {
     let mut fleet = fleet(&["gone"], 1);
     for ms in [100, 2_000, 4_000] {
-        fleet.set_vms(up(&["a"]), ms);
+        fleet.set_vms(up_vms(&["a"]), ms);
         fleet.plan(ms);
     }
     expect_that!(fleet.to_complete(), eq(&vec![1]));
--- a/crates/schedule/tests/fleet_common/mod.rs
+++ b/crates/schedule/tests/fleet_common/mod.rs
@@ -11,7 +11,7 @@
     FleetVm { name: name.into(), pool: pool.into(), state, hall, rack, incarnation }
 }
 
-pub fn up(names: &[&str]) -> Vec<FleetVm> {
+pub fn up_vms(names: &[&str]) -> Vec<FleetVm> {
     names.iter().map(|n| vm(n, "desk", 1, VmState::Up)).collect()
 }
 
@@ -28,7 +28,7 @@
 pub fn fleet(names: &[&str], cap: usize) -> Fleet {
     let mut fleet = Fleet::new(FleetRecord::default(), HoldOff::default());
     fleet.set_pools(["desk".into()].into(), None);
-    fleet.set_vms(up(&["a", "b", "c", "d", "e", "f"]), 0);
+    fleet.set_vms(up_vms(&["a", "b", "c", "d", "e", "f"]), 0);
     fleet.set_wave(wave(names, cap));
     fleet
 }
--- a/crates/schedule/tests/fleet_rows.rs
+++ b/crates/schedule/tests/fleet_rows.rs
@@ -44,7 +44,7 @@
 }
 
 /// Returns the content of a record in sorted order, so that two records can be compared.
-fn told(record: &FleetRecord) -> impl PartialEq + std::fmt::Debug + use<> {
+fn sorted_content(record: &FleetRecord) -> impl PartialEq + std::fmt::Debug + use<> {
     let mut work: Vec<VmWork> = record.work.iter().cloned().collect();
     work.sort_by(|a, b| a.vm.cmp(&b.vm));
     let mut ordered_lately = record.ordered_lately.clone();
@@ -79,7 +79,7 @@
                 applied.apply(row);
             }
             written = record.clone();
-            assert_eq!(told(&applied), told(&record), "seed {seed}");
+            assert_eq!(sorted_content(&applied), sorted_content(&record), "seed {seed}");
         }
     }
 }
--- a/crates/schedule/tests/fleet_succession.rs
+++ b/crates/schedule/tests/fleet_succession.rs
@@ -2,7 +2,7 @@
 
 mod fleet_common;
 
-use fleet_common::{busy, emptied, fleet, up, vm, vms_of, wave};
+use fleet_common::{busy, emptied, fleet, up_vms, vm, vms_of, wave};
 use googletest::prelude::*;
 use thistle_schedule::fleet::{
     Fleet, FleetRecord, HoldOff, OrderOutcome, PoolReport, Purpose, Stage, VmState, VmWork,
@@ -19,7 +19,7 @@
     let mut after = Fleet::new(before.record().clone(), hold_off);
     after.set_pools(["desk".into()].into(), None);
     after.set_wave(wave(&["a"], 1));
-    after.set_vms(up(&["a", "b", "c"]), 100);
+    after.set_vms(up_vms(&["a", "b", "c"]), 100);
     expect_that!(after.plan(200), is_empty());
     expect_that!(after.plan(3_200), is_empty());
     expect_that!(vms_of(&after.plan(3_300)), eq(&vec!["a"]));
@@ -42,7 +42,7 @@
     expect_that!(vms_of(&after.plan(110)), eq(&vms_of(&first)));
     after.record_order_result(&first[0].vm, OrderOutcome::Done, 120);
     after.plan(130);
-    let mut vms = up(&["a", "b", "c"]);
+    let mut vms = up_vms(&["a", "b", "c"]);
     vms.iter_mut().filter(|vm| *vm.name == *first[0].vm).for_each(|vm| vm.state = VmState::Away);
     after.set_vms(vms, 200);
     after.set_report(&"desk".into(), emptied(&["a", "b"]), 210);
@@ -77,7 +77,7 @@
     let mut fleet = Fleet::new(record, HoldOff { until: 3_000, gap: 3_000 });
     fleet.set_pools(["desk".into()].into(), Some("off".into()));
     let off = ["o", "p"].map(|name| vm(name, "off", 1, VmState::Up));
-    fleet.set_vms(up(&["a", "b", "c", "d"]).into_iter().chain(off).collect(), 0);
+    fleet.set_vms(up_vms(&["a", "b", "c", "d"]).into_iter().chain(off).collect(), 0);
     fleet.set_report(&"desk".into(), busy(0, 90_000, &[]), 10);
     expect_that!(vms_of(&fleet.plan(20)), eq(&vec!["p"]));
     expect_that!(vms_of(&fleet.plan(1_400)), is_empty(), "its move took 1.5 s at least");
@@ -89,7 +89,7 @@
     let hold_off = HoldOff { until: 0, gap: 3_000 };
     let mut fleet = Fleet::new(FleetRecord::default(), hold_off);
     fleet.set_pools(["desk".into()].into(), Some("off".into()));
-    let others = up(&["a", "b", "c", "d"]);
+    let others = up_vms(&["a", "b", "c", "d"]);
     fleet.set_vms([others.clone(), vec![vm("o", "off", 1, VmState::Up)]].concat(), 0);
     fleet.set_report(&"desk".into(), busy(0, 90_000, &[]), 10);
     expect_that!(vms_of(&fleet.plan(20)), eq(&vec!["o"]));
--- a/crates/schedule/tests/job_records.rs
+++ b/crates/schedule/tests/job_records.rs
@@ -25,8 +25,8 @@
 const SEEDS: u64 = 400;
 const SUBMISSIONS: usize = 0;
 const PROGRESS: usize = 1;
-const SPARE: usize = 2;
-const SPARE_PROGRESS: usize = 3;
+const FALLBACK_SUBMISSIONS: usize = 2;
+const FALLBACK_PROGRESS: usize = 3;
 
 type Record = (String, Option<Vec<u8>>);
 
@@ -43,12 +43,12 @@
     (progress_key(JOB), Some(encode_progress(version, progress)))
 }
 
-fn settled() -> Progress {
+fn settled_progress() -> Progress {
     Progress { phase: Phase::Completed, begun: true, settled_ms: 1, ..Progress::default() }
 }
 
 /// Returns the progress of an open job with the given number of finished tasks.
-fn open(done: u32) -> Progress {
+fn open_progress(done: u32) -> Progress {
     let task = |index| TaskRecord {
         time: 0,
         step: 0,
@@ -68,7 +68,7 @@
 /// The partitions of one pool and a node that reads them.
 #[derive(Default)]
 struct Reader {
-    parts: [Vec<Record>; 4],
+    partitions: [Vec<Record>; 4],
     next: [usize; 4],
     log: JobLog,
 }
@@ -80,10 +80,10 @@
     }
 
     /// Reads some further records of a partition, at times starting with one that was read before.
-    fn read_on(&mut self, partition: usize, rng: &mut StdRng) {
+    fn read_further(&mut self, partition: usize, rng: &mut StdRng) {
         let from = self.next[partition] - rng.random_range(0..=self.next[partition].min(1));
-        let most = self.parts[partition].len() - from;
-        let records: Vec<Record> = self.parts[partition]
+        let most = self.partitions[partition].len() - from;
+        let records: Vec<Record> = self.partitions[partition]
             .iter()
             .skip(from)
             .take(rng.random_range(0..=most))
@@ -98,7 +98,7 @@
     /// Reads only the newest record of each key, as after the platform dropped the history.
     fn read_newest(&mut self, partition: usize) {
         let mut newest: BTreeMap<String, Record> = BTreeMap::new();
-        for record in &self.parts[partition] {
+        for record in &self.partitions[partition] {
             match &record.1 {
                 Some(_) => newest.insert(record.0.clone(), record.clone()),
                 None => newest.remove(&record.0),
@@ -107,19 +107,19 @@
         for record in newest.values() {
             self.apply(record);
         }
-        self.next[partition] = self.parts[partition].len();
+        self.next[partition] = self.partitions[partition].len();
     }
 
-    fn read_any(&mut self, rng: &mut StdRng) {
+    fn read_randomly(&mut self, rng: &mut StdRng) {
         let partition = rng.random_range(0..4);
         match rng.random_bool(0.2) {
             true => self.read_newest(partition),
-            false => self.read_on(partition, rng),
+            false => self.read_further(partition, rng),
         }
     }
 
     fn has_read_all(&self) -> bool {
-        self.next.iter().zip(&self.parts).all(|(&next, partition)| next == partition.len())
+        self.next.iter().zip(&self.partitions).all(|(&next, partition)| next == partition.len())
     }
 
     fn entry(&self) -> JobEntry {
@@ -132,8 +132,8 @@
 fn write_job(partitions: &mut [Vec<Record>; 4], rng: &mut StdRng) -> (Version, Progress) {
     let submitted_to: &[usize] = match rng.random_range(0..3) {
         0 => &[SUBMISSIONS],
-        1 => &[SPARE],
-        _ => &[SUBMISSIONS, SPARE],
+        1 => &[FALLBACK_SUBMISSIONS],
+        _ => &[SUBMISSIONS, FALLBACK_SUBMISSIONS],
     };
     for &target in submitted_to {
         for _ in 0..rng.random_range(1..3) {
@@ -148,14 +148,14 @@
     for token in 1..=owners {
         for number in 1..=rng.random_range(1..4) {
             version = Version { token, number };
-            newest = open(u32::try_from(token).unwrap_or(1));
-            let partition = if rng.random_bool(0.3) { SPARE_PROGRESS } else { PROGRESS };
+            newest = open_progress(u32::try_from(token).unwrap_or(1));
+            let partition = if rng.random_bool(0.3) { FALLBACK_PROGRESS } else { PROGRESS };
             partitions[partition].push(progress(version, &newest));
         }
     }
     if rng.random_bool(0.5) {
         version.number += 1;
-        newest = settled();
+        newest = settled_progress();
         partitions[PROGRESS].push(progress(version, &newest));
     }
     (version, newest)
@@ -166,11 +166,11 @@
     for seed in 0..SEEDS {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut reader = Reader::default();
-        let (version, newest) = write_job(&mut reader.parts, &mut rng);
-        let cancelled = reader.parts.iter().flatten().any(|(key, _)| *key == cancel_key(JOB));
+        let (version, newest) = write_job(&mut reader.partitions, &mut rng);
+        let cancelled = reader.partitions.iter().flatten().any(|(key, _)| *key == cancel_key(JOB));
         let mut last_version = Version::default();
         while !reader.has_read_all() {
-            reader.read_any(&mut rng);
+            reader.read_randomly(&mut rng);
             let entry = reader.entry();
             assert!(
                 entry.version >= last_version,
@@ -206,8 +206,8 @@
     Arc::new(JobSpec { repeats, ..job(vec![step(1, 3_000)]).as_ref().clone() })
 }
 
-/// Returns the repetitions that a pool starts, in order; each is ended 50 ms after its start.
-fn times_run(pool: &mut Pool, from: u64) -> Vec<u32> {
+/// Returns the repetitions that a pool starts, in order; each ends 50 ms after its start.
+fn started_repetitions(pool: &mut Pool, from: u64) -> Vec<u32> {
     let mut repetitions = Vec::new();
     for now in (0..40).map(|i| from + 300 * i) {
         for start in plan_and_start(pool, now) {
@@ -239,7 +239,7 @@
     let mut after = pool_with(&["a"]);
     after.adopt(JOB, &entry, at(2_800));
     after.apply_report(&second[0].vm, &report(2_900, vec![], vec![]), at(2_900));
-    let mut times = times_run(&mut after, 3_000);
+    let mut times = started_repetitions(&mut after, 3_000);
     times.sort_unstable();
     expect_that!(times, not(contains(eq(&0))));
 }
@@ -263,7 +263,7 @@
     let mut after = pool_with(&["a"]);
     // By this clock only the first repetition is due.
     after.adopt(JOB, &entry, Now { steady: 4_000, wall: WALL + 500 });
-    let mut times = times_run(&mut after, 5_000);
+    let mut times = started_repetitions(&mut after, 5_000);
     times.sort_unstable();
     expect_that!(times, eq(&vec![0, 2, 3, 4]));
 }
--- a/crates/schedule/tests/ownership.rs
+++ b/crates/schedule/tests/ownership.rs
@@ -13,7 +13,7 @@
     NodeIncarnation { name: name.to_owned(), incarnation }
 }
 
-fn beat(incarnation: u64, sequence: u64) -> Heartbeat {
+fn heartbeat(incarnation: u64, sequence: u64) -> Heartbeat {
     Heartbeat { incarnation, sequence, leaving: false, relay: None, speed: 0 }
 }
 
@@ -26,12 +26,12 @@
 }
 
 /// Returns the claims of a node that has just read the heartbeats.
-fn claims_of(view: &mut Ownership, names: &[&str], now: Ms) -> Vec<Arc<str>> {
+fn claims_after_read(view: &mut Ownership, names: &[&str], now: Ms) -> Vec<Arc<str>> {
     view.record_read(now);
-    wanted(view, names, now)
+    claims_now(view, names, now)
 }
 
-fn wanted(view: &mut Ownership, names: &[&str], now: Ms) -> Vec<Arc<str>> {
+fn claims_now(view: &mut Ownership, names: &[&str], now: Ms) -> Vec<Arc<str>> {
     view.to_claim(pools(names).iter(), now)
 }
 
@@ -45,11 +45,11 @@
         let now = 900 + round * 100;
         for view in &mut views {
             for i in 0..3 {
-                view.record_heartbeat(&format!("n{i}"), &beat(1, round + 1), now);
+                view.record_heartbeat(&format!("n{i}"), &heartbeat(1, round + 1), now);
             }
         }
         for i in 0..3 {
-            let Some(pool) = claims_of(&mut views[i], &names, now).first().cloned() else {
+            let Some(pool) = claims_after_read(&mut views[i], &names, now).first().cloned() else {
                 continue;
             };
             claimed[i] += 1;
@@ -65,29 +65,29 @@
 #[gtest]
 fn an_unresponsive_owner_keeps_its_pool_for_longer_than_its_lease() {
     let mut view = Ownership::new(node("b", 1), 0);
-    view.record_heartbeat("b", &beat(1, 1), 0);
-    view.record_heartbeat("a", &beat(1, 1), 1_000);
+    view.record_heartbeat("b", &heartbeat(1, 1), 0);
+    view.record_heartbeat("a", &heartbeat(1, 1), 1_000);
     view.record_claim(&"desk".into(), claim("a", 1), 0, 900);
     for now in [1_000, 2_000, 3_000] {
         view.record_read(now);
     }
-    expect_that!(wanted(&mut view, &["desk"], 1_000 + OWNER_LEASE_MS), is_empty());
-    view.record_heartbeat("b", &beat(1, 2), 1_000 + UNRESPONSIVE_MS);
+    expect_that!(claims_now(&mut view, &["desk"], 1_000 + OWNER_LEASE_MS), is_empty());
+    view.record_heartbeat("b", &heartbeat(1, 2), 1_000 + UNRESPONSIVE_MS);
     view.record_read(1_000 + UNRESPONSIVE_MS);
-    expect_that!(wanted(&mut view, &["desk"], 1_000 + UNRESPONSIVE_MS), len(eq(1)));
+    expect_that!(claims_now(&mut view, &["desk"], 1_000 + UNRESPONSIVE_MS), len(eq(1)));
 }
 
 #[gtest]
 fn owner_timeouts_restart_after_this_node_could_not_read() {
     let mut view = Ownership::new(node("b", 1), 0);
-    view.record_heartbeat("a", &beat(1, 1), 1_000);
+    view.record_heartbeat("a", &heartbeat(1, 1), 1_000);
     view.record_claim(&"desk".into(), claim("a", 1), 0, 900);
     view.record_read(9_000);
-    expect_that!(wanted(&mut view, &["desk"], 9_100), is_empty());
+    expect_that!(claims_now(&mut view, &["desk"], 9_100), is_empty());
     for now in [10_000, 11_000, 12_000] {
         view.record_read(now);
     }
-    expect_that!(wanted(&mut view, &["desk"], 12_000), len(eq(1)));
+    expect_that!(claims_now(&mut view, &["desk"], 12_000), len(eq(1)));
 }
 
 /// A node that the store refused for some seconds must read the missed heartbeats
@@ -96,16 +96,16 @@
 fn a_node_without_recent_reads_claims_nothing() {
     let mut view = Ownership::new(node("b", 1), 0);
     view.record_read(1_000);
-    view.record_heartbeat("a", &beat(1, 1), 1_000);
+    view.record_heartbeat("a", &heartbeat(1, 1), 1_000);
     view.record_claim(&"desk".into(), claim("a", 1), 0, 900);
-    expect_that!(wanted(&mut view, &["desk"], 9_000), is_empty());
+    expect_that!(claims_now(&mut view, &["desk"], 9_000), is_empty());
 }
 
 #[gtest]
 fn a_restarted_owner_reclaims_its_pool_at_once() {
     let mut view = Ownership::new(node("a", 2), 5_000);
     view.record_claim(&"desk".into(), claim("a", 1), 0, 5_010);
-    expect_that!(claims_of(&mut view, &["desk"], 5_020), len(eq(1)));
+    expect_that!(claims_after_read(&mut view, &["desk"], 5_020), len(eq(1)));
 }
 
 #[gtest]
@@ -114,11 +114,11 @@
     let released = Claim { owner: node("c", 1), released: true };
     let mut first = 0;
     for view in &mut views {
-        view.record_heartbeat("a", &beat(1, 1), 2_000);
-        view.record_heartbeat("b", &beat(1, 1), 2_000);
+        view.record_heartbeat("a", &heartbeat(1, 1), 2_000);
+        view.record_heartbeat("b", &heartbeat(1, 1), 2_000);
         view.record_claim(&"desk".into(), claim("c", 1), 0, 1_000);
         view.record_claim(&"desk".into(), released.clone(), 1, 2_000);
-        first += claims_of(view, &["desk"], 2_010).len();
+        first += claims_after_read(view, &["desk"], 2_010).len();
     }
     expect_that!(first, eq(1));
 }
@@ -165,34 +165,34 @@
 fn an_owner_with_heartbeats_in_the_fallback_partition_is_responsive() {
     let mut view = Ownership::new(node("b", 1), 0);
     view.record_claim(&"desk".into(), claim("a", 1), 0, 900);
-    view.record_heartbeat("a", &beat(1, 1), 1_000);
+    view.record_heartbeat("a", &heartbeat(1, 1), 1_000);
     expect_that!(view.has_overdue_owner(1_500), eq(false));
     expect_that!(view.has_overdue_owner(2_000), eq(true));
     for (now, sequence) in [(2_000, 2), (3_000, 3), (4_000, 4), (5_000, 5)] {
         view.record_read(now);
-        view.record_fallback_heartbeat("a", &beat(1, sequence), now);
-        expect_that!(wanted(&mut view, &["desk"], now), is_empty());
+        view.record_fallback_heartbeat("a", &heartbeat(1, sequence), now);
+        expect_that!(claims_now(&mut view, &["desk"], now), is_empty());
     }
     // A late heartbeat of another incarnation does not count.
-    view.record_fallback_heartbeat("a", &beat(9, 90), 5_500);
+    view.record_fallback_heartbeat("a", &heartbeat(9, 90), 5_500);
     view.record_read(6_000);
     view.record_read(7_000);
-    expect_that!(wanted(&mut view, &["desk"], 7_600), is_empty());
+    expect_that!(claims_now(&mut view, &["desk"], 7_600), is_empty());
     view.record_read(7_700);
-    expect_that!(wanted(&mut view, &["desk"], 7_700), len(eq(1)));
+    expect_that!(claims_now(&mut view, &["desk"], 7_700), len(eq(1)));
 }
 
 #[gtest]
 fn owner_timeouts_restart_when_not_all_heartbeats_can_be_read() {
     let mut view = Ownership::new(node("b", 1), 0);
     view.record_claim(&"desk".into(), claim("a", 1), 0, 900);
-    view.record_heartbeat("a", &beat(1, 1), 1_000);
+    view.record_heartbeat("a", &heartbeat(1, 1), 1_000);
     for now in [1_000, 2_000, 3_000] {
         view.record_read(now);
         view.reset_timeouts(now);
     }
     view.record_read(4_000);
-    expect_that!(wanted(&mut view, &["desk"], 4_000), is_empty());
+    expect_that!(claims_now(&mut view, &["desk"], 4_000), is_empty());
 }
 
 /// Starts queued for an unresponsive VM are tried one after the other. Each must not grant a new lease:
@@ -219,11 +219,11 @@
     let mut claimed: Vec<(&str, usize)> = Vec::new();
     for view in &mut views {
         for (name, speed) in speeds {
-            view.record_heartbeat(name, &Heartbeat { speed, ..beat(1, 1) }, 900);
+            view.record_heartbeat(name, &Heartbeat { speed, ..heartbeat(1, 1) }, 900);
         }
     }
     for (i, (name, _)) in speeds.into_iter().enumerate() {
-        let claims = claims_of(&mut views[i], &["p", "q", "r"], 1_000);
+        let claims = claims_after_read(&mut views[i], &["p", "q", "r"], 1_000);
         claimed.push((name, claims.len()));
     }
     expect_that!(claimed[0], eq(("a", 0)));
@@ -238,8 +238,8 @@
     let record_heartbeats = |view: &mut Ownership| {
         for i in 0..12 {
             let speed = if i % 4 == 0 { 20_000 } else { 5_000 };
-            let beat = Heartbeat { speed, relay: relay(i), ..beat(1, 1) };
-            view.record_heartbeat(&format!("n{i}"), &beat, 1_000);
+            let heartbeat = Heartbeat { speed, relay: relay(i), ..heartbeat(1, 1) };
+            view.record_heartbeat(&format!("n{i}"), &heartbeat, 1_000);
         }
     };
     let mut view = Ownership::new(node("me", 1), 0);
@@ -265,18 +265,18 @@
     let mut view = Ownership::new(node("a", 1), 0);
     let desk: Arc<str> = "desk".into();
     view.record_claim(&desk, claim("a", 1), 0, 1_000);
-    expect_that!(claims_of(&mut view, &["desk"], 1_000), is_empty());
+    expect_that!(claims_after_read(&mut view, &["desk"], 1_000), is_empty());
     expect_that!(view.has_ended("desk"), eq(false));
     view.record_owner_end(&desk, 1, 2_000);
     expect_that!(view.has_ended("desk"), eq(true));
     expect_that!(view.my_token("desk"), none());
-    expect_that!(claims_of(&mut view, &["desk"], 2_200), len(eq(1)));
+    expect_that!(claims_after_read(&mut view, &["desk"], 2_200), len(eq(1)));
     // The previous claim, read again, changes nothing.
     view.record_claim(&desk, claim("a", 1), 0, 2_200);
     expect_that!(view.my_token("desk"), none());
     view.record_claim(&desk, claim("a", 1), 7, 2_300);
     expect_that!(view.my_token("desk"), some(eq(8)));
-    expect_that!(claims_of(&mut view, &["desk"], 2_300), is_empty());
+    expect_that!(claims_after_read(&mut view, &["desk"], 2_300), is_empty());
 }
 
 #[gtest]
@@ -286,8 +286,8 @@
     view.record_claim(&desk, claim("a", 1), 0, 1_000);
     view.record_owner_end(&desk, 1, 2_000);
     view.record_claim(&desk, claim("b", 1), 3, 2_050);
-    view.record_heartbeat("b", &beat(1, 1), 2_200);
-    expect_that!(claims_of(&mut view, &["desk"], 2_300), is_empty());
+    view.record_heartbeat("b", &heartbeat(1, 1), 2_200);
+    expect_that!(claims_after_read(&mut view, &["desk"], 2_300), is_empty());
 }
 
 #[gtest]
@@ -301,7 +301,7 @@
         if owns {
             view.record_owner_end(&desk, claims, now);
         }
-        if !claims_of(&mut view, &["desk"], now).is_empty() {
+        if !claims_after_read(&mut view, &["desk"], now).is_empty() {
             view.record_claim(&desk, claim("a", 1), claims, now);
             claims += 1;
         }
@@ -312,7 +312,7 @@
     // An owner that ran for a long time is restarted soon.
     view.record_claim(&desk, claim("a", 1), claims, now);
     view.record_owner_end(&desk, claims + 1, now + 20_000);
-    expect_that!(claims_of(&mut view, &["desk"], now + 20_200), len(eq(1)));
+    expect_that!(claims_after_read(&mut view, &["desk"], now + 20_200), len(eq(1)));
 }
 
 /// A restarted node must not take its own previous incarnation for the pool's owner: it would be ready before any node
@@ -321,7 +321,7 @@
 fn a_previous_incarnation_of_this_node_is_no_owner_to_query() {
     let mut view = Ownership::new(node("a", 2), 0);
     let relay: SocketAddr = ([127, 0, 0, 1], 7_060).into();
-    let previous = Heartbeat { relay: Some(relay), ..beat(1, 9) };
+    let previous = Heartbeat { relay: Some(relay), ..heartbeat(1, 9) };
     view.record_heartbeat("a", &previous, 100);
     view.record_claim(&"desk".into(), claim("a", 1), 0, 100);
     expect_that!(view.relay_of_owner("desk"), none());
@@ -332,12 +332,12 @@
 #[gtest]
 fn a_node_receives_first_heartbeats_before_it_claims_an_unowned_pool() {
     let mut slow = Ownership::new(node("b", 1), 0);
-    expect_that!(claims_of(&mut slow, &["desk"], 360), is_empty());
-    expect_that!(claims_of(&mut slow, &["desk"], 820), is_empty());
-    slow.record_heartbeat("b", &Heartbeat { speed: 10_770, ..beat(1, 1) }, 820);
-    slow.record_heartbeat("a", &Heartbeat { speed: 45_000, ..beat(1, 1) }, 820);
-    expect_that!(claims_of(&mut slow, &["desk"], 1_000), is_empty());
-    expect_that!(claims_of(&mut slow, &["desk"], 1_450), len(eq(1)));
+    expect_that!(claims_after_read(&mut slow, &["desk"], 360), is_empty());
+    expect_that!(claims_after_read(&mut slow, &["desk"], 820), is_empty());
+    slow.record_heartbeat("b", &Heartbeat { speed: 10_770, ..heartbeat(1, 1) }, 820);
+    slow.record_heartbeat("a", &Heartbeat { speed: 45_000, ..heartbeat(1, 1) }, 820);
+    expect_that!(claims_after_read(&mut slow, &["desk"], 1_000), is_empty());
+    expect_that!(claims_after_read(&mut slow, &["desk"], 1_450), len(eq(1)));
 }
 
 /// A partition carries 250 heartbeats a second. When 585 nodes start together and wait for one second only, slow ones
@@ -350,9 +350,9 @@
         (900..60_000).step_by(50).find(|&now| {
             view.record_read(now);
             // This node is the fastest of all known nodes.
-            let slow = Heartbeat { speed: 10, ..beat(1, now) };
+            let slow = Heartbeat { speed: 10, ..heartbeat(1, now) };
             (0..nodes).for_each(|i| view.record_heartbeat(&format!("n{i}"), &slow, now));
-            view.record_heartbeat("me", &Heartbeat { speed: 100, ..beat(1, now) }, now);
+            view.record_heartbeat("me", &Heartbeat { speed: 100, ..heartbeat(1, now) }, now);
             !view.to_claim(pool.iter(), now).is_empty()
         })
     };
--- a/crates/schedule/tests/policies.rs
+++ b/crates/schedule/tests/policies.rs
@@ -10,7 +10,7 @@
 use thistle_schedule::spec::AdvicePolicy;
 use thistle_schedule::{EndKind, JobId, JobSpec, Pool, Progress, RunRow, Step};
 
-fn questions(orders: &[Order]) -> Vec<AdviceRequest> {
+fn advice_requests(orders: &[Order]) -> Vec<AdviceRequest> {
     let request = |o: &Order| match o {
         Order::RequestAdvice(request) => Some(request.clone()),
         Order::Start(_) | Order::Stop { .. } | Order::Throttle { .. } => None,
@@ -18,7 +18,7 @@
     orders.iter().filter_map(request).collect()
 }
 
-fn paces(orders: &[Order]) -> Vec<u32> {
+fn throttle_percents(orders: &[Order]) -> Vec<u32> {
     let percent_of = |o: &Order| match o {
         Order::Throttle { percent, .. } => Some(*percent),
         Order::Start(_) | Order::Stop { .. } | Order::RequestAdvice(_) => None,
@@ -37,11 +37,11 @@
     pool.submit(JOB, advised_job(), at(0));
     let orders = pool.plan(at(10));
     expect_that!(starts(&orders), is_empty());
-    let requests = questions(&orders);
+    let requests = advice_requests(&orders);
     expect_that!(requests, len(eq(1)));
     expect_that!(requests[0].vms, len(eq(2)));
     // A step has one open request at a time.
-    expect_that!(questions(&pool.plan(at(20))), is_empty());
+    expect_that!(advice_requests(&pool.plan(at(20))), is_empty());
     let good = vec![(requests[0].vms[1].clone(), "t-1".to_owned())];
     pool.apply_advice(requests[0].step, Some((good, 3_000)), at(60));
     let started = starts(&pool.plan(at(70)));
@@ -54,26 +54,26 @@
 fn an_expired_ticket_is_not_used_and_is_requested_again() {
     let mut pool = pool_with(&["a"]);
     pool.submit(JOB, advised_job(), at(0));
-    let requests = questions(&pool.plan(at(10)));
+    let requests = advice_requests(&pool.plan(at(10)));
     let good = vec![(requests[0].vms[0].clone(), "t-1".to_owned())];
     pool.apply_advice(requests[0].step, Some((good, 1_000)), at(60));
     let orders = pool.plan(at(1_100));
     expect_that!(starts(&orders), is_empty());
-    expect_that!(questions(&orders), len(eq(1)));
+    expect_that!(advice_requests(&orders), len(eq(1)));
 }
 
 #[gtest]
 fn an_unanswered_advice_request_is_repeated_after_a_pause() {
     let mut pool = pool_with(&["a"]);
     pool.submit(JOB, advised_job(), at(0));
-    let requests = questions(&pool.plan(at(10)));
+    let requests = advice_requests(&pool.plan(at(10)));
     pool.apply_advice(requests[0].step, None, at(900));
-    expect_that!(questions(&pool.plan(at(910))), is_empty());
-    expect_that!(questions(&pool.plan(at(1_300))), len(eq(1)));
+    expect_that!(advice_requests(&pool.plan(at(910))), is_empty());
+    expect_that!(advice_requests(&pool.plan(at(1_300))), len(eq(1)));
 }
 
 /// Returns a pool whose only VM runs a serving task, with a tail target of 100 ms, and a filling task, and the rows of both runs.
-fn mixed() -> (Pool, Vec<RunRow>) {
+fn pool_with_serving_and_filling_task() -> (Pool, Vec<RunRow>) {
     let mut pool = pool_with(&["a"]);
     let serving = Step { lasting: true, tail_target_ms: 100, ..step(1, 500) };
     let filling = Step { fills: true, ..step(1, 3_000) };
@@ -84,7 +84,7 @@
     (pool, rows)
 }
 
-fn with_tail(rows: &[RunRow], ms: u64, percent: u32) -> Vec<RunRow> {
+fn with_tail_latency(rows: &[RunRow], ms: u64, percent: u32) -> Vec<RunRow> {
     let mut rows = rows.to_vec();
     rows[0].metric = Some(ms);
     rows[1].percent = percent;
@@ -93,17 +93,17 @@
 
 #[gtest]
 fn filling_tasks_are_throttled_quickly_and_released_slowly() {
-    let (mut pool, rows) = mixed();
+    let (mut pool, rows) = pool_with_serving_and_filling_task();
     let vm = common::vm("a", 1).id.clone();
     expect_that!(pool.poll_reason(&vm), eq(thistle_schedule::pool::PollReason::Figures));
-    pool.apply_report(&vm, &report(1_000, with_tail(&rows, 95, 100), vec![]), at(1_000));
-    expect_that!(paces(&pool.plan(at(1_000))), eq(&vec![25]));
-    pool.apply_report(&vm, &report(1_600, with_tail(&rows, 120, 25), vec![]), at(1_600));
-    expect_that!(paces(&pool.plan(at(1_600))), eq(&vec![0]));
-    pool.apply_report(&vm, &report(2_200, with_tail(&rows, 70, 0), vec![]), at(2_200));
-    expect_that!(paces(&pool.plan(at(2_200))), is_empty());
-    pool.apply_report(&vm, &report(2_800, with_tail(&rows, 40, 0), vec![]), at(2_800));
-    expect_that!(paces(&pool.plan(at(2_800))), eq(&vec![20]));
+    pool.apply_report(&vm, &report(1_000, with_tail_latency(&rows, 95, 100), vec![]), at(1_000));
+    expect_that!(throttle_percents(&pool.plan(at(1_000))), eq(&vec![25]));
+    pool.apply_report(&vm, &report(1_600, with_tail_latency(&rows, 120, 25), vec![]), at(1_600));
+    expect_that!(throttle_percents(&pool.plan(at(1_600))), eq(&vec![0]));
+    pool.apply_report(&vm, &report(2_200, with_tail_latency(&rows, 70, 0), vec![]), at(2_200));
+    expect_that!(throttle_percents(&pool.plan(at(2_200))), is_empty());
+    pool.apply_report(&vm, &report(2_800, with_tail_latency(&rows, 40, 0), vec![]), at(2_800));
+    expect_that!(throttle_percents(&pool.plan(at(2_800))), eq(&vec![20]));
 }
 
 #[gtest]
@@ -121,27 +121,31 @@
 /// would throttle it to 61% of its speed.
 #[gtest]
 fn the_progress_of_a_filling_task_is_not_its_speed() {
-    let (mut pool, rows) = mixed();
+    let (mut pool, rows) = pool_with_serving_and_filling_task();
     let vm = common::vm("a", 1).id.clone();
     for (time, progress) in [(1_000, 41), (1_600, 55), (2_200, 80)] {
-        pool.apply_report(&vm, &report(time, with_tail(&rows, 40, progress), vec![]), at(time));
-        expect_that!(paces(&pool.plan(at(time))), is_empty());
+        pool.apply_report(
+            &vm,
+            &report(time, with_tail_latency(&rows, 40, progress), vec![]),
+            at(time),
+        );
+        expect_that!(throttle_percents(&pool.plan(at(time))), is_empty());
     }
 }
 
 #[gtest]
 fn filling_tasks_return_to_full_speed_without_a_serving_task_on_their_vm() {
-    let (mut pool, rows) = mixed();
+    let (mut pool, rows) = pool_with_serving_and_filling_task();
     let vm = common::vm("a", 1).id.clone();
-    pool.apply_report(&vm, &report(1_000, with_tail(&rows, 95, 10), vec![]), at(1_000));
-    expect_that!(paces(&pool.plan(at(1_000))), eq(&vec![25]));
+    pool.apply_report(&vm, &report(1_000, with_tail_latency(&rows, 95, 10), vec![]), at(1_000));
+    expect_that!(throttle_percents(&pool.plan(at(1_000))), eq(&vec![25]));
     pool.cancel(JOB, at(1_100));
     let ended = vec![common::end(1, rows[0].run, EndKind::Stopped)];
     let mut percents = Vec::new();
     for time in (1_600..4_500).step_by(600) {
         let ended = if time == 1_600 { ended.clone() } else { Vec::new() };
         pool.apply_report(&vm, &report(time, vec![rows[1].clone()], ended), at(time));
-        percents.extend(paces(&pool.plan(at(time))));
+        percents.extend(throttle_percents(&pool.plan(at(time))));
     }
     expect_that!(percents, eq(&vec![45, 65, 85, 100]));
 }
@@ -149,7 +153,7 @@
 #[gtest]
 fn a_new_owner_sets_the_speed_of_filling_tasks() {
     for (tail, expected) in [(95, vec![0]), (70, vec![]), (40, vec![100])] {
-        let (_, rows) = mixed();
+        let (_, rows) = pool_with_serving_and_filling_task();
         let mut after = Pool::new();
         let serving = Step { lasting: true, tail_target_ms: 100, ..step(1, 500) };
         let specs = [job(vec![serving]), job(vec![Step { fills: true, ..step(1, 3_000) }])];
@@ -170,7 +174,11 @@
         }
         let vm = common::vm("a", 1);
         after.list_vm(vm.clone());
-        after.apply_report(&vm.id, &report(110, with_tail(&rows, tail, 50), vec![]), at(110));
-        expect_that!(paces(&after.plan(at(110))), eq(&expected), "tail {tail}");
+        after.apply_report(
+            &vm.id,
+            &report(110, with_tail_latency(&rows, tail, 50), vec![]),
+            at(110),
+        );
+        expect_that!(throttle_percents(&after.plan(at(110))), eq(&expected), "tail {tail}");
     }
 }
--- a/crates/schedule/tests/quota_world/mod.rs
+++ b/crates/schedule/tests/quota_world/mod.rs
@@ -11,48 +11,49 @@
 use thistle_schedule::quota::{CapUse, Ledger, Lender, LentCap, WorkspaceKey};
 use thistle_schedule::{Room, Workspace};
 
+pub use parts::{DisabledSafeguard, Split};
 use parts::{Owner, Run};
-pub use parts::{Way, Without};
 
 /// The duration of one tick, in milliseconds.
-pub const TURN_MS: u64 = 10;
+pub const TICK_MS: u64 = 10;
 /// The number of ticks within which each node has the newest configuration.
-const CONFIG_TURNS: u64 = 30;
+const CONFIG_DELAY_TICKS: u64 = 30;
 /// The cores of the largest task; the first cap is 100.
 const LARGEST_TASK: u32 = 3;
 /// The caps that may be configured, in cores; 0 is no limit.
 const CAPS: [u32; 5] = [100, 60, 25, 140, 0];
 /// The minimum number of ticks between two usage reports of an owner.
-const SAY_EVERY: u64 = 4;
+const REPORT_INTERVAL_TICKS: u64 = 4;
 const POOLS: [&str; 3] = ["desk", "plan", "hub"];
 pub const WORKSPACE: &str = "lunch";
 
 pub struct World {
     rng: StdRng,
-    way: Way,
-    without: Without,
+    split: Split,
+    disabled: DisabledSafeguard,
     pub now: u64,
     configs: Vec<(u64, Room)>,
     records: Vec<LentCap>,
     /// Configuration versions up to which the records are complete, each with the number of records then.
     as_of: Vec<(usize, u64)>,
     /// Usage reports in flight, each with the tick of its arrival.
-    words: Vec<(u64, CapUse)>,
-    arrived: Vec<CapUse>,
+    reports_in_flight: Vec<(u64, CapUse)>,
+    arrived_reports: Vec<CapUse>,
     lender: Lender,
     lender_version: usize,
-    lender_began: usize,
-    lender_back_at: u64,
-    heard: usize,
+    lender_first_version: usize,
+    lender_restarts_at: u64,
+    handled_reports: usize,
     owners: Vec<Owner>,
     next_token: u64,
     pub starts: u64,
-    pub over: u64,
-    pub waited_cpu: u64,
-    pub idle_while_waited: u64,
-    pub cap_while_waited: u64,
-    pub moves_ms: Vec<u64>,
-    trouble: bool,
+    pub starts_over_cap: u64,
+    pub waiting_cpu: u64,
+    pub idle_cpu_while_waiting: u64,
+    pub cap_cpu_while_waiting: u64,
+    pub waits_for_share_ms: Vec<u64>,
+    /// Whether owners and lenders are replaced, messages are delayed or lost, and caps change.
+    has_faults: bool,
 }
 
 fn cap(cpu: u32) -> Room {
@@ -60,47 +61,47 @@
 }
 
 impl World {
-    pub fn new(seed: u64, way: Way, without: Without, trouble: bool) -> Self {
+    pub fn new(seed: u64, split: Split, disabled: DisabledSafeguard, has_faults: bool) -> Self {
         let of_seed = usize::try_from(seed).unwrap_or(0) % CAPS.len();
-        let first = if trouble { CAPS[of_seed] } else { CAPS[0] };
+        let first = if has_faults { CAPS[of_seed] } else { CAPS[0] };
         let owners = POOLS.iter().map(|_| Owner {
             ledger: Ledger::default(),
             key: None,
             token: 0,
-            count: 0,
+            report_count: 0,
             version: 0,
-            began: 0,
+            first_version: 0,
             cursor: 0,
-            reads_at: 0,
+            first_read_at: 0,
             runs: Vec::new(),
             waiting: Vec::new(),
             short_since: None,
-            says_at: 0,
+            next_report_at: 0,
         });
         let mut world = Self {
             rng: StdRng::seed_from_u64(seed),
-            way,
-            without,
+            split,
+            disabled,
             now: 0,
             configs: vec![(0, cap(first))],
             records: Vec::new(),
             as_of: Vec::new(),
-            words: Vec::new(),
-            arrived: Vec::new(),
+            reports_in_flight: Vec::new(),
+            arrived_reports: Vec::new(),
             lender: Lender::default(),
             lender_version: 0,
-            lender_began: 0,
-            lender_back_at: 0,
-            heard: 0,
+            lender_first_version: 0,
+            lender_restarts_at: 0,
+            handled_reports: 0,
             owners: owners.collect(),
             next_token: 1,
             starts: 0,
-            over: 0,
-            waited_cpu: 0,
-            idle_while_waited: 0,
-            cap_while_waited: 0,
-            moves_ms: Vec::new(),
-            trouble,
+            starts_over_cap: 0,
+            waiting_cpu: 0,
+            idle_cpu_while_waiting: 0,
+            cap_cpu_while_waiting: 0,
+            waits_for_share_ms: Vec::new(),
+            has_faults,
         };
         for pool in 0..POOLS.len() {
             world.replace_owner(pool);
@@ -111,36 +112,37 @@
     /// Returns the highest cap that may still be in force at any node.
     fn cap_now(&self) -> u32 {
         let until =
-            |i: usize| self.configs.get(i + 1).map_or(u64::MAX, |next| next.0 + CONFIG_TURNS);
+            |i: usize| self.configs.get(i + 1).map_or(u64::MAX, |next| next.0 + CONFIG_DELAY_TICKS);
         let in_force = (0..self.configs.len()).filter(|&i| self.now <= until(i));
         let caps = in_force.map(|i| self.configs[i].1.cpu);
         caps.map(|cpu| if cpu == 0 { u32::MAX } else { cpu }).max().unwrap_or(0)
     }
 
     fn oldest_version(&self) -> usize {
-        let due = |i: &usize| self.configs[*i].0 + CONFIG_TURNS <= self.now;
+        let due = |i: &usize| self.configs[*i].0 + CONFIG_DELAY_TICKS <= self.now;
         (0..self.configs.len()).rev().find(due).unwrap_or(0)
     }
 
     fn replace_owner(&mut self, pool: usize) {
         let newest = self.configs.len() - 1;
         let version = self.rng.random_range(self.oldest_version()..=newest);
-        let delay = if self.trouble { self.rng.random_range(0..20) } else { 1 };
+        let delay = if self.has_faults { self.rng.random_range(0..20) } else { 1 };
         let owner = &mut self.owners[pool];
         owner.ledger = Ledger::new(POOLS[pool].into());
-        let admitted = if self.without == Without::Admission { 0 } else { newest as u64 + 1 };
+        let admitted =
+            if self.disabled == DisabledSafeguard::Admission { 0 } else { newest as u64 + 1 };
         owner.key = owner.ledger.key_of_job(WORKSPACE, admitted);
-        (owner.token, owner.count, owner.version) = (self.next_token, 0, version);
-        owner.began = version;
-        owner.reads_at = self.now + delay;
+        (owner.token, owner.report_count, owner.version) = (self.next_token, 0, version);
+        owner.first_version = version;
+        owner.first_read_at = self.now + delay;
         self.next_token += 1;
-        if self.without != Without::Predecessor {
+        if self.disabled != DisabledSafeguard::Predecessor {
             for run in &owner.runs {
                 owner.ledger.add(owner.key, run.room);
             }
         }
-        if self.without != Without::Admission {
-            self.tell_caps(pool);
+        if self.disabled != DisabledSafeguard::Admission {
+            self.apply_config(pool);
         }
     }
 
@@ -152,45 +154,45 @@
         Workspace { name: WORKSPACE.into(), weight: 1, cap, limited_since }
     }
 
-    fn tell_caps(&mut self, pool: usize) {
-        let workspace = self.workspace(self.owners[pool].version, self.owners[pool].began);
+    fn apply_config(&mut self, pool: usize) {
+        let workspace = self.workspace(self.owners[pool].version, self.owners[pool].first_version);
         let owner = &mut self.owners[pool];
         owner.ledger.set_workspaces(owner.version as u64 + 1, &[workspace]);
     }
 
     /// Advances the simulation by one tick; most tasks are submitted to the pool `busy`.
-    pub fn turn(&mut self, busy: usize) {
+    pub fn tick(&mut self, busy: usize) {
         self.now += 1;
-        if self.trouble {
-            self.disturb();
+        if self.has_faults {
+            self.inject_faults();
         }
         self.end_runs();
-        self.spread_configs();
-        self.lend();
+        self.propagate_configs();
+        self.run_lender();
         for pool in 0..POOLS.len() {
-            self.read(pool);
+            self.read_records(pool);
             let probability = if pool == busy { 0.9 } else { 0.05 };
             if self.rng.random_bool(probability) {
                 let room = cap(self.rng.random_range(1..=LARGEST_TASK));
                 self.owners[pool].waiting.push(room);
             }
             self.start_waiting(pool);
-            self.say(pool);
+            self.report_use(pool);
         }
-        self.measure();
+        self.measure_idle_cap();
     }
 
-    fn disturb(&mut self) {
+    fn inject_faults(&mut self) {
         if self.rng.random_bool(0.01) {
             let pool = self.rng.random_range(0..POOLS.len());
             self.replace_owner(pool);
         }
         if self.rng.random_bool(0.005) {
-            self.lender_back_at = self.now + self.rng.random_range(5..100);
+            self.lender_restarts_at = self.now + self.rng.random_range(5..100);
             let as_of = self.as_of.last().map_or(0, |known| known.1);
             self.lender = Lender::new(as_of, self.newest_records());
-            self.lender_began = self.lender_version;
-            self.heard = 0;
+            self.lender_first_version = self.lender_version;
+            self.handled_reports = 0;
         }
         if self.rng.random_bool(0.005) {
             // 0 is no limit.
@@ -211,9 +213,9 @@
         let now = self.now;
         for owner in &mut self.owners {
             let (ledger, key) = (&mut owner.ledger, owner.key);
-            let skip_counting = self.without == Without::Predecessor;
+            let skip_counting = self.disabled == DisabledSafeguard::Predecessor;
             owner.runs.retain(|run| {
-                let is_ended = now >= run.told;
+                let is_ended = now >= run.end_reported_at;
                 if is_ended && !skip_counting {
                     ledger.remove(key, run.room);
                 }
@@ -222,16 +224,17 @@
         }
     }
 
-    fn spread_configs(&mut self) {
+    fn propagate_configs(&mut self) {
         let (oldest, newest) = (self.oldest_version(), self.configs.len() - 1);
         for pool in 0..POOLS.len() {
             let version = self.owners[pool].version.max(oldest);
             let reads_newest = self.rng.random_bool(0.1);
             let version = if reads_newest { newest } else { version };
-            if version != self.owners[pool].version || self.without == Without::Admission {
+            if version != self.owners[pool].version || self.disabled == DisabledSafeguard::Admission
+            {
                 self.owners[pool].version = version;
-                if self.without != Without::Admission || reads_newest {
-                    self.tell_caps(pool);
+                if self.disabled != DisabledSafeguard::Admission || reads_newest {
+                    self.apply_config(pool);
                 }
             }
         }
@@ -239,32 +242,33 @@
         self.lender_version = if reads_newest { newest } else { self.lender_version.max(oldest) };
     }
 
-    fn lend(&mut self) {
+    fn run_lender(&mut self) {
         let now = self.now;
-        let (arrived, in_flight) =
-            std::mem::take(&mut self.words).into_iter().partition(|report| report.0 <= now);
-        self.words = in_flight;
+        let (arrived, in_flight) = std::mem::take(&mut self.reports_in_flight)
+            .into_iter()
+            .partition(|report| report.0 <= now);
+        self.reports_in_flight = in_flight;
         let arrived: Vec<(u64, CapUse)> = arrived;
-        self.arrived.extend(arrived.into_iter().map(|report| report.1));
-        if now < self.lender_back_at {
+        self.arrived_reports.extend(arrived.into_iter().map(|report| report.1));
+        if now < self.lender_restarts_at {
             return;
         }
         let number = self.records.last().map_or(0, |r| r.number);
-        for usage in &self.arrived[self.heard..] {
+        for usage in &self.arrived_reports[self.handled_reports..] {
             let mut usage = usage.clone();
-            if self.without == Without::Confirmation {
+            if self.disabled == DisabledSafeguard::Confirmation {
                 usage.number = number;
             }
             self.lender.record_use(usage);
         }
-        self.heard = self.arrived.len();
+        self.handled_reports = self.arrived_reports.len();
         let cap = self.configs[self.lender_version].1;
         let is_split = |r: &LentCap| r.cap == cap && r.shares.iter().any(|s| s.room.cpu > 0);
-        if self.way == Way::Equal && self.records.last().is_some_and(is_split) {
+        if self.split == Split::Equal && self.records.last().is_some_and(is_split) {
             return;
         }
         let pools = POOLS.iter().map(|&p| p.into());
-        let workspace = self.workspace(self.lender_version, self.lender_began);
+        let workspace = self.workspace(self.lender_version, self.lender_first_version);
         self.lender.set_config(self.lender_version as u64 + 1, pools, &[workspace]);
         let splits = self.lender.plan();
         self.records.extend(splits.lent);
@@ -273,22 +277,22 @@
         }
     }
 
-    fn read(&mut self, pool: usize) {
-        let late = self.trouble && !self.rng.random_bool(0.1);
+    fn read_records(&mut self, pool: usize) {
+        let late = self.has_faults && !self.rng.random_bool(0.1);
         let owner = &mut self.owners[pool];
         let end = self.records.len();
-        if self.now == owner.reads_at {
+        if self.now == owner.first_read_at {
             // Without this safeguard, the owner uses the view of another node, which lags behind by 4 records.
-            let lag = if self.without == Without::ReadingFirst { 4 } else { 0 };
+            let lag = if self.disabled == DisabledSafeguard::ReadingFirst { 4 } else { 0 };
             owner.cursor = end.saturating_sub(lag);
-        } else if self.now < owner.reads_at || late {
+        } else if self.now < owner.first_read_at || late {
             return;
         } else {
             owner.cursor = end;
         }
         let mut records: Vec<LentCap> =
             self.records[..owner.cursor].iter().rev().take(1).cloned().collect();
-        if self.without == Without::LoweredCap {
+        if self.disabled == DisabledSafeguard::LoweredCap {
             for record in &mut records {
                 record.cap = self.configs[owner.version].1;
             }
@@ -307,49 +311,50 @@
                 return;
             }
             if let Some(since) = owner.short_since.take() {
-                self.moves_ms.push((self.now - since) * TURN_MS);
+                self.waits_for_share_ms.push((self.now - since) * TICK_MS);
             }
             owner.waiting.remove(0);
             owner.ledger.add(owner.key, room);
             let ends_at = self.now + self.rng.random_range(5..120);
-            let reported_at = ends_at + if self.trouble { self.rng.random_range(0..60) } else { 1 };
-            self.owners[pool].runs.push(Run { room, ends: ends_at, told: reported_at });
+            let end_reported_at =
+                ends_at + if self.has_faults { self.rng.random_range(0..60) } else { 1 };
+            self.owners[pool].runs.push(Run { room, ends_at, end_reported_at });
             self.starts += 1;
             let running = self.running();
             let alone = running == u64::from(room.cpu);
-            self.over += u64::from(running > cap_now && !alone);
+            self.starts_over_cap += u64::from(running > cap_now && !alone);
         }
     }
 
     fn running(&self) -> u64 {
-        let runs = self.owners.iter().flat_map(|o| &o.runs).filter(|r| r.ends > self.now);
+        let runs = self.owners.iter().flat_map(|o| &o.runs).filter(|r| r.ends_at > self.now);
         runs.map(|r| u64::from(r.room.cpu)).sum()
     }
 
-    fn say(&mut self, pool: usize) {
+    fn report_use(&mut self, pool: usize) {
         let owner = &mut self.owners[pool];
-        if self.now < owner.says_at {
+        if self.now < owner.next_report_at {
             return;
         }
         let waiting = owner.waiting.iter().fold(Room::default(), |sum, r| sum.plus(*r));
         let waiting: HashMap<WorkspaceKey, Room> =
             owner.key.map(|k| (k, waiting)).into_iter().collect();
-        let reports = owner.ledger.to_report(owner.token, &mut owner.count, &waiting);
+        let reports = owner.ledger.to_report(owner.token, &mut owner.report_count, &waiting);
         if !reports.is_empty() {
-            owner.says_at = self.now + SAY_EVERY;
+            owner.next_report_at = self.now + REPORT_INTERVAL_TICKS;
         }
         for usage in reports {
-            let delay = if self.trouble { self.rng.random_range(1..60) } else { 1 };
+            let delay = if self.has_faults { self.rng.random_range(1..60) } else { 1 };
             // Some reports never arrive. The owner learns of that, unless it has been replaced by then.
-            if self.trouble && self.rng.random_bool(0.1) {
+            if self.has_faults && self.rng.random_bool(0.1) {
                 self.owners[pool].ledger.forget_reported();
                 continue;
             }
-            self.words.push((self.now + delay, usage));
+            self.reports_in_flight.push((self.now + delay, usage));
         }
     }
 
-    fn measure(&mut self) {
+    fn measure_idle_cap(&mut self) {
         let waiting: u64 =
             self.owners.iter().flat_map(|o| &o.waiting).map(|r| u64::from(r.cpu)).sum();
         if waiting > 0 {
@@ -361,9 +366,9 @@
             let heads = self.owners.iter().filter_map(|o| o.waiting.first());
             let fits = heads.map(|r| u64::from(r.cpu)).any(|cpu| cpu <= left);
             let idle = if fits { left.min(waiting) } else { 0 };
-            self.waited_cpu += waiting;
-            self.idle_while_waited += idle;
-            self.cap_while_waited += cap;
+            self.waiting_cpu += waiting;
+            self.idle_cpu_while_waiting += idle;
+            self.cap_cpu_while_waiting += cap;
         }
     }
 }
--- a/crates/schedule/tests/quota_world/parts.rs
+++ b/crates/schedule/tests/quota_world/parts.rs
@@ -5,7 +5,7 @@
 
 /// How a cap is split between the pools.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Split {
     /// A lender splits the cap by the demand of the pools.
     Lent,
     /// Each pool always has an equal part.
@@ -14,7 +14,7 @@
 
 /// A safeguard that is disabled to show that the check finds the fault it prevents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Without {
+pub enum DisabledSafeguard {
     Nothing,
     /// A pool's usage report counts as a confirmation of the newest record.
     Confirmation,
@@ -30,25 +30,25 @@
 
 pub struct Run {
     pub room: Room,
-    pub ends: u64,
-    pub told: u64,
+    pub ends_at: u64,
+    pub end_reported_at: u64,
 }
 
 pub struct Owner {
     pub ledger: Ledger,
     pub key: Option<WorkspaceKey>,
     pub token: u64,
-    pub count: u64,
+    pub report_count: u64,
     pub version: usize,
     /// The first configuration version that its node has read.
-    pub began: usize,
+    pub first_version: usize,
     /// The number of lender records that it has read.
     pub cursor: usize,
     /// The tick at which it first reads the records.
-    pub reads_at: u64,
+    pub first_read_at: u64,
     /// The runs whose end is not reported yet.
     pub runs: Vec<Run>,
     pub waiting: Vec<Room>,
     pub short_since: Option<u64>,
-    pub says_at: u64,
+    pub next_report_at: u64,
 }
--- a/crates/schedule/tests/shares.rs
+++ b/crates/schedule/tests/shares.rs
@@ -15,19 +15,19 @@
 /// The number of VMs, of four cores each.
 const VMS: usize = 5;
 /// The duration of a task; a job is due 2.1 s after its submission.
-const WORK_MS: Ms = 1_000;
-const DUE_MS: Ms = 2_100;
-/// Jobs are submitted until `SEND_MS`, and the simulation ends at `END_MS`.
-const SEND_MS: Ms = 6_000;
+const TASK_MS: Ms = 1_000;
+const DUE_AFTER_MS: Ms = 2_100;
+/// Jobs are submitted until `SUBMIT_MS`, and the simulation ends at `END_MS`.
+const SUBMIT_MS: Ms = 6_000;
 const END_MS: Ms = 60_000;
-const TICK: Ms = 50;
+const TICK_MS: Ms = 50;
 /// The number of workspaces that keep to their share; each submits the two jobs a second that it may.
-const OTHERS: usize = 4;
+const OTHER_WORKSPACES: usize = 4;
 const WEIGHT: u32 = 2;
-/// Jobs a second of the workspace that exceeds its share: twenty times as many.
-const BURST: u64 = 40;
+/// The number of jobs a second of the workspace that exceeds its share: twenty times its share.
+const BURST_JOBS_PER_S: u64 = 40;
 
-struct Play {
+struct Simulation {
     pool: Pool,
     due: BTreeMap<JobId, (bool, Ms)>,
     runs: Vec<(Ms, VmIncarnation, RunId)>,
@@ -35,7 +35,7 @@
     in_time: usize,
 }
 
-impl Play {
+impl Simulation {
     fn new(shares: SharePolicy) -> Self {
         let mut policy = Policy::default();
         policy.tasks.shares = shares;
@@ -45,7 +45,7 @@
             pool.list_vm(facts.clone());
             pool.apply_report(&facts.id, &VmReport::default(), at(0));
         }
-        let names = (0..=OTHERS).map(|i| format!("w{i}"));
+        let names = (0..=OTHER_WORKSPACES).map(|i| format!("w{i}"));
         let workspace = |name: String| Workspace {
             name: name.into(),
             weight: WEIGHT,
@@ -67,7 +67,7 @@
             ..one.as_ref().clone()
         };
         self.pool.submit(id, Arc::new(spec), at(now));
-        self.due.insert(id, (workspace > 0, now + DUE_MS));
+        self.due.insert(id, (workspace > 0, now + DUE_AFTER_MS));
     }
 
     fn tick(&mut self, now: Ms) {
@@ -89,25 +89,25 @@
         }
         for start in starts(&self.pool.plan(at(now))) {
             self.pool.apply_start_result(&start.vm, start.run, StartResult::Started, at(now));
-            self.runs.push((now + WORK_MS, start.vm, start.run));
+            self.runs.push((now + TASK_MS, start.vm, start.run));
         }
         self.pool.take_records();
     }
 }
 
 /// Returns the number of jobs of the other workspaces that ended in time.
-fn served(shares: SharePolicy, burst: u64) -> usize {
-    let mut simulation = Play::new(shares);
-    for now in (0..END_MS).step_by(TICK as usize) {
-        if now < SEND_MS {
-            for other in 1..=OTHERS {
+fn jobs_in_time(shares: SharePolicy, burst: u64) -> usize {
+    let mut simulation = Simulation::new(shares);
+    for now in (0..END_MS).step_by(TICK_MS as usize) {
+        if now < SUBMIT_MS {
+            for other in 1..=OTHER_WORKSPACES {
                 if now % 500 == 0 {
                     simulation.submit(other, now);
                 }
             }
             for i in 0..burst {
                 let at = i * 1_000 / burst.max(1);
-                if now % 1_000 <= at && at < now % 1_000 + TICK {
+                if now % 1_000 <= at && at < now % 1_000 + TICK_MS {
                     simulation.submit(0, now);
                 }
             }
@@ -120,8 +120,8 @@
 #[test]
 fn a_workspace_that_submits_twenty_times_its_share_delays_few_jobs_of_others() {
     // The VMs have room for twenty jobs at once, and the other workspaces submit eight a second.
-    let baseline = served(SharePolicy::BeyondLast, 0);
-    let during_burst = |shares| served(shares, BURST);
+    let baseline = jobs_in_time(SharePolicy::BeyondLast, 0);
+    let during_burst = |shares| jobs_in_time(shares, BURST_JOBS_PER_S);
     for policy in [SharePolicy::DueFirst, SharePolicy::BeyondLast] {
         println!("{policy:?}: {} of {baseline} in time beside the burst", during_burst(policy));
     }
--- a/crates/schedule/tests/workspaces.rs
+++ b/crates/schedule/tests/workspaces.rs
@@ -6,7 +6,7 @@
 
 const WORKSPACES: usize = 400;
 const KEYS_EACH: usize = 50;
-const LOOK_UPS: usize = 100_000;
+const LOOKUPS: usize = 100_000;
 
 fn key_of(workspace: usize, key: usize) -> String {
     format!("k{workspace:04}x{key:04}secret")
@@ -33,13 +33,13 @@
     assert_eq!(workspaces.warnings(), [""; 0]);
     let started_at = Instant::now();
     let mut found = 0;
-    for i in 0..LOOK_UPS {
+    for i in 0..LOOKUPS {
         let (workspace, key) = (i % WORKSPACES, i % KEYS_EACH);
         let named = workspaces.of_key(&key_of(workspace, key), &secret);
         found += usize::from(named.is_some_and(|w| *w.name == *format!("w{workspace}")));
     }
-    let each = started_at.elapsed() / u32::try_from(LOOK_UPS).unwrap_or(1);
-    assert_eq!(found, LOOK_UPS);
+    let each = started_at.elapsed() / u32::try_from(LOOKUPS).unwrap_or(1);
+    assert_eq!(found, LOOKUPS);
     assert!(workspaces.of_key("k0000x0000secreT", &secret).is_none());
     println!("{} keys: built in {built:?}, {each:?} a look-up", workspaces.keys());
 }
