--- a/crates/schedule/tests/admission.rs
+++ b/crates/schedule/tests/admission.rs
@@ -24,7 +24,7 @@
     held_ms: Ms,
 }
 
-/// Replays regular submissions at a node whose store answers after `answer_ms` and takes no appends during the outage.
+/// Simulates regular submissions at a node whose store answers after `answer_ms` and takes no appends during the outage.
 /// With `reads_answered`, only one partition is unresponsive, so that reads are still answered.
 fn simulate(answer_ms: Ms, reads_answered: bool) -> Outcome {
     let mut view = StoreView::default();
@@ -64,9 +64,9 @@
 }
 
 /// Callers must not be held until their deadline when nothing can be written. While the store is unresponsive for 3 s, each
-/// submission waits 0.6 s for the first partition and as long for the fallback one, unless the node knows of the outage. A limit of
-/// 2.2 s, without regard to the unanswered appends, holds 220 of these 300 callers for 1.2 s each, 264 s in all (computed);
-/// the present limits hold 120 for 0.6 s each, 72 s in all.
+/// submission waits 0.6 s for the first partition and as long for the fallback one, unless the node knows of the outage.
+/// A node that notices it only after 2.2 s, and draws no conclusion from unanswered appends, holds 220 of these 300 callers
+/// for 1.2 s each, 264 s in all (computed). With the limits of `StoreView` 120 are held for 0.6 s each, 72 s in all.
 #[gtest]
 fn an_unresponsive_store_delays_few_callers_and_briefly() {
     let outcome = simulate(4, false);
--- a/crates/schedule/tests/caps_of_settled_jobs.rs
+++ b/crates/schedule/tests/caps_of_settled_jobs.rs
@@ -35,7 +35,7 @@
 }
 
 /// A job is cancelled and its pool's owner replaced before the stops are carried out. The record of a settled job names no runs,
-/// so that the next owner counts only those that VMs report. If it does not, it starts as much again on other VMs:
+/// so that the next owner must count the runs that VMs report. Otherwise the workspace gets twice its cap:
 /// with a cap of 1,000 and 1,000 in use on VM a, two tasks of 500 each are ordered on VM b.
 #[gtest]
 fn runs_of_a_cancelled_job_that_are_still_reported_count_against_the_cap() {
--- a/crates/schedule/tests/dropped_submissions.rs
+++ b/crates/schedule/tests/dropped_submissions.rs
@@ -15,9 +15,9 @@
 const FIRST: u32 = 0;
 const FALLBACK: u32 = 2;
 
-fn apply_submission(log: &mut JobLog, part: u32) -> Option<LogChange> {
+fn apply_submission(log: &mut JobLog, partition: u32) -> Option<LogChange> {
     let spec = encode(job(vec![step(1, 500)]).as_ref());
-    log.apply_from(part, &submit_key(JOB), Some(&spec)).expect("it can be read")
+    log.apply_from(partition, &submit_key(JOB), Some(&spec)).expect("it can be read")
 }
 
 fn apply_completion(log: &mut JobLog) {
@@ -36,9 +36,9 @@
     apply_submission(&mut log, FIRST);
     apply_submission(&mut log, FALLBACK);
     apply_completion(&mut log);
-    for part in [FIRST, FALLBACK] {
+    for partition in [FIRST, FALLBACK] {
         expect_that!(phase(&log), some(eq(Phase::Completed)));
-        expect_that!(log.apply_from(part, &submit_key(JOB), None), ok(none()));
+        expect_that!(log.apply_from(partition, &submit_key(JOB), None), ok(none()));
     }
     expect_that!(phase(&log), none());
 }
--- a/crates/schedule/tests/fleet.rs
+++ b/crates/schedule/tests/fleet.rs
@@ -75,7 +75,7 @@
 }
 
 /// A VM that was just added may be in a wave before it is in the list of VMs.
-/// It must not count as gone: the wave would complete without it.
+/// It must not count as gone, as the wave would then complete without it.
 #[gtest]
 fn a_vm_that_is_not_listed_yet_does_not_count_as_gone() {
     let mut fleet = fleet(&["new"], 1);
@@ -114,8 +114,8 @@
     expect_that!(from_hub, eq(1));
 }
 
-/// When two pools both need more VMs than they have, the one with the larger need must get VMs of the other:
-/// a pool of four VMs would wait for 980 cores while another keeps 25 VMs.
+/// When two pools both need more VMs than they have, the one with the larger need must get VMs of the other.
+/// Otherwise a pool of four VMs may wait for 980 cores while another keeps 25 VMs.
 #[gtest]
 fn pools_that_need_more_vms_than_there_are_share_them_by_need() {
     let mut fleet = two_pools();
@@ -178,7 +178,7 @@
     expect_that!(fleet.record().cordoned().collect::<Vec<_>>(), eq(&vec!["o"]));
 }
 
-/// A VM that is switched off has no incarnation, so that its maintenance is known to be over only by its state.
+/// A VM that is switched off has no incarnation, so that only its state shows when its maintenance is over.
 /// Otherwise each such VM holds its place in the wave for six seconds.
 #[gtest]
 fn maintenance_of_a_switched_off_vm_is_complete_when_it_was_away_and_is_up_again() {
@@ -200,7 +200,7 @@
     expect_that!(fleet.to_complete(), eq(&vec![1]));
 }
 
-/// Lasting tasks that may not share a VM need as many VMs as there are tasks. With five of them on four VMs and one that is
+/// Lasting tasks that may not share a VM need one VM each. If a pool has five of them on four VMs and a fifth that is
 /// to be emptied, none can move and the wave is late.
 #[gtest]
 fn a_pool_has_as_many_vms_as_its_lasting_tasks_need() {
--- a/crates/schedule/tests/fleet_rows.rs
+++ b/crates/schedule/tests/fleet_rows.rs
@@ -1,7 +1,7 @@
-//! The fleet's record is written in rows, one per VM and wave.
+//! The fleet's record is written in rows, one for each VM or wave that changed.
 //!
-//! As a single value, the record takes about 95 bytes for each VM with work. In a fleet of 6,000 VMs it can exceed the 262,144 bytes
-//! that the store accepts: each append then fails with status 400 and the fleet's owner can order nothing more.
+//! A record in a single value takes about 95 bytes for each VM with work. In a fleet of 6,000 VMs it can exceed the 262,144 bytes
+//! that the store accepts. Each append then fails with status 400 and the fleet's owner can order nothing more.
 
 use googletest::prelude::*;
 use rand::rngs::StdRng;
--- a/crates/schedule/tests/fleet_succession.rs
+++ b/crates/schedule/tests/fleet_succession.rs
@@ -26,7 +26,7 @@
 }
 
 /// A successor's order may be answered before its first list of VMs is read. The VM must not count as gone and its maintenance
-/// as complete: one VM more than allowed would be taken down.
+/// as complete, as one VM more than allowed would then be taken down.
 #[gtest]
 fn a_successor_without_a_vm_list_counts_no_maintenance_as_complete() {
     let mut before = fleet(&["a", "b"], 1);
@@ -49,8 +49,8 @@
     expect_that!(after.plan(220), is_empty());
 }
 
-/// VMs that the predecessor only cordoned, and for which it gave no order yet, need no hold-off:
-/// they would stay empty and idle until it is over.
+/// VMs that the predecessor cordoned and did not order anything for need no hold-off. With one, they would stay empty
+/// and idle until it is over.
 #[gtest]
 fn a_successor_continues_at_once_with_vms_that_were_not_ordered_yet() {
     let work = |vm: &str, stage| VmWork {
--- a/crates/schedule/tests/job_records.rs
+++ b/crates/schedule/tests/job_records.rs
@@ -245,7 +245,7 @@
 }
 
 /// A later repetition may be recorded as started while an earlier one still waits and has no record. A new owner whose clock
-/// is behind by more than the interval must still open the earlier one: the job would complete without it.
+/// is behind by more than the interval must still open the earlier one, or the job completes without it.
 #[gtest]
 fn a_waiting_repetition_is_not_skipped_by_an_owner_whose_clock_is_behind() {
     let later_task = TaskRecord {
--- a/crates/schedule/tests/ownership.rs
+++ b/crates/schedule/tests/ownership.rs
@@ -195,8 +195,8 @@
     expect_that!(claims_now(&mut view, &["desk"], 4_000), is_empty());
 }
 
-/// Starts queued for an unresponsive VM are tried one after the other. Each must not grant a new lease:
-/// the lasting tasks of the VM would count as running for seconds longer.
+/// Starts queued for an unresponsive VM are tried one after the other. None of them may be granted a new lease,
+/// as the lasting tasks of the VM would then count as running for seconds longer.
 #[gtest]
 fn an_unresponsive_vm_is_granted_no_new_lease() {
     let mut lease = TaskLease::new(6_000, 0);
@@ -315,8 +315,8 @@
     expect_that!(claims_after_read(&mut view, &["desk"], now + 20_200), len(eq(1)));
 }
 
-/// A restarted node must not take its own previous incarnation for the pool's owner: it would be ready before any node
-/// can answer for the pool's jobs, and refuse callers that ask for one.
+/// A restarted node must not take its own previous incarnation for the owner of a pool. Otherwise it is ready before any node
+/// can answer queries about the jobs of the pool, and refuses callers that ask for such a job.
 #[gtest]
 fn a_previous_incarnation_of_this_node_is_no_owner_to_query() {
     let mut view = Ownership::new(node("a", 2), 0);
@@ -328,7 +328,7 @@
 }
 
 /// A slow node that starts with many others must not claim an unowned pool after its first read of the heartbeats
-/// (0.36 s after its start), when the fast nodes have not sent theirs yet: the pool then stalls on a slow owner.
+/// (0.36 s after its start), when the fast nodes have not sent theirs yet. The pool would stall under its slow owner.
 #[gtest]
 fn a_node_receives_first_heartbeats_before_it_claims_an_unowned_pool() {
     let mut slow = Ownership::new(node("b", 1), 0);
@@ -340,8 +340,8 @@
     expect_that!(claims_after_read(&mut slow, &["desk"], 1_450), len(eq(1)));
 }
 
-/// A partition carries 250 heartbeats a second. When 585 nodes start together and wait for one second only, slow ones
-/// claim the busiest pool and the fleet before the heartbeats of faster ones arrive, and take over slowly later.
+/// A partition carries 250 heartbeats a second. When 585 nodes start together and each waits for one second only, slow ones
+/// claim the busiest pool and the fleet before the heartbeats of faster ones arrive. Such owners are slow to take over.
 #[gtest]
 fn a_node_waits_for_as_long_as_the_first_heartbeats_of_all_nodes_take() {
     let first_claim = |nodes: u64| {
--- a/crates/schedule/tests/pool.rs
+++ b/crates/schedule/tests/pool.rs
@@ -204,8 +204,8 @@
     expect_that!(pool.load(at(10)).waiting_cpu, eq(0));
 }
 
-/// A task that was ordered to stop and is still reported at full speed must not count as running:
-/// a second task of its step would then be stopped too.
+/// A task that was ordered to stop and is still reported at full speed must not count as running,
+/// as a second task of its step would then be stopped too.
 #[gtest]
 fn a_task_ordered_to_stop_counts_as_missing_while_it_is_still_reported() {
     let mut pool = pool_with(&["a", "b", "c", "d"]);
@@ -219,8 +219,8 @@
     expect_that!(stops(&pool.plan(at(50))), is_empty());
 }
 
-/// Tasks on an unreachable rack must not count as running: another task of their step
-/// would then be stopped, and more would be missing than the step allows.
+/// Tasks on an unreachable rack must not count as running. Otherwise another task of their step
+/// is stopped, and more tasks are missing than the step allows.
 #[gtest]
 fn a_task_on_an_unreachable_vm_counts_as_missing() {
     let mut pool = pool_with(&["a", "b", "c", "d"]);
@@ -339,8 +339,8 @@
     expect_that!(again.iter().all(|s| s.checkpoint == "half"), eq(true));
 }
 
-/// Tasks that end on VMs on their way to another pool must not count as need of their old pool:
-/// it would keep idle VMs for them.
+/// Tasks that are ending on VMs that move to another pool must not count as need of their old pool,
+/// as it would then keep idle VMs for them.
 #[gtest]
 fn tasks_on_cordoned_vms_do_not_count_as_need_of_their_pool() {
     let mut pool = pool_with(&["a", "b"]);
--- a/crates/schedule/tests/quota_world/mod.rs
+++ b/crates/schedule/tests/quota_world/mod.rs
@@ -359,7 +359,7 @@
             self.owners.iter().flat_map(|o| &o.waiting).map(|r| u64::from(r.cpu)).sum();
         if waiting > 0 {
             let cap = u64::from(self.configs.last().map_or(0, |c| c.1.cpu));
-            // Capacity counts as idle only if a waiting task fits into it. Runs whose end is not reported yet still take theirs:
+            // Capacity is not idle if no waiting task fits into it, or if a run whose end is not reported yet takes it:
             // neither is a fault of the split.
             let counted = self.owners.iter().flat_map(|o| &o.runs).map(|r| u64::from(r.room.cpu));
             let left = cap.saturating_sub(counted.sum());
--- a/crates/schedule/tests/quota_world/parts.rs
+++ b/crates/schedule/tests/quota_world/parts.rs
@@ -12,7 +12,7 @@
     Equal,
 }
 
-/// A safeguard that is disabled to show that the check finds the fault it prevents.
+/// A safeguard that is disabled to show that the check finds the fault it prevents. Each variant says what happens without it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisabledSafeguard {
     Nothing,
@@ -40,11 +40,11 @@
     pub token: u64,
     pub report_count: u64,
     pub version: usize,
-    /// The first configuration version that its node has read.
+    /// The first configuration version that the owner's node has read.
     pub first_version: usize,
-    /// The number of lender records that it has read.
+    /// The number of lender records that the owner has read.
     pub cursor: usize,
-    /// The tick at which it first reads the records.
+    /// The tick at which the owner first reads the records.
     pub first_read_at: u64,
     /// The runs whose end is not reported yet.
     pub runs: Vec<Run>,
