--- a/crates/scheduler/tests/fleet_orders.rs
+++ b/crates/scheduler/tests/fleet_orders.rs
@@ -16,7 +16,7 @@
 
 const ID: &str = "5c0e7a21d94b36f8";
 /// How long the test watches for orders that must not come: several pauses between attempts of a refused order.
-const WATCHED: Duration = Duration::from_secs(6);
+const WATCH_TIME: Duration = Duration::from_secs(6);
 
 /// Returns the index of the node that owns the fleet according to the store.
 fn fleet_owner(system: &System) -> Option<usize> {
@@ -27,7 +27,7 @@
 
 /// Pauses the fleet's owner until another node has given an order, and resumes it while it cannot read the claims. Returns
 /// the tokens of all orders in the sequence of their arrival.
-async fn tokens_around_a_pause(net: u8) -> Vec<u64> {
+async fn tokens_across_pause(net: u8) -> Vec<u64> {
     let system = System::start(net, 4, 2).await;
     expect_that!(submit(&system.nodes[0], ID, &job(1, 10)).await.status, eq(200));
     until_state(&system.nodes[0], ID, "completed").await;
@@ -43,13 +43,13 @@
     until("the next owner has given the order", next_has_ordered).await;
     system.platform.store.set_part_fault("control", 0, Fault::Unresponsive);
     system.nodes[first].signal("CONT");
-    tokio::time::sleep(WATCHED).await;
+    tokio::time::sleep(WATCH_TIME).await;
     machines.orders().iter().map(|order| order.token).collect()
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_paused_fleet_owner_that_cannot_read_the_claims_gives_no_order_after_its_successor() {
-    let tokens = tokens_around_a_pause(113).await;
+    let tokens = tokens_across_pause(113).await;
     expect_that!(tokens.is_sorted(), eq(true), "{tokens:?}");
 }
--- a/crates/scheduler/tests/fleet_record.rs
+++ b/crates/scheduler/tests/fleet_record.rs
@@ -13,10 +13,10 @@
 use thistle_platform::standin::bodies;
 
 /// The number of a wave's VMs that the machine service does not know. Two such waves exceed the size limit of one record.
-const UNKNOWN: usize = 2_500;
+const UNKNOWN_VMS: usize = 2_500;
 
-fn names(wave: u64, known: &[&str]) -> Vec<String> {
-    let unknown = (0..UNKNOWN).map(|i| format!("m-gone-{wave}-{i:060}"));
+fn wave_vms(wave: u64, known: &[&str]) -> Vec<String> {
+    let unknown = (0..UNKNOWN_VMS).map(|i| format!("m-gone-{wave}-{i:060}"));
     known.iter().map(|name| (*name).to_owned()).chain(unknown).collect()
 }
 
@@ -32,7 +32,7 @@
     let mut system = System::start(205, 4, 2).await;
     let machines = system.platform.machines.clone();
     for (wave, known) in [(1, ["m-0", "m-1"]), (2, ["m-2", "m-3"])] {
-        let request = bodies::wave(wave, &names(wave, &known), 1);
+        let request = bodies::wave(wave, &wave_vms(wave, &known), 1);
         system.platform.store.put("op", &format!("wave/{wave}"), request);
     }
     until("a VM is maintained", async || machines.maintained(1) > 0).await;
--- a/crates/scheduler/tests/foreign_entries.rs
+++ b/crates/scheduler/tests/foreign_entries.rs
@@ -13,7 +13,7 @@
 const SECOND: &str = "00000000000000b2";
 
 /// Returns entries that name no usable VM, each under its own ID.
-fn foreign() -> Vec<(&'static str, String)> {
+fn foreign_entries() -> Vec<(&'static str, String)> {
     let entry = |state: &str, address: &str| {
         format!(
             r#"{{"service":"{POOL}","address":{address},"zone":"hall-a","version":"v1","slots":8,
@@ -41,7 +41,7 @@
         true => (&vms[1], &vms[0]),
         false => (&vms[0], &vms[1]),
     };
-    for (id, entry) in foreign() {
+    for (id, entry) in foreign_entries() {
         system.platform.store.put(thistle_platform::listing::TOPIC, id, entry);
     }
     // The entry of the VM that runs tasks becomes unreadable.
@@ -62,6 +62,6 @@
     until_state(node, FIRST, "completed").await;
     expect_that!(system.starts_of(FIRST).values().all(|&n| n == 1), eq(true));
     let lines = node.log().lines().filter(|line| line.contains("step=unreadable")).count();
-    expect_that!(lines, eq(foreign().len() + 1), "one line for each entry");
+    expect_that!(lines, eq(foreign_entries().len() + 1), "one line for each entry");
     expect_that!(node.log().contains("i-state"), eq(true));
 }
--- a/crates/scheduler/tests/jobs.rs
+++ b/crates/scheduler/tests/jobs.rs
@@ -57,10 +57,10 @@
 async fn a_cancelled_job_is_stopped_and_one_cancelled_before_it_arrives_never_starts() {
     let system = System::start(3, 2, 2).await;
     submit(&system.nodes[0], ID, &job(2, 0)).await;
-    until("both tasks run", async || running(&system, ID) == 2).await;
+    until("both tasks run", async || running_tasks(&system, ID) == 2).await;
     let cancelled = send(&system.nodes[1], Method::DELETE, &format!("/quotes/{ID}")).await;
     expect_that!(cancelled.status, eq(200));
-    until("nothing runs", async || running(&system, ID) == 0).await;
+    until("nothing runs", async || running_tasks(&system, ID) == 0).await;
     for node in &system.nodes {
         until_state(node, ID, "cancelled").await;
     }
@@ -72,7 +72,7 @@
     expect_that!(system.starts_of(unknown).len(), eq(0));
 }
 
-fn running(system: &System, id: &str) -> usize {
+fn running_tasks(system: &System, id: &str) -> usize {
     let vms = system.platform.machines.vms();
     vms.iter().flat_map(|vm| vm.running()).filter(|task| task.starts_with(id)).count()
 }
@@ -83,7 +83,7 @@
     let mut system = System::start(4, 2, 2).await;
     until("the pool has an owner", async || system.owner().is_some()).await;
     submit(&system.nodes[0], ID, &job(4, 1_500)).await;
-    until("all tasks run", async || running(&system, ID) == 4).await;
+    until("all tasks run", async || running_tasks(&system, ID) == 4).await;
     let owner = system.owner().expect("it has one");
     system.nodes[owner].signal("TERM");
     until("the other node owns it", async || system.owner().is_some_and(|o| o != owner)).await;
@@ -100,7 +100,7 @@
 async fn a_wave_maintains_each_vm_and_moves_lasting_tasks_elsewhere() {
     let system = System::start(5, 4, 2).await;
     submit(&system.nodes[0], ID, &job(2, 0)).await;
-    until("both tasks run", async || running(&system, ID) == 2).await;
+    until("both tasks run", async || running_tasks(&system, ID) == 2).await;
     let vms: Vec<String> = (0..4).map(|i| format!("m-{i}")).collect();
     system.platform.store.put("op", "wave/1", bodies::wave(1, &vms, 1));
     let status = || system.platform.store.newest("status", 0, "wave/1");
@@ -108,7 +108,7 @@
     let status = status().expect("it was reported");
     expect_that!(String::from_utf8_lossy(&status), contains_substring("completed"));
     expect_that!(system.platform.machines.maintained(1), eq(4));
-    until("both tasks run again", async || running(&system, ID) == 2).await;
+    until("both tasks run again", async || running_tasks(&system, ID) == 2).await;
 }
 
 #[gtest]
@@ -116,7 +116,7 @@
 async fn the_command_line_shows_pools_owners_and_a_job_from_the_store() {
     let system = System::start(6, 2, 1).await;
     submit(&system.nodes[0], ID, &job(1, 0)).await;
-    until("the task runs", async || running(&system, ID) == 1).await;
+    until("the task runs", async || running_tasks(&system, ID) == 1).await;
     let text = system.nodes[0].show(&["--job", ID]);
     expect_that!(text, contains_substring("configuration 1"));
     expect_that!(text, contains_substring("owned by node-10 token"));
--- a/crates/scheduler/tests/keys.rs
+++ b/crates/scheduler/tests/keys.rs
@@ -16,7 +16,7 @@
 const PATHS: [&str; 2] = ["/quotes/", "/open/"];
 
 /// Publishes a configuration in which `/quotes/` belongs to two workspaces with these keys.
-fn put(system: &System, version: u64, lunch: &[&str], night: &[&str]) {
+fn put_workspaces(system: &System, version: u64, lunch: &[&str], night: &[&str]) {
     let config = bodies::config(version, POOL, "off", &PATHS);
     let workspaces =
         [bodies::workspace("lunch", lunch, 0, 3), bodies::workspace("night", night, 0, 1)];
@@ -52,7 +52,7 @@
 async fn only_callers_with_a_configured_key_are_served() {
     let system = System::start(92, 2, 1).await;
     let node = &system.nodes[0];
-    put(&system, 2, &["key-a", "key-b"], &["key-n"]);
+    put_workspaces(&system, 2, &["key-a", "key-b"], &["key-n"]);
     until_status(node, "no-such-key", 401).await;
     for key in [None, Some("no-such-key"), Some("key-"), Some("")] {
         expect_that!(submit(node, &format!("/quotes/{ID}"), key).await, eq(401), "{key:?}");
@@ -78,7 +78,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_workspace_neither_sees_nor_cancels_anothers_job() {
     let system = System::start(93, 2, 2).await;
-    put(&system, 2, &["key-a"], &["key-n"]);
+    put_workspaces(&system, 2, &["key-a"], &["key-n"]);
     for node in &system.nodes {
         until_status(node, "no-such-key", 401).await;
     }
@@ -110,18 +110,18 @@
 async fn a_job_goes_on_after_the_key_that_submitted_it_is_withdrawn() {
     let system = System::start(94, 2, 1).await;
     let node = &system.nodes[0];
-    put(&system, 2, &["key-a", "key-b"], &["key-n"]);
+    put_workspaces(&system, 2, &["key-a", "key-b"], &["key-n"]);
     until_status(node, "no-such-key", 401).await;
     let path = format!("/quotes/{ID}");
     expect_that!(submit(node, &path, Some("key-a")).await, eq(200));
     expect_that!(node.metrics().await, contains_substring("outcome=\"Kept\""));
-    put(&system, 3, &["key-b"], &["key-n"]);
+    put_workspaces(&system, 3, &["key-b"], &["key-n"]);
     until_status(node, "key-a", 401).await;
     expect_that!(submit(node, &path, Some("key-a")).await, eq(401));
     expect_that!(call(node, Method::GET, &path, Some("key-a")).await.status, eq(401));
     expect_that!(call(node, Method::GET, &path, Some("key-b")).await.status, eq(200));
     until("it runs", async || system.starts_of(ID).len() == 1).await;
-    put(&system, 4, &["key-b", "key-c"], &["key-n"]);
+    put_workspaces(&system, 4, &["key-b", "key-c"], &["key-n"]);
     until_status(node, "key-c", 200).await;
 }
 
@@ -132,7 +132,7 @@
 async fn malformed_and_ambiguous_keys_give_no_access() {
     let system = System::start(95, 2, 1).await;
     let node = &system.nodes[0];
-    put(&system, 2, &["key-a", "same"], &["key-n", "same"]);
+    put_workspaces(&system, 2, &["key-a", "same"], &["key-n", "same"]);
     until_status(node, "no-such-key", 401).await;
     let long = "k".repeat(8_000);
     for key in ["same", "key-a,key-a", "key-a ,", "k\u{e9}y", &long] {
--- a/crates/scheduler/tests/late_starts.rs
+++ b/crates/scheduler/tests/late_starts.rs
@@ -17,26 +17,26 @@
 
 const ID: &str = "5c0e7a21d94b36f8";
 /// The number of unresponsive VMs, each of which stops replying at a different time.
-const SILENT: u8 = 4;
+const UNRESPONSIVE_VMS: u8 = 4;
 /// The partitions that may hold the pool's progress.
-const PROGRESS: [u32; 4] = [1, 3, 5, 7];
+const PROGRESS_PARTITIONS: [u32; 4] = [1, 3, 5, 7];
 /// A VM that is unresponsive for this long counts as lost: the lease, plus the time until the next query to it fails.
 const LOST_WITHIN: Duration = Duration::from_millis(7_500);
 /// A VM that replies again is queried within this time.
-const ASKED_WITHIN: Duration = Duration::from_millis(1_000);
+const QUERIED_WITHIN: Duration = Duration::from_millis(1_000);
 /// Tasks that fill a VM of the fake: two starts are in flight to it and as many wait.
-const TASKS_A_VM: u32 = 4;
+const TASKS_PER_VM: u32 = 4;
 
 /// Returns a job of which each VM takes [`TASKS_PER_VM`] tasks.
 fn job_that_fills(vms: u32) -> Value {
     let step = serde_json::json!({
-        "count": TASKS_A_VM * vms, "cpu": 4_000, "memMb": 256, "estimatedMs": 100,
+        "count": TASKS_PER_VM * vms, "cpu": 4_000, "memMb": 256, "estimatedMs": 100,
     });
     bodies::job_of("ms=100", &[step])
 }
 
 /// Waits until the node counts a VM as lost, and lets the VM reply from then on.
-async fn answers_once_lost(system: &System, vm: Arc<VmFake>) {
+async fn reply_once_lost(system: &System, vm: Arc<VmFake>) {
     let lost = format!("vm step=lost vm={} ", vm.incarnation());
     let began = std::time::Instant::now();
     while !system.nodes[0].log().contains(&lost) {
@@ -59,7 +59,7 @@
 async fn expect_each_started_once(system: &System, tasks: usize) {
     until_state(&system.nodes[0], ID, "completed").await;
     // Starts that still wait are sent within this time.
-    tokio::time::sleep(ASKED_WITHIN).await;
+    tokio::time::sleep(QUERIED_WITHIN).await;
     let starts = system.starts_of(ID);
     expect_that!(starts.len(), eq(tasks));
     expect_that!(starts.values().all(|&n| n == 1), eq(true), "{starts:?}");
@@ -68,22 +68,22 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_queued_start_is_cancelled_when_its_vms_lease_ends() {
-    let system = start(90, SILENT).await;
+    let system = start(90, UNRESPONSIVE_VMS).await;
     let node = &system.nodes[0];
     let vms = system.platform.machines.vms();
     for vm in &vms {
         vm.set_unresponsive(true);
         tokio::time::sleep(Duration::from_millis(70)).await;
     }
-    let filling = job_that_fills(u32::from(SILENT));
+    let filling = job_that_fills(u32::from(UNRESPONSIVE_VMS));
     expect_that!(submit(node, ID, &filling).await.status, eq(200));
     let ordered = format!("start step=ordered run={ID}");
-    let all = (TASKS_A_VM * u32::from(SILENT)) as usize;
+    let all = (TASKS_PER_VM * u32::from(UNRESPONSIVE_VMS)) as usize;
     until("all starts were ordered", async || node.log().matches(&ordered).count() >= all).await;
     // The tasks are done on this VM meanwhile.
     let ip = system::ip(90, 120);
     system.platform.machines.add("m-late", system::POOL, ip).await.expect("the VM starts");
-    futures::future::join_all(vms.into_iter().map(|vm| answers_once_lost(&system, vm))).await;
+    futures::future::join_all(vms.into_iter().map(|vm| reply_once_lost(&system, vm))).await;
     expect_each_started_once(&system, all).await;
 }
 
@@ -97,7 +97,7 @@
     let vm = system.platform.machines.vms().remove(0);
     vm.set_unresponsive(true);
     let progress_fails = |fault| {
-        for part in PROGRESS {
+        for part in PROGRESS_PARTITIONS {
             system.platform.store.set_part_fault("jobs.desk", part, fault);
         }
     };
@@ -106,7 +106,7 @@
     expect_that!(submit(&system.nodes[0], ID, &filling).await.status, eq(200));
     tokio::time::sleep(LOST_WITHIN).await;
     vm.set_unresponsive(false);
-    tokio::time::sleep(ASKED_WITHIN).await;
+    tokio::time::sleep(QUERIED_WITHIN).await;
     progress_fails(Fault::None);
-    expect_each_started_once(&system, TASKS_A_VM as usize).await;
+    expect_each_started_once(&system, TASKS_PER_VM as usize).await;
 }
--- a/crates/scheduler/tests/partitions.rs
+++ b/crates/scheduler/tests/partitions.rs
@@ -11,9 +11,9 @@
 const TOPIC: &str = "jobs.desk";
 const SUBMISSIONS: u32 = 0;
 const PROGRESS: u32 = 1;
-const SPARE_PROGRESS: u32 = 3;
+const FALLBACK_PROGRESS: u32 = 3;
 
-/// Waits until the pool's owner has completed a job: then it knows all jobs, which it could not learn without the partition.
+/// Waits until the pool's owner has completed a job: then it has read all jobs, which it cannot do while the partition is down.
 async fn until_served(system: &System) {
     until("the pool has an owner", async || system.owner().is_some()).await;
     let first = "00000000000000ff";
@@ -147,7 +147,7 @@
     for node in &mut system.nodes {
         node.kill();
     }
-    let in_fallback = || system.platform.store.newest(TOPIC, SPARE_PROGRESS, &format!("q{ID}"));
+    let in_fallback = || system.platform.store.newest(TOPIC, FALLBACK_PROGRESS, &format!("q{ID}"));
     expect_that!(in_fallback().is_some(), eq(true));
     system.platform.store.set_part_fault(TOPIC, PROGRESS, Fault::None);
     for node in &mut system.nodes {
@@ -156,8 +156,9 @@
     until("a node is ready", || system.nodes[1].is_ready()).await;
     until_state(&system.nodes[1], ID, "completed").await;
     expect_that!(system.starts_of(ID).values().all(|&n| n == 1), eq(true));
-    let gone =
-        async || system.platform.store.newest(TOPIC, SPARE_PROGRESS, &format!("q{ID}")).is_none();
+    let gone = async || {
+        system.platform.store.newest(TOPIC, FALLBACK_PROGRESS, &format!("q{ID}")).is_none()
+    };
     until("the fallback partition is empty again", gone).await;
 }
 
@@ -189,14 +190,14 @@
     let system = System::start(101, 2, 2).await;
     until_served(&system).await;
     for (i, fault) in [Fault::Busy, Fault::Unresponsive].into_iter().enumerate() {
-        for part in [PROGRESS, SPARE_PROGRESS] {
+        for part in [PROGRESS, FALLBACK_PROGRESS] {
             system.platform.store.set_part_fault(TOPIC, part, fault);
         }
         let id = format!("{:016x}", i + 1);
         expect_that!(submit(&system.nodes[0], &id, &job(4, 100)).await.status, eq(200));
         until("its tasks have run", async || system.starts_of(&id).len() == 4).await;
         expect_that!(system.starts_of(&id).values().all(|&n| n == 1), eq(true));
-        for part in [PROGRESS, SPARE_PROGRESS] {
+        for part in [PROGRESS, FALLBACK_PROGRESS] {
             system.platform.store.set_part_fault(TOPIC, part, Fault::None);
         }
         until_state(&system.nodes[1], &id, "completed").await;
@@ -209,14 +210,14 @@
 async fn work_recorded_in_overflow_partitions_is_taken_over_and_not_run_again() {
     let mut system = System::start(102, 2, 3).await;
     until_served(&system).await;
-    for part in [PROGRESS, SPARE_PROGRESS] {
+    for part in [PROGRESS, FALLBACK_PROGRESS] {
         system.platform.store.set_part_fault(TOPIC, part, Fault::Busy);
     }
     expect_that!(submit(&system.nodes[0], ID, &job(4, 4_000)).await.status, eq(200));
     until("its tasks were started", async || system.starts_of(ID).len() == 4).await;
     let owner = system.owner().expect("it has one");
     system.nodes[owner].kill();
-    for part in [PROGRESS, SPARE_PROGRESS] {
+    for part in [PROGRESS, FALLBACK_PROGRESS] {
         system.platform.store.set_part_fault(TOPIC, part, Fault::None);
     }
     until_state(&system.nodes[(owner + 1) % 3], ID, "completed").await;
--- a/crates/scheduler/tests/paused_owners.rs
+++ b/crates/scheduler/tests/paused_owners.rs
@@ -18,13 +18,13 @@
 /// Tasks that fill the VM: two starts are in flight to it and as many wait.
 const TASKS: usize = 4;
 /// The partitions that may hold the pool's progress.
-const PROGRESS: [u32; 4] = [1, 3, 5, 7];
+const PROGRESS_PARTITIONS: [u32; 4] = [1, 3, 5, 7];
 /// The record of an end is being written this long after the end was received.
-const HELD_UP_BEFORE: Duration = Duration::from_millis(150);
+const PAUSE_DELAY: Duration = Duration::from_millis(150);
 /// How long a start takes to arrive after the node has resumed: slightly longer than the query that renews the lease.
-const START_TAKES: Duration = Duration::from_millis(20);
+const START_DELAY: Duration = Duration::from_millis(20);
 /// Queued starts have gone out within this time.
-const SETTLED: Duration = Duration::from_millis(2_000);
+const SETTLE_TIME: Duration = Duration::from_millis(2_000);
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -47,14 +47,14 @@
     until("all were ordered", async || node.log().matches(&ordered).count() == TASKS).await;
     // The owner waits for the store to record the end of another task.
     let progress_fails = |fault| {
-        for part in PROGRESS {
+        for part in PROGRESS_PARTITIONS {
             system.platform.store.set_part_fault("jobs.desk", part, fault);
         }
     };
     progress_fails(Fault::Unresponsive);
     let end = format!("end run={ending}");
     until("it has received the end", async || node.log().contains(&end)).await;
-    tokio::time::sleep(HELD_UP_BEFORE).await;
+    tokio::time::sleep(PAUSE_DELAY).await;
     node.signal("STOP");
     progress_fails(Fault::None);
     let claim = system.platform.store.offset_of("control", 0, "owner/desk").expect("a claim");
@@ -65,9 +65,9 @@
     until_state(next, ID, "completed").await;
     vm.lose_starts(false);
     progress_fails(Fault::Unresponsive);
-    vm.delay_starts(START_TAKES);
+    vm.delay_starts(START_DELAY);
     node.signal("CONT");
-    tokio::time::sleep(SETTLED).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let starts = system.starts_of(ID);
     expect_that!(starts.len(), eq(TASKS));
     expect_that!(starts.values().all(|&n| n == 1), eq(true), "{starts:?}");
--- a/crates/scheduler/tests/relay.rs
+++ b/crates/scheduler/tests/relay.rs
@@ -11,7 +11,7 @@
 const ID: &str = "5c0e7a21d94b36f8";
 
 /// Starts a system of two nodes, of which the first owns the pool and reaches the store through an endpoint of its own.
-async fn owner_behind_a_door(net: u8) -> (System, StoreEndpoint) {
+async fn owner_with_own_endpoint(net: u8) -> (System, StoreEndpoint) {
     let mut system = System::start(net, 2, 0).await;
     let endpoint = system.platform.open_endpoint(system::ip(net, 2)).await;
     let endpoint = endpoint.expect("the endpoint opens");
@@ -28,8 +28,8 @@
 
 /// Checks that a node which the store refuses or does not reply to keeps its pool and accepts its callers' jobs through the
 /// other node.
-async fn goes_on_through_the_other_node(net: u8, fault: Fault) {
-    let (system, endpoint) = owner_behind_a_door(net).await;
+async fn expect_service_through_other_node(net: u8, fault: Fault) {
+    let (system, endpoint) = owner_with_own_endpoint(net).await;
     endpoint.set_fault(fault);
     for i in 0..5 {
         let id = format!("{i:016x}");
@@ -53,25 +53,25 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_owner_that_the_store_refuses_goes_on_through_another_node() {
-    goes_on_through_the_other_node(40, Fault::Busy).await;
+    expect_service_through_other_node(40, Fault::Busy).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_owner_that_the_store_does_not_reply_to_goes_on_through_another_node() {
-    goes_on_through_the_other_node(41, Fault::Unresponsive).await;
+    expect_service_through_other_node(41, Fault::Unresponsive).await;
 }
 
-/// Nodes may lose the store at any moment. If a node waits 0.6 s for the store's reply before it tries another node, its
-/// callers' deadlines pass and they get 504: the outcome of their jobs is unknown.
+/// If a node that is cut off from the store waits 0.6 s for a reply before it tries another node, its callers get 504: the
+/// outcome of their jobs is unknown.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_job_submitted_as_its_node_loses_the_store_is_kept_through_another() {
-    let (system, endpoint) = owner_behind_a_door(42).await;
+    let (system, endpoint) = owner_with_own_endpoint(42).await;
     endpoint.set_fault(Fault::Unresponsive);
     for i in 0..4 {
         let answer = submit(&system.nodes[0], &format!("{i:016x}"), &job(1, 10)).await;
-        // A job without a known outcome is not waited for.
+        // The test ends here if the outcome is unknown, rather than wait below for a job that may not be kept.
         assert_that!(answer.status, eq(200), "job {i}");
     }
     for i in 0..4 {
--- a/crates/scheduler/tests/reordered_replies.rs
+++ b/crates/scheduler/tests/reordered_replies.rs
@@ -28,42 +28,45 @@
     /// Whether the next list is made at once and held back.
     armed: AtomicBool,
     list_made: watch::Sender<bool>,
-    list_let_go: watch::Sender<bool>,
+    list_released: watch::Sender<bool>,
     start_done: watch::Sender<bool>,
-    start_let_go: watch::Sender<bool>,
+    start_released: watch::Sender<bool>,
 }
 
-async fn is_set(flag: &watch::Sender<bool>) {
+async fn wait_until_set(flag: &watch::Sender<bool>) {
     let mut flag = flag.subscribe();
     let _ = flag.wait_for(|&set| set).await;
 }
 
-async fn pass(gate: Arc<Gate>, asked: Asked) -> Option<String> {
+async fn forward_through(gate: Arc<Gate>, asked: Asked) -> Option<String> {
     // A list that is requested without waiting is not held back, as its request soon times out.
     let waits = asked.path == HOLD && asked.field("waitMs") != "null";
     if waits && gate.armed.swap(false, Ordering::Relaxed) {
         let list = asked.without_wait().forward().await;
         gate.list_made.send_replace(true);
-        is_set(&gate.list_let_go).await;
+        wait_until_set(&gate.list_released).await;
         return list;
     }
     let answer = asked.forward().await;
     if asked.path == START && *gate.list_made.borrow() {
         gate.start_done.send_replace(true);
-        is_set(&gate.start_let_go).await;
+        wait_until_set(&gate.start_released).await;
     }
     answer
 }
 
 /// Starts a node with two VMs behind gates; a task whose run is abandoned on one VM would be started again on the other. Has
 /// a list made on the VM that gets the task, and then the task started there.
-async fn started_after_a_list(net: u8, ms: u32) -> (System, Arc<Gate>) {
+async fn start_after_list(net: u8, ms: u32) -> (System, Arc<Gate>) {
     let mut system = System::start(net, 2, 0).await;
     let gates: Vec<Arc<Gate>> = vec![Arc::default(), Arc::default()];
     let vms = system.platform.machines.vms();
     for (vm, gate) in vms.iter().zip(&gates) {
         let gate = gate.clone();
-        middle::stand_for_vm(&system.platform, vm, move |asked| pass(gate.clone(), asked)).await;
+        middle::stand_for_vm(&system.platform, vm, move |asked| {
+            forward_through(gate.clone(), asked)
+        })
+        .await;
     }
     system.add_node(system::ip(net, 10));
     until("the node is ready", || system.nodes[0].is_ready()).await;
@@ -72,21 +75,21 @@
         gate.armed.store(true, Ordering::Relaxed);
     }
     for gate in &gates {
-        is_set(&gate.list_made).await;
+        wait_until_set(&gate.list_made).await;
     }
     expect_that!(submit(&system.nodes[0], ID, &job(1, ms)).await.status, eq(200));
-    let started = gates.iter().map(|gate| Box::pin(is_set(&gate.start_done)));
+    let started = gates.iter().map(|gate| Box::pin(wait_until_set(&gate.start_done)));
     let (_, chosen, _) = futures::future::select_all(started).await;
     for (i, gate) in gates.iter().enumerate() {
         if i != chosen {
-            gate.list_let_go.send_replace(true);
-            gate.start_let_go.send_replace(true);
+            gate.list_released.send_replace(true);
+            gate.start_released.send_replace(true);
         }
     }
     (system, gates[chosen].clone())
 }
 
-async fn runs_once(system: &System) {
+async fn expect_one_start(system: &System) {
     until_state(&system.nodes[0], ID, "completed").await;
     let starts = system.platform.machines.started();
     expect_that!(starts.len(), eq(1), "{starts:?}");
@@ -96,11 +99,11 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_list_older_than_a_start_ends_no_run_after_the_reply() {
-    let (system, gate) = started_after_a_list(91, 1_500).await;
-    gate.start_let_go.send_replace(true);
+    let (system, gate) = start_after_list(91, 1_500).await;
+    gate.start_released.send_replace(true);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    gate.list_let_go.send_replace(true);
-    runs_once(&system).await;
+    gate.list_released.send_replace(true);
+    expect_one_start(&system).await;
 }
 
 /// Which reply arrives first when the node resumes.
@@ -110,37 +113,37 @@
     Start,
 }
 
-async fn paused(net: u8, ms: u32, first: First) {
-    let (system, gate) = started_after_a_list(net, ms).await;
+async fn expect_one_start_after_pause(net: u8, ms: u32, first: First) {
+    let (system, gate) = start_after_list(net, ms).await;
     let node = &system.nodes[0];
     node.signal("STOP");
     let (one, other) = match first {
-        First::List => (&gate.list_let_go, &gate.start_let_go),
-        First::Start => (&gate.start_let_go, &gate.list_let_go),
+        First::List => (&gate.list_released, &gate.start_released),
+        First::Start => (&gate.start_released, &gate.list_released),
     };
     one.send_replace(true);
     tokio::time::sleep(Duration::from_millis(50)).await;
     other.send_replace(true);
     tokio::time::sleep(PAUSED_FOR).await;
     node.signal("CONT");
-    runs_once(&system).await;
+    expect_one_start(&system).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_paused_node_that_receives_an_older_list_before_the_reply_starts_once() {
-    paused(92, 3_000, First::List).await;
+    expect_one_start_after_pause(92, 3_000, First::List).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_paused_node_that_receives_an_older_list_after_the_reply_starts_once() {
-    paused(93, 3_000, First::Start).await;
+    expect_one_start_after_pause(93, 3_000, First::Start).await;
 }
 
 /// The run ends while the node is paused, so that no list ever contains it as running.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_run_that_ended_during_a_pause_is_not_restarted_for_an_older_list() {
-    paused(94, 300, First::List).await;
+    expect_one_start_after_pause(94, 300, First::List).await;
 }
--- a/crates/scheduler/tests/slow_links.rs
+++ b/crates/scheduler/tests/slow_links.rs
@@ -11,11 +11,11 @@
 
 const ID: &str = "5c0e7a21d94b36f8";
 /// The number of queues in a configuration of about a megabyte.
-const MANY: usize = 6_000;
+const QUEUES: usize = 6_000;
 
 /// Publishes a configuration that adds the queue `/plans/` and many more.
 fn put_large_config(system: &System, version: u64) {
-    let added: Vec<String> = (0..MANY).map(|i| format!("/queue-{i:05}/")).collect();
+    let added: Vec<String> = (0..QUEUES).map(|i| format!("/queue-{i:05}/")).collect();
     let mut paths = vec!["/quotes/", "/plans/"];
     paths.extend(added.iter().map(String::as_str));
     system.put_config(version, &paths);
--- a/crates/scheduler/tests/slow_onset.rs
+++ b/crates/scheduler/tests/slow_onset.rs
@@ -12,7 +12,7 @@
 use thistle_platform::{Guard, KeyedRecord, Store};
 
 /// Keeps this many appends in the queue of the partition of submissions while the store is slow.
-fn queue_up(system: &System, count: usize) {
+fn queue_appends(system: &System, count: usize) {
     let store = Arc::new(Store::new(system.platform.store_addr()));
     for _ in 0..count {
         let store = store.clone();
@@ -42,7 +42,7 @@
     tokio::time::sleep(Duration::from_secs(3)).await;
     system.platform.store.set_fault(Fault::Slow);
     // The jobs wait behind a queue of 1.5 s.
-    queue_up(&system, 8);
+    queue_appends(&system, 8);
     tokio::time::sleep(Duration::from_millis(50)).await;
     let task = job(1, 10);
     let submit_to = |node: usize, number: usize| {
@@ -52,7 +52,7 @@
     let first = join_all((0..4).map(|i| submit_to((owner + i) % 2, i)));
     let later = async {
         tokio::time::sleep(Duration::from_millis(50)).await;
-        queue_up(&system, 60);
+        queue_appends(&system, 60);
         tokio::time::sleep(Duration::from_millis(250)).await;
         join_all((4..16).map(|i| submit_to((owner + i) % 2, i))).await
     };
--- a/crates/scheduler/tests/stalled_connections.rs
+++ b/crates/scheduler/tests/stalled_connections.rs
@@ -13,13 +13,13 @@
 use tokio::net::TcpStream;
 
 /// The port of the proxy.
-const PORT: u16 = 7_101;
+const PROXY_PORT: u16 = 7_101;
 
 /// Starts a system of two nodes, of which the first owns the pool and reaches the store through a proxy of its own, over
 /// which it has many connections open.
-async fn owner_on_a_way(net: u8) -> (System, TcpProxy) {
+async fn owner_behind_proxy(net: u8) -> (System, TcpProxy) {
     let mut system = System::start(net, 2, 0).await;
-    let from = (system::ip(net, 2), PORT).into();
+    let from = (system::ip(net, 2), PROXY_PORT).into();
     let proxy = TcpProxy::open(from, system.platform.store_addr()).await.expect("it opens");
     system.add_node_at(system::ip(net, 10), proxy.addr);
     until("the first node owns the pool", async || system.owner() == Some(0)).await;
@@ -46,8 +46,8 @@
 
 /// Checks that an owner keeps its pool, and its callers are served, while its connections to the store stall. Its lease must
 /// not end because its heartbeats wait on one stalled connection after the other; see `silence.rs` of the platform's tests.
-async fn owner_goes_on(net: u8, stall_kind: Stall) {
-    let (system, proxy) = owner_on_a_way(net).await;
+async fn expect_owner_keeps_pool(net: u8, stall_kind: Stall) {
+    let (system, proxy) = owner_behind_proxy(net).await;
     for round in 1..=2_u64 {
         proxy.stall(stall_kind);
         // The outcome of jobs in flight when the connections stall may be unknown (504).
@@ -73,18 +73,18 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_owner_keeps_its_pool_when_its_connections_to_the_store_stall() {
-    owner_goes_on(60, Stall::BothWays).await;
+    expect_owner_keeps_pool(60, Stall::BothWays).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_owner_keeps_its_pool_when_no_replies_of_the_store_arrive() {
-    owner_goes_on(61, Stall::Answers).await;
+    expect_owner_keeps_pool(61, Stall::Answers).await;
 }
 
 /// Checks that orders to VMs and reported ends are neither lost nor done twice while the connections to the VMs stall again
 /// and again.
-async fn orders_go_on(net: u8, stall_kind: Stall) {
+async fn expect_orders_done_once(net: u8, stall_kind: Stall) {
     let system = System::start(net, 3, 1).await;
     let node = &system.nodes[0];
     for round in 0..6 {
@@ -105,20 +105,20 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn orders_to_vms_are_neither_lost_nor_done_twice_when_connections_stall() {
-    orders_go_on(66, Stall::BothWays).await;
+    expect_orders_done_once(66, Stall::BothWays).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn orders_to_vms_are_neither_lost_nor_done_twice_when_replies_stop() {
-    orders_go_on(67, Stall::Answers).await;
+    expect_orders_done_once(67, Stall::Answers).await;
 }
 
 /// A configuration that is written just as the connections stall still comes into force.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_configuration_arrives_over_new_connections() {
-    let (system, proxy) = owner_on_a_way(62).await;
+    let (system, proxy) = owner_behind_proxy(62).await;
     proxy.stall(Stall::BothWays);
     system.put_config(2, &["/quotes/", "/plans/"]);
     let status = async || send(&system.nodes[0], Method::GET, "/plans/").await.status;
@@ -126,20 +126,20 @@
 }
 
 /// The number of stalled connections that are open at once.
-const CALLERS: usize = 2_000;
+const STALLED_CONNECTIONS: usize = 2_000;
 
 /// The longest time that a node holds a stalled connection.
-const HELD: Duration = Duration::from_secs(3);
+const MAX_HOLD: Duration = Duration::from_secs(3);
 /// The number of connections that are opened in parallel. If too many wait to be accepted, the first packet of one is dropped
 /// and it is retried after a second; without parallel openers it would hold up all that follow it until the first ones are
 /// closed.
 const OPENERS: usize = 50;
 
 /// Opens connections, sends the same text on each, and sends nothing more.
-async fn fall_silent(addr: SocketAddr, text: &str) -> Vec<TcpStream> {
+async fn open_and_stall(addr: SocketAddr, text: &str) -> Vec<TcpStream> {
     let open_some = || async {
         let mut open = Vec::new();
-        for _ in 0..CALLERS / OPENERS {
+        for _ in 0..STALLED_CONNECTIONS / OPENERS {
             let mut stream = TcpStream::connect(addr).await.expect("it connects");
             stream.write_all(text.as_bytes()).await.expect("it sends");
             open.push(stream);
@@ -155,7 +155,7 @@
 
 /// Checks that a node closes stalled connections, and returns the node's log. If only request heads had a time limit and
 /// bodies had none, callers that send a head and part of a body and then stall would use up the node's descriptors.
-async fn silent_connections_are_closed(
+async fn expect_stalled_connections_closed(
     net: u8,
     addr: impl Fn(&System) -> SocketAddr,
     text: &str,
@@ -165,7 +165,7 @@
     let node = &system.nodes[0];
     // Opening them may take longer than each is held, so that the first are closed before the last are open: the test checks the
     // highest number held at any time.
-    let mut opening = std::pin::pin!(fall_silent(addr(&system), text));
+    let mut opening = std::pin::pin!(open_and_stall(addr(&system), text));
     let mut most = before;
     let open = loop {
         tokio::select! {
@@ -175,14 +175,14 @@
     };
     // Connections that the node has yet to accept, a thousand at most, do not count as its descriptors yet.
     let opened = Instant::now();
-    while most < before + CALLERS / 2 && opened.elapsed() < HELD {
+    while most < before + STALLED_CONNECTIONS / 2 && opened.elapsed() < MAX_HOLD {
         tokio::time::sleep(Duration::from_millis(20)).await;
         most = most.max(node.descriptors());
     }
-    expect_that!(most, ge(before + CALLERS / 2), "they are held");
+    expect_that!(most, ge(before + STALLED_CONNECTIONS / 2), "they are held");
     // Other callers are served meanwhile.
     expect_that!(submit(node, &id(1), &job(1, 10)).await.status, eq(200));
-    until("they are closed", async || node.descriptors() < before + CALLERS / 10).await;
+    until("they are closed", async || node.descriptors() < before + STALLED_CONNECTIONS / 10).await;
     until_state(node, &id(1), "completed").await;
     drop(open);
     node.log()
@@ -192,7 +192,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn connections_of_callers_that_stall_within_a_body_are_closed() {
     let head = "POST /quotes/00000000000000ff HTTP/1.1\r\nhost: jobs.example\r\ncontent-length: 900\r\n\r\n{";
-    let log = silent_connections_are_closed(63, |s| s.nodes[0].callers_addr(), head).await;
+    let log = expect_stalled_connections_closed(63, |s| s.nodes[0].callers_addr(), head).await;
     // A caller that gets status 408 must leave a log line too.
     expect_that!(
         log,
@@ -203,12 +203,12 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn connections_of_callers_that_stall_within_a_head_are_closed() {
-    silent_connections_are_closed(64, |s| s.nodes[0].callers_addr(), "GET /quo").await;
+    expect_stalled_connections_closed(64, |s| s.nodes[0].callers_addr(), "GET /quo").await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn connections_of_nodes_that_stall_within_a_body_are_closed() {
     let head = "POST /submissions/desk HTTP/1.1\r\nhost: x\r\ncontent-length: 900\r\n\r\n{";
-    silent_connections_are_closed(65, |s| s.nodes[0].relay_addr(), head).await;
+    expect_stalled_connections_closed(65, |s| s.nodes[0].relay_addr(), head).await;
 }
--- a/crates/scheduler/tests/unlisted_vms.rs
+++ b/crates/scheduler/tests/unlisted_vms.rs
@@ -1,10 +1,10 @@
 //! VMs that go on working while the store does not list them, with real nodes.
 //!
-//! Runs on a VM that the store does not list and that does not reply are abandoned at once if another incarnation of its name
-//! is listed, provided that one is newer. It may be older: the entry of a crashed incarnation stays for three heartbeats, the
-//! store drops entries at times while it is down, and replies are lost for a second. Here the entry of the newer incarnation
-//! is dropped while that of the older one stays; its tasks must not be started elsewhere, or they would be done twice and
-//! both ends acknowledged.
+//! If the store does not list a VM and the VM does not reply, its runs may be abandoned at once only when a newer incarnation
+//! of the VM is listed. Another listed incarnation may be older: the entry of a crashed incarnation stays for three
+//! heartbeats, the store drops entries at times while it is down, and replies are lost for a second. Here the entry of the
+//! newer incarnation is dropped while that of the older one stays. If the tasks were started elsewhere, they would be done
+//! twice and both ends acknowledged.
 
 mod system;
 
@@ -19,7 +19,7 @@
 /// Tasks that fill the VMs.
 const TASKS: u32 = 96;
 /// How long the VM is neither listed nor replies: far less than a lease.
-const AWAY: Duration = Duration::from_secs(2);
+const UNLISTED_FOR: Duration = Duration::from_secs(2);
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -45,11 +45,11 @@
     platform.store.put(listing::TOPIC, &vm.id, "");
     vm.set_unresponsive(true);
     vm.stall_connections(Stall::Answers);
-    tokio::time::sleep(AWAY).await;
+    tokio::time::sleep(UNLISTED_FOR).await;
     vm.set_unresponsive(false);
     platform.store.put(listing::TOPIC, &vm.id, vm.entry());
     until_state(node, ID, "completed").await;
-    tokio::time::sleep(AWAY).await;
+    tokio::time::sleep(UNLISTED_FOR).await;
     let starts = system.starts_of(ID);
     expect_that!(starts.len(), eq(TASKS as usize));
     expect_that!(starts.values().all(|&n| n == 1), eq(true), "{starts:?}");
--- a/crates/scheduler/tests/vm_incarnations.rs
+++ b/crates/scheduler/tests/vm_incarnations.rs
@@ -16,7 +16,7 @@
 /// Ends that the VM has listed before its restart: more than it lists afterwards.
 const ENDS_BEFORE: u32 = 16;
 /// How long the VM is down.
-const AWAY: Duration = Duration::from_millis(100);
+const DOWNTIME: Duration = Duration::from_millis(100);
 /// Tasks that start and end one after the other: some end while the owner handles the first end.
 const TASKS: u32 = 16;
 /// Orders that are carried out late have arrived within this time.
@@ -26,7 +26,7 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn ends_of_a_vms_next_incarnation_are_received_before_they_are_forgotten() {
-    expect_each_end_heard(&System::start(112, 1, 1).await).await;
+    expect_each_end_received(&System::start(112, 1, 1).await).await;
 }
 
 /// Two incarnations may report the same start time, and older entries report none: the VM's clock distinguishes them.
@@ -37,15 +37,15 @@
     system.platform.machines.omit_start_times(true, true);
     let ip = system::ip(114, 100);
     system.platform.machines.add("m-0", system::POOL, ip).await.expect("the VM starts");
-    expect_each_end_heard(&system).await;
+    expect_each_end_received(&system).await;
 }
 
-/// Checks that a VM gets work and maintenance when its entry, its lists or both omit its start time. An entry without a start
-/// time belongs to the incarnation that replies; otherwise entry and lists name two incarnations, and the listed one never
-/// replies.
-async fn expect_work_and_maintenance(net: u8, in_entries: bool, in_lists: bool) {
+/// Checks that a VM gets work and maintenance when either its entries or its lists omit its start time. An entry without a
+/// start time counts as that of the incarnation that replies; otherwise the entry and the lists would seem to come from two
+/// incarnations, and the listed one would never reply.
+async fn expect_work_and_maintenance(net: u8, omit_in_entries: bool, omit_in_lists: bool) {
     let system = System::start(net, 0, 1).await;
-    system.platform.machines.omit_start_times(in_entries, in_lists);
+    system.platform.machines.omit_start_times(omit_in_entries, omit_in_lists);
     let ip = system::ip(net, 100);
     system.platform.machines.add("m-0", system::POOL, ip).await.expect("the VM starts");
     let (node, machines) = (&system.nodes[0], &system.platform.machines);
@@ -58,7 +58,7 @@
     expect_that!(submit(node, second, &job(4, 20)).await.status, eq(200));
     until_state(node, second, "completed").await;
     machines.restart_with_same_ids();
-    machines.restart(&machines.vms().remove(0), AWAY).await;
+    machines.restart(&machines.vms().remove(0), DOWNTIME).await;
     let third = "00000000000000b3";
     expect_that!(submit(node, third, &job(4, 20)).await.status, eq(200));
     until_state(node, third, "completed").await;
@@ -76,13 +76,13 @@
     expect_work_and_maintenance(207, false, true).await;
 }
 
-async fn expect_each_end_heard(system: &System) {
+async fn expect_each_end_received(system: &System) {
     let node = &system.nodes[0];
     let first = "00000000000000b1";
     expect_that!(submit(node, first, &job(ENDS_BEFORE, 10)).await.status, eq(200));
     until_state(node, first, "completed").await;
     let vm = system.platform.machines.vms().remove(0);
-    system.platform.machines.restart(&vm, AWAY).await;
+    system.platform.machines.restart(&vm, DOWNTIME).await;
     expect_that!(submit(node, ID, &job(TASKS, 300)).await.status, eq(200));
     until_state(node, ID, "completed").await;
     let starts = system.starts_of(ID);
