--- a/crates/scheduler/tests/jobs.rs
+++ b/crates/scheduler/tests/jobs.rs
@@ -103,10 +103,10 @@
     until("both tasks run", async || running_tasks(&system, ID) == 2).await;
     let vms: Vec<String> = (0..4).map(|i| format!("m-{i}")).collect();
     system.platform.store.put("op", "wave/1", bodies::wave(1, &vms, 1));
-    let status = || system.platform.store.newest("status", 0, "wave/1");
-    until("the wave is reported", async || status().is_some()).await;
-    let status = status().expect("it was reported");
-    expect_that!(String::from_utf8_lossy(&status), contains_substring("completed"));
+    let wave_status = || system.platform.store.newest("status", 0, "wave/1");
+    until("the wave is reported", async || wave_status().is_some()).await;
+    let wave_status = wave_status().expect("it was reported");
+    expect_that!(String::from_utf8_lossy(&wave_status), contains_substring("completed"));
     expect_that!(system.platform.machines.maintained(1), eq(4));
     until("both tasks run again", async || running_tasks(&system, ID) == 2).await;
 }
--- a/crates/scheduler/tests/late_starts.rs
+++ b/crates/scheduler/tests/late_starts.rs
@@ -38,9 +38,9 @@
 /// Waits until the node counts a VM as lost, and lets the VM reply from then on.
 async fn reply_once_lost(system: &System, vm: Arc<VmFake>) {
     let lost = format!("vm step=lost vm={} ", vm.incarnation());
-    let began = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     while !system.nodes[0].log().contains(&lost) {
-        assert!(began.elapsed() < system::PATIENCE, "{lost}");
+        assert!(started_at.elapsed() < system::PATIENCE, "{lost}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     vm.set_unresponsive(false);
--- a/crates/scheduler/tests/misleading_replies.rs
+++ b/crates/scheduler/tests/misleading_replies.rs
@@ -35,9 +35,9 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_502_of_the_store_to_a_relayed_append_leaves_the_outcome_unknown() {
     let mut system = System::start(102, 0, 0).await;
-    let rule = |asked: Asked| async move {
-        let is_ours = asked.path.starts_with(APPEND) && asked.path.contains("keyed.passed");
-        let reply = asked.forward().await;
+    let rule = |request: Asked| async move {
+        let is_ours = request.path.starts_with(APPEND) && request.path.contains("keyed.passed");
+        let reply = request.forward().await;
         if is_ours { Some(answer(NOT_FORWARDED, "")) } else { reply }
     };
     let store = system.platform.store_addr();
@@ -64,13 +64,13 @@
     let fence_next = Arc::new(AtomicBool::new(false));
     let vm = system.platform.machines.vms().remove(0);
     let fence = fence_next.clone();
-    let rule = move |asked: Asked| {
+    let rule = move |request: Asked| {
         let fence = fence.clone();
         async move {
-            if asked.path == HOLD && fence.swap(false, Ordering::Relaxed) {
+            if request.path == HOLD && fence.swap(false, Ordering::Relaxed) {
                 return Some(answer(409, r#"{"clockMs":5,"reason":"fence"}"#));
             }
-            asked.forward().await
+            request.forward().await
         }
     };
     middle::stand_for_vm(&system.platform, &vm, rule).await;
--- a/crates/scheduler/tests/reordered_replies.rs
+++ b/crates/scheduler/tests/reordered_replies.rs
@@ -38,21 +38,21 @@
     let _ = flag.wait_for(|&set| set).await;
 }
 
-async fn forward_through(gate: Arc<Gate>, asked: Asked) -> Option<String> {
+async fn forward_through(gate: Arc<Gate>, request: Asked) -> Option<String> {
     // A list that is requested without waiting is not held back, as its request soon times out.
-    let waits = asked.path == HOLD && asked.field("waitMs") != "null";
+    let waits = request.path == HOLD && request.field("waitMs") != "null";
     if waits && gate.armed.swap(false, Ordering::Relaxed) {
-        let list = asked.without_wait().forward().await;
+        let list = request.without_wait().forward().await;
         gate.list_made.send_replace(true);
         wait_until_set(&gate.list_released).await;
         return list;
     }
-    let answer = asked.forward().await;
-    if asked.path == START && *gate.list_made.borrow() {
+    let reply = request.forward().await;
+    if request.path == START && *gate.list_made.borrow() {
         gate.start_done.send_replace(true);
         wait_until_set(&gate.start_released).await;
     }
-    answer
+    reply
 }
 
 /// Starts a node with two VMs behind gates; a task whose run is abandoned on one VM would be started again on the other. Has
@@ -63,8 +63,8 @@
     let vms = system.platform.machines.vms();
     for (vm, gate) in vms.iter().zip(&gates) {
         let gate = gate.clone();
-        middle::stand_for_vm(&system.platform, vm, move |asked| {
-            forward_through(gate.clone(), asked)
+        middle::stand_for_vm(&system.platform, vm, move |request| {
+            forward_through(gate.clone(), request)
         })
         .await;
     }
--- a/crates/scheduler/tests/slow_onset.rs
+++ b/crates/scheduler/tests/slow_onset.rs
@@ -13,16 +13,16 @@
 
 /// Keeps this many appends in the queue of the partition of submissions while the store is slow.
 fn queue_appends(system: &System, count: usize) {
-    let store = Arc::new(Store::new(system.platform.store_addr()));
+    let store_client = Arc::new(Store::new(system.platform.store_addr()));
     for _ in 0..count {
-        let store = store.clone();
+        let store_client = store_client.clone();
         tokio::spawn(async move {
             // A cancel of a job that is never submitted changes nothing.
             let record = KeyedRecord::new("c00000000000000ee", vec![1]);
             loop {
                 let record = std::slice::from_ref(&record);
                 // Refused and unanswered appends are sent again.
-                let _ = store.append("jobs.desk", 0, Guard::Always, record).await;
+                let _ = store_client.append("jobs.desk", 0, Guard::Always, record).await;
             }
         });
     }
