--- a/crates/scheduler/tests/fleet_orders.rs
+++ b/crates/scheduler/tests/fleet_orders.rs
@@ -1,10 +1,11 @@
 //! Orders to the machine service by a node that no longer owns the fleet, with real nodes.
 //!
 //! An owner of the fleet is paused for longer than its right to act lasts, while an order that the machine service has
-//! refused waits to be repeated. Another node claims the fleet and gives that order under its higher token. The first node
-//! resumes: the store accepts its heartbeat, which renews its right to act, before it has read the new claim. A repeated
-//! order needs no new record that the store could refuse, so it would go out under the lower token. Here the partition of
-//! claims does not answer either, so both nodes would go on ordering.
+//! refused waits to be repeated. Another node claims the fleet and gives that order under its higher token. The first
+//! node resumes: the store accepts its heartbeat, which renews its right to act, before it has read the new claim. A
+//! repeated order needs no new record that the store could refuse, so it would go out under the lower token. Here the
+//! partition of claims does not answer, so that the first node cannot read the claim and both would go on giving the
+//! order in turn.
 
 mod system;
 
--- a/crates/scheduler/tests/jobs.rs
+++ b/crates/scheduler/tests/jobs.rs
@@ -125,9 +125,9 @@
     expect_that!(json, contains_substring("\"version\": 1"));
 }
 
-/// Guards against calls without a reply on new connections to a node that is about to exit. From 2.5 s after SIGTERM, the
-/// node closes connections as they become idle. The HTTP library closes a connection on which it has read nothing as soon as
-/// it is told to shut it down, so a new connection must not be shut down before its first request is read.
+/// Guards against unanswered calls on new connections to a node that is about to exit. From 2.5 s after SIGTERM, the node
+/// closes connections as they become idle. The HTTP library closes a connection at once if it is asked to shut it down
+/// before it has read anything, so the shutdown of a new connection must wait for its first request.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_node_that_is_about_to_exit_answers_on_new_connections() {
--- a/crates/scheduler/tests/misleading_replies.rs
+++ b/crates/scheduler/tests/misleading_replies.rs
@@ -1,4 +1,4 @@
-//! Replies that make something done look not done, or something not done look done, with real nodes.
+//! Replies that misrepresent whether an operation was done, with real nodes.
 
 mod middle;
 mod system;
@@ -52,10 +52,10 @@
     expect_that!(reply.map(|a| a.status), ok(eq(&NOT_ANSWERED)));
 }
 
-/// A VM that has seen a higher token ends its pool's owner, which restarts under the same token and numbers its writes from
-/// the start again. The store takes a number that it has already seen under a token for a copy: it acknowledges the write and
-/// keeps nothing. If the end of a task is acknowledged this way, it is lost with its owner, and the next owner starts the
-/// task again.
+/// A VM that has seen a higher token ends its pool's owner, which restarts under the same token and numbers its writes
+/// from the start again. The store treats a number that it has already seen under a token as a copy: it acknowledges the
+/// write and keeps nothing. If the end of a task is acknowledged this way, it is lost with its owner, and the next owner
+/// starts the task again.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_owner_restarted_under_its_token_loses_no_end() {
--- a/crates/scheduler/tests/partitions.rs
+++ b/crates/scheduler/tests/partitions.rs
@@ -115,7 +115,7 @@
     expect_that!(system.starts_of(ID).len(), eq(0));
 }
 
-/// An owner that can record progress in one partition only starts nothing while that partition is down.
+/// An owner whose progress depends on one partition starts nothing while that partition is down.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_owner_runs_tasks_while_its_first_progress_partition_is_down() {
--- a/crates/scheduler/tests/relay.rs
+++ b/crates/scheduler/tests/relay.rs
@@ -1,4 +1,4 @@
-//! A store that refuses one node or does not reply to it, and serves the others.
+//! A store that refuses one node, or does not reply to it, while it serves the others.
 
 mod system;
 
--- a/crates/scheduler/tests/stalled_connections.rs
+++ b/crates/scheduler/tests/stalled_connections.rs
@@ -130,8 +130,8 @@
 
 /// The longest time that a node holds a stalled connection.
 const MAX_HOLD: Duration = Duration::from_secs(3);
-/// The number of connections that are opened in parallel. If too many wait to be accepted, the first packet of one is dropped
-/// and it is retried after a second; without parallel openers it would hold up all that follow it until the first ones are
+/// The number of connections that are opened in parallel. A connection whose first packet is dropped, because too many
+/// wait to be accepted, is retried after a second. With a single opener it would delay all later ones until the first are
 /// closed.
 const OPENERS: usize = 50;
 
@@ -163,8 +163,8 @@
     let system = System::start(net, 1, 1).await;
     let before = system.nodes[0].descriptors();
     let node = &system.nodes[0];
-    // Opening them may take longer than each is held, so that the first are closed before the last are open: the test checks the
-    // highest number held at any time.
+    // Opening all connections may take longer than a node holds each of them; the first are then closed before the last
+    // are open. The test therefore checks the highest number held at any time.
     let mut opening = std::pin::pin!(open_and_stall(addr(&system), text));
     let mut most = before;
     let open = loop {
