--- a/crates/model/src/parameters.rs
+++ b/crates/model/src/parameters.rs
@@ -159,7 +159,7 @@
                 write!(f, "the template has {n} services: split it, {MAX_SERVICES} is the most")
             }
             Self::DuplicateService(s) => {
-                write!(f, "the service '{s}' is listed twice: give each service a unique name")
+                write!(f, "the service '{s}' stands twice: give each service a name of its own")
             }
             Self::Deadline(s, ms) => {
                 write!(f, "the service '{s}' has deadline_ms {ms}: use 1 to {MAX_DEADLINE_MS}")
--- a/crates/schedule/src/id.rs
+++ b/crates/schedule/src/id.rs
@@ -19,7 +19,7 @@
 
 impl fmt::Display for IdError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "'{}' is not a valid ID: use 16 hexadecimal digits in lower case", self.0)
+        write!(f, "'{}' is no ID: use 16 hexadecimal digits in lower case", self.0)
     }
 }
 
