--- a/crates/schedule/src/crash_history.rs
+++ b/crates/schedule/src/crash_history.rs
@@ -5,27 +5,27 @@
 //!
 //! - Only a crash counts: the VM has a new incarnation and was not leaving. An unresponsive VM may only be
 //!   disconnected, so its loss is unclear until the VM answers again (not counted) or is replaced (counted).
-//! - A crash right after the task's start makes the task a suspect, and so does a second crash at any time. A suspect does
+//! - A crash soon after the task's start makes the task a suspect, and so does a second crash at any time. A suspect does
 //!   not share a VM with tasks of other jobs, so that its next crash is conclusive and harms no other job.
-//! - A task is abandoned after two crashes right after its start on a VM without tasks of other jobs, after four crashes
-//!   of which two came right after its start, or after five crashes in all.
+//! - A task is abandoned after two crashes soon after its start on a VM without tasks of other jobs, after four crashes
+//!   of which two came soon after its start, or after five crashes in all.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Ms;
 
 /// The time after a run's start within which the run may have crashed a VM that stops answering, in milliseconds. A VM may
-/// crash 10 ms after the start, and its owner may notice the closed connections 70 ms later.
+/// crash 10 ms after the start, and its owner may notice the closed connections up to 70 ms later.
 pub const CRASH_AT_START_MS: Ms = 250;
-/// The number of crashes right after its start, on VMs without tasks of other jobs, at which a task is abandoned. One may be
+/// The number of crashes soon after its start, on VMs without tasks of other jobs, at which a task is abandoned. One may be
 /// a coincidence.
 const MAX_CRASHES_ALONE: u32 = 2;
-/// The number of crashes at which a task is abandoned whatever else ran on the VMs, if two of them came right after its start.
+/// The number of crashes at which a task is abandoned whatever else ran on the VMs, if two of them came soon after its start.
 const MAX_CRASHES_WITH_STARTS: u32 = 4;
 /// The number of crashes at which any task is abandoned. The platform allows two starts after the third crash.
 const MAX_CRASHES: u32 = 5;
 /// How long a VM may be unresponsive before it counts as crashed, in milliseconds. VMs restart within seconds, and network
-/// partitions last up to 12 s.
+/// partitions last up to 12 s, so that a VM that is unresponsive for longer does not come back.
 const UNCLEAR_TIMEOUT_MS: u64 = 30_000;
 /// The delay before a suspect is started again after its first crash, in milliseconds. It doubles with each crash.
 const FIRST_RESTART_DELAY_MS: Ms = 250;
@@ -46,7 +46,7 @@
 /// How the crash of a VM relates to a run that was lost with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Crash {
-    /// The crash came right after the run's start.
+    /// The crash came soon after the run's start.
     pub at_start: bool,
     /// The VM ran no tasks of other jobs.
     pub alone: bool,
@@ -57,7 +57,7 @@
 pub struct CrashHistory {
     /// The number of VMs that crashed while they ran the task.
     pub crashes: u32,
-    /// The number of these that crashed right after the task's start.
+    /// The number of these that crashed soon after the task's start.
     pub at_start: u32,
     /// The number of those in `at_start` that ran no tasks of other jobs.
     pub alone: u32,
--- a/crates/schedule/src/job_log.rs
+++ b/crates/schedule/src/job_log.rs
@@ -1,6 +1,6 @@
 //! The fold of one pool's records into the submission, the cancellation and the progress of each job.
 //!
-//! Any node appends submissions and cancels to one of two partitions. Only the pool's owner appends progress, to a third
+//! Any node appends submissions and cancellations to one of two partitions. Only the pool's owner appends progress, to a third
 //! partition, or to a fourth while the third does not accept it. Records are folded by job and may arrive in any order, so
 //! that reading a record twice changes nothing.
 
@@ -94,17 +94,17 @@
     Ok(spec)
 }
 
-/// The first byte of a cancel record; the encoded caller follows.
+/// The first byte of a cancellation record; the encoded caller follows.
 const CANCELLED: u8 = 1;
 
-/// Encodes a cancel.
+/// Encodes a cancellation.
 pub fn encode_cancel(caller: &Caller) -> Vec<u8> {
     let mut record = vec![CANCELLED];
     record.extend(encode(caller));
     record
 }
 
-/// Decodes a cancel. Older records lack the caller and cancel any job.
+/// Decodes a cancellation. Older records lack the caller and cancel any job.
 fn decode_cancel(value: &[u8]) -> Result<Option<Caller>, postcard::Error> {
     match value {
         [] | [_] => Ok(None),
@@ -122,7 +122,7 @@
     Ok((version, progress))
 }
 
-/// The maximum number of callers whose cancels of one ID are kept until its submission is read. One is usual; more come
+/// The maximum number of callers whose cancellations of one ID are kept until its submission is read. One is usual; more come
 /// from mistakes.
 const MAX_EARLY_CANCELS: usize = 8;
 
@@ -139,7 +139,7 @@
 /// The folded records of a job.
 #[derive(Clone, Debug, Default)]
 pub struct JobEntry {
-    /// The submission, or `None` if only a cancel or progress has been read so far.
+    /// The submission, or `None` if only a cancellation or progress has been read so far.
     pub spec: Option<Arc<JobSpec>>,
     /// Whether a caller that may see the job has cancelled it.
     pub cancelled: bool,
@@ -271,7 +271,7 @@
         }
     }
 
-    /// Applies a cancel, unless its caller may not see the job.
+    /// Applies a cancellation, unless its caller may not see the job.
     fn cancel(&mut self, id: JobId, caller: Option<Caller>) -> Option<LogChange> {
         let entry = self.jobs.entry(id).or_default();
         match &entry.spec {
--- a/crates/schedule/src/ownership/readers.rs
+++ b/crates/schedule/src/ownership/readers.rs
@@ -1,4 +1,5 @@
-//! Which nodes read a pool's records besides its owner, and which nodes all others query.
+//! The readers of a pool, which are the standby nodes that follow its records besides its owner, and the nodes that all
+//! others query.
 //!
 //! Load pattern: all nodes of a large site lose power and restart within 100 ms, with thousands of stored jobs. If each node
 //! reads every pool, the load on the store grows with nodes times jobs: 97 nodes request 1.25 GB from a store that reads
--- a/crates/schedule/src/pool/ends.rs
+++ b/crates/schedule/src/pool/ends.rs
@@ -81,7 +81,7 @@
             return;
         }
         let pause = match task.early_failures {
-            // Two failures may be chance.
+            // Two failures in a row may be a coincidence.
             0 | 1 => 0,
             n => (FAILURE_DELAY_MS << n.min(MAX_DELAY_DOUBLINGS)).min(MAX_RESTART_DELAY_MS),
         };
--- a/crates/schedule/src/pool/order.rs
+++ b/crates/schedule/src/pool/order.rs
@@ -24,7 +24,7 @@
     pub free_cpu: u32,
 }
 
-/// An order to a VM.
+/// An order to a VM, or a request to the advice service.
 #[derive(Clone, Debug)]
 pub enum Order {
     /// Start a run.
--- a/crates/schedule/src/pool/report.rs
+++ b/crates/schedule/src/pool/report.rs
@@ -130,15 +130,15 @@
         now: Now,
     ) -> Vec<RunId> {
         let vm = &self.vms[key];
-        let first = !vm.token_confirmed;
+        let is_first_report = !vm.token_confirmed;
         let missing = |(&task, run): (&TaskId, &Run)| {
             let id = RunId { task, attempt: run.attempt };
             let confirmed_before = run.confirmed.is_some_and(|at| report.requested_at > at);
-            ((first || confirmed_before) && !listed.contains(&id)).then_some(id)
+            ((is_first_report || confirmed_before) && !listed.contains(&id)).then_some(id)
         };
         let missing: Vec<RunId> = vm.runs.iter().filter_map(missing).collect();
         let (unclear, gone): (Vec<RunId>, Vec<RunId>) =
-            missing.into_iter().partition(|run| !first && vm.runs[&run.task].unclear);
+            missing.into_iter().partition(|run| !is_first_report && vm.runs[&run.task].unclear);
         for run in unclear {
             self.block_start(key, run, now);
         }
--- a/crates/schedule/src/pool/throttle.rs
+++ b/crates/schedule/src/pool/throttle.rs
@@ -19,13 +19,13 @@
 const MIN_SPEED: u32 = 10;
 /// The increase of a filling task's speed at each speed-up, in percent of the full speed.
 const SPEED_UP_STEP: u32 = 20;
-/// The minimum time between two changes, in milliseconds. The reported figures cover the last half second.
+/// The minimum time between two changes, in milliseconds. The reported metrics cover the last half second.
 const MIN_CHANGE_INTERVAL_MS: Ms = 500;
 
 /// The reason for polling a VM, which determines how often it is polled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollReason {
-    /// The figures of serving tasks that share the VM with filling tasks.
+    /// The metrics of serving tasks that share the VM with filling tasks.
     Figures,
     /// The ends of tasks that end by themselves.
     Ends,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Adjusts the speed of a VM's filling tasks to the latest figures of its serving tasks.
+    /// Adjusts the speed of a VM's filling tasks to the latest metrics of its serving tasks.
     pub(super) fn throttle(&mut self, key: VmKey, now: Now) {
         if !self.policy.tasks.pacing {
             return;
@@ -96,7 +96,7 @@
     }
     let percent = |run: &Run| run.figure.map(|ms| ms * 100 / u64::from(run.tail_target_ms));
     match serving.filter_map(percent).max() {
-        // No figure has been reported yet.
+        // No metric has been reported yet.
         None => Tail::Between,
         Some(SLOW_DOWN_ABOVE_PERCENT..) => Tail::Near,
         Some(SPEED_UP_BELOW_PERCENT..) => Tail::Between,
--- a/crates/schedule/src/vm.rs
+++ b/crates/schedule/src/vm.rs
@@ -104,8 +104,8 @@
     /// The completed share of its work, in percent. For a lasting task only the start counts: it is serving at 100. The
     /// share of its full speed at which a task works is not reported.
     pub percent: u32,
-    /// The tail response time in milliseconds for a serving task, the processor in use for other tasks, or `None` if the VM
-    /// does not report it.
+    /// The tail latency in milliseconds for a serving task, the CPU in use for other tasks, or `None` if the VM does not
+    /// report it.
     pub metric: Option<u64>,
 }
 
--- a/crates/scheduler/src/append.rs
+++ b/crates/scheduler/src/append.rs
@@ -8,7 +8,7 @@
 //! The store may also turn slow when load rises. If 97 nodes with 200 jobs per second append each job by itself, the queue of
 //! each partition is full for seconds; a partition refuses appends that would wait for more than two seconds. A node that finds
 //! the store slow forwards its submissions to the pool's owner and does not try the fallback partition. The owner tries both
-//! partitions, and the fallback partition is free for it.
+//! partitions, and the queue of the fallback partition is free for its appends.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -35,8 +35,8 @@
 /// How long an append to the first partition may take before the fallback partition may be tried in parallel: more than
 /// twice the time from which the store counts as slow.
 const FALLBACK_DELAY: Duration = Duration::from_millis(150);
-/// How long after the start of an append fast answers to other calls show that the store is not slow: calls answered earlier
-/// may have been sent before the store turned slow.
+/// The time after the start of an append from which fast answers to other calls show that the store is not slow: calls
+/// answered earlier may have been sent before the store turned slow.
 const STORE_SPEED_CHECK_DELAY: Duration = Duration::from_millis(100);
 /// How often the number of fast answers to other calls is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(25);
@@ -78,12 +78,12 @@
     log: &Arc<PoolLog>,
     records: &[KeyedRecord],
     since: Ms,
-    by: AppendRole,
+    role: AppendRole,
 ) -> Outcome {
     let mut may_be_written = false;
     loop {
         let round_at = steady_ms();
-        match try_partitions(node, log, records, since, by).await {
+        match try_partitions(node, log, records, since, role).await {
             Attempt::NotSent if !may_be_written => {
                 // Records that were never sent are certainly not written, so the caller may safely retry.
                 log::info!("submit step=not-sent pool={} reason=no-partition-answers", log.pool);
@@ -120,11 +120,11 @@
     log: &Arc<PoolLog>,
     records: &[KeyedRecord],
     since: Ms,
-    by: AppendRole,
+    role: AppendRole,
 ) -> Attempt {
     let to = |part| append_to(node, log, part, records, since);
     if !log.may_append(SUBMISSIONS).await {
-        if by == AppendRole::Other && node.store.is_slow() {
+        if role == AppendRole::Other && node.store.is_slow() {
             return Attempt::Slow(WriteOutcome::NotKept);
         }
         return match log.may_append(FALLBACK_SUBMISSIONS).await {
@@ -134,16 +134,16 @@
     }
     let sent_at = steady_ms();
     let mut first = pin!(to(SUBMISSIONS));
-    let in_parallel = by == AppendRole::Owner && node.store.is_slow();
+    let in_parallel = role == AppendRole::Owner && node.store.is_slow();
     if !in_parallel
         && let Either::Left((outcome, _)) =
             select(&mut first, pin!(wait_until_unusually_slow(node))).await
     {
-        let slow = by == AppendRole::Other && node.store.is_slow();
+        let slow = role == AppendRole::Other && node.store.is_slow();
         let try_fallback = match outcome {
             WriteOutcome::Kept => false,
-            // The fallback partition's queue is left to the owner. If 32 nodes try it when their appends time out, its queue
-            // stays full for two seconds, and only 29 of 250 jobs that arrive meanwhile are stored.
+            // The queue of the fallback partition is left to the owner. If 32 nodes also append there when their first appends
+            // time out, that queue stays full for two seconds, and only 29 of 250 jobs that arrive meanwhile are stored.
             WriteOutcome::NotKept | WriteOutcome::Unknown if slow => return Attempt::Slow(outcome),
             WriteOutcome::NotKept => true,
             WriteOutcome::Unknown => node.store_health.view().has_answered_since(sent_at),
--- a/crates/scheduler/src/journal.rs
+++ b/crates/scheduler/src/journal.rs
@@ -102,8 +102,8 @@
             return self.append_to(node, 0, records).await;
         }
         loop {
-            if let Some(place) = self.try_append(node, records).await? {
-                return Ok(place);
+            if let Some(position) = self.try_append(node, records).await? {
+                return Ok(position);
             }
             tokio::time::sleep(RETRY_PAUSE).await;
         }
@@ -123,8 +123,8 @@
             if !partition.open || partition.retry_at > now && !all_in_backoff {
                 continue;
             }
-            if let Attempt::Done(place) = self.try_once(node, i, records).await? {
-                return Ok(Some(place));
+            if let Attempt::Done(position) = self.try_once(node, i, records).await? {
+                return Ok(Some(position));
             }
         }
         Ok(None)
@@ -183,8 +183,8 @@
         records: &[KeyedRecord],
     ) -> Result<AppendPosition, Fenced> {
         loop {
-            if let Attempt::Done(place) = self.try_once(node, index, records).await? {
-                return Ok(place);
+            if let Attempt::Done(position) = self.try_once(node, index, records).await? {
+                return Ok(position);
             }
             tokio::time::sleep(RETRY_PAUSE).await;
         }
--- a/crates/scheduler/src/owner/link/hold.rs
+++ b/crates/scheduler/src/owner/link/hold.rs
@@ -95,7 +95,7 @@
                 return;
             }
             Err(e) if reachable && !wait.is_zero() => {
-                // One answer may have been lost: ask again without waiting to find out whether the VM still answers.
+                // One answer may have been lost. A query that does not wait for ends soon shows whether the VM still answers.
                 log::info!("vm step=asked-again vm={} error=\"{e}\"", link.vm);
                 lock(&link.lease).set_unresponsive();
                 wait = Duration::ZERO;
--- a/crates/scheduler/src/owner/link/mod.rs
+++ b/crates/scheduler/src/owner/link/mod.rs
@@ -29,11 +29,11 @@
 /// renews the lease.
 const LEASE_WAIT: Duration = Duration::from_millis(1_500);
 /// How long a call waits where tasks run that end by themselves. While a call is left unanswered the owner cannot
-/// receive their ends: at 1.5 s, ends of tasks of one second arrived up to 2.1 s late. On three days on which VMs
-/// leave calls unanswered, 0.5 s earned 0.53 of what is due, less costs, and 1.5 s earned 0.49 (means of four runs).
+/// receive their ends: at 1.5 s, ends of tasks of one second arrived up to 2.1 s late. Over three days on
+/// which VMs leave calls unanswered, jobs earn 0.53 of the value due, less costs, at 0.5 s and 0.49 at 1.5 s (means of
+/// four runs).
 const ENDS_WAIT: Duration = Duration::from_millis(500);
-/// How long a call waits where serving and filling tasks run on the same VM, whose usage figures cover the last half
-/// second.
+/// How long a call waits where serving and filling tasks run on the same VM, whose metrics cover the last half second.
 const FIGURES_WAIT: Duration = Duration::from_millis(400);
 /// The most orders of one kind that are in flight to one VM.
 const MAX_ORDERS_IN_FLIGHT: usize = 2;
@@ -66,7 +66,7 @@
 pub struct Link {
     shared: Arc<Shared>,
     facts: Arc<VmFacts>,
-    /// The newest loss of the VM that the owner has handled: its current orders were decided after that loss.
+    /// The newest loss of the VM that the owner has handled. The owner decided on its current orders after that loss.
     handled_loss: LossNumber,
     hold_task: AbortHandle,
 }
@@ -126,12 +126,13 @@
         self.shared.over.load(Ordering::Relaxed)
     }
 
-    /// Calls the VM immediately, as another incarnation of it is listed.
+    /// Calls the VM immediately, because another incarnation of the VM is listed.
     pub fn poll_now(&self) {
         self.shared.wake_poll.notify_one();
     }
 
-    /// Reports to the owner that the VM is lost. Orders decided before the owner has handled the loss are no longer sent.
+    /// Reports to the owner that the VM is lost. Orders that the owner decided on before it handled the
+    /// loss are not sent any more.
     pub fn report_loss(&self, loss: VmLoss) {
         self.shared.send_loss(loss);
     }
--- a/crates/scheduler/src/owner/progress.rs
+++ b/crates/scheduler/src/owner/progress.rs
@@ -72,18 +72,18 @@
             }
             let stale: Vec<(JobId, u32)> =
                 self.overflowed.range((id, 0)..=(id, u32::MAX)).copied().collect();
-            for place in stale {
-                self.overflowed.remove(&place);
-                self.outdated.insert(place);
+            for entry in stale {
+                self.overflowed.remove(&entry);
+                self.outdated.insert(entry);
             }
         }
     }
 
     /// Returns whether the overflow partitions hold no progress and have had no writes for a while.
     fn overflow_is_empty(&self) -> bool {
-        let mut places = self.overflowed.iter().chain(&self.outdated);
+        let mut entries = self.overflowed.iter().chain(&self.outdated);
         let quiet = steady_ms().saturating_sub(self.overflow_used_at) >= OVERFLOW_IDLE_MS;
-        quiet && !places.any(|(_, part)| OVERFLOW_PROGRESS.contains(part))
+        quiet && !entries.any(|(_, part)| OVERFLOW_PROGRESS.contains(part))
     }
 
     /// Returns whether the overflow partitions may be opened or closed now, and if so records the attempt.
@@ -127,26 +127,26 @@
         batch: Vec<(JobId, Version, Progress)>,
         keyed: &[KeyedRecord],
     ) -> Result<(), Fenced> {
-        let place = loop {
-            if let Some(place) = self.journal.try_append(&self.node, keyed).await? {
-                break place;
+        let position = loop {
+            if let Some(position) = self.journal.try_append(&self.node, keyed).await? {
+                break position;
             }
             self.open_overflow_partitions().await;
             tokio::time::sleep(RETRY_PAUSE).await;
         };
-        self.writer.record_written(batch.iter().map(|(id, ..)| *id), place.part);
-        if place.part != PROGRESS {
+        self.writer.record_written(batch.iter().map(|(id, ..)| *id), position.part);
+        if position.part != PROGRESS {
             counter!("thistle_spare_progress").increment(1);
-            let (pool, part) = (&self.log.pool, place.part);
+            let (pool, part) = (&self.log.pool, position.part);
             log::info!("progress step=spare pool={pool} part={part} jobs={}", batch.len());
         }
-        self.log.apply_progress(batch, place).await;
+        self.log.apply_progress(batch, position).await;
         Ok(())
     }
 
     /// Opens the overflow partitions because neither the first nor the fallback partition accepts progress. Without
-    /// them a pool stalled for 5.7 s at the onset of its peak load, and its kind of request earned 0.37 of what was due on
-    /// that day.
+    /// them, a pool stalls for 5.7 s at the onset of its peak load, and its kind of request earns 0.37 of the value due
+    /// on that day.
     async fn open_overflow_partitions(&mut self) {
         let is_open = self.journal.parts().any(|part| OVERFLOW_PROGRESS.contains(&part));
         if is_open || !self.writer.may_try_overflow() {
--- a/crates/scheduler/src/ownership_flag.rs
+++ b/crates/scheduler/src/ownership_flag.rs
@@ -31,8 +31,8 @@
         let _ = self.0.subscribe().wait_for(|&now| now == owned).await;
     }
 
-    /// Waits for `pause` or until this node is the owner. An owner that waited for the whole pause would receive cancels and
-    /// new jobs late by up to that pause.
+    /// Waits for `pause` or until this node is the owner. An owner that waited for the whole pause would receive
+    /// cancellations and new jobs late by up to that pause.
     pub async fn wait_until_owned_or(&self, pause: Duration) {
         let mut owned = self.0.subscribe();
         // Both results end the pause.
--- a/crates/scheduler/src/pool_log/mod.rs
+++ b/crates/scheduler/src/pool_log/mod.rs
@@ -244,11 +244,11 @@
     pub async fn apply_progress(
         &self,
         records: Vec<(JobId, Version, Progress)>,
-        place: AppendPosition,
+        position: AppendPosition,
     ) {
-        let mut cursor = self.cursor(place.part).lock().await;
-        if cursor.next == Some(place.offset) {
-            (cursor.next, cursor.read_at) = (Some(place.end), steady_ms());
+        let mut cursor = self.cursor(position.part).lock().await;
+        if cursor.next == Some(position.offset) {
+            (cursor.next, cursor.read_at) = (Some(position.end), steady_ms());
         }
         let mut jobs = self.jobs();
         for (id, version, progress) in records {
--- a/crates/scheduler/src/pool_log/read.rs
+++ b/crates/scheduler/src/pool_log/read.rs
@@ -25,8 +25,9 @@
 const SUBMISSIONS_WAIT: Duration = Duration::from_millis(250);
 /// Pause after a failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// How often the owner reads the fallback partition while the first one answers, and otherwise.
+/// How often the owner reads the fallback partition while reads of the first one succeed.
 const FALLBACK_EVERY: Duration = Duration::from_millis(1_000);
+/// How often the owner reads the fallback partition after a failed read of the first one.
 const FALLBACK_EVERY_AFTER_FAILURE: Duration = Duration::from_millis(150);
 
 impl PoolLog {
@@ -152,8 +153,8 @@
 pub(super) async fn follow_records(node: Arc<Node>, log: Arc<PoolLog>) {
     loop {
         // A node that cannot receive heartbeats keeps its current role.
-        let reads = node.should_follow(&log.pool).unwrap_or_else(|| log.is_followed());
-        if !log.is_owned() && !reads {
+        let should_follow = node.should_follow(&log.pool).unwrap_or_else(|| log.is_followed());
+        if !log.is_owned() && !should_follow {
             log.is_following.store(false, Ordering::Relaxed);
             log.owned.wait_until_owned_or(jittered(STANDBY_READ_EVERY)).await;
             continue;
--- a/crates/scheduler/src/reply.rs
+++ b/crates/scheduler/src/reply.rs
@@ -16,7 +16,7 @@
 /// reach the store immediately.
 const RETRY_AFTER_S: &str = "1";
 
-/// The job or its cancel is stored.
+/// The job or its cancellation is stored.
 pub fn accepted() -> Reply {
     json(StatusCode::OK, b"{}".to_vec())
 }
--- a/crates/scheduler/src/submit.rs
+++ b/crates/scheduler/src/submit.rs
@@ -1,4 +1,4 @@
-//! Writes submissions and cancels to the store in batches.
+//! Writes submissions and cancellations to the store in batches.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,8 +22,8 @@
 const MAX_QUEUE_WAIT_MS: Ms = 1_000;
 /// The number of concurrent appends, so that an append that waits for the store does not block the next one.
 const MAX_APPENDS: usize = 4;
-/// The same for an owner while the store is slow: each append contains all records that have arrived in the meantime, and
-/// the next append starts about halfway through the previous one.
+/// The number of concurrent appends of an owner while the store is slow: each append contains all records that have
+/// arrived in the meantime, and the next append starts about halfway through the previous one.
 const MAX_APPENDS_WHILE_SLOW: usize = 2;
 
 /// A record to write, and the channel for its outcome.
@@ -135,7 +135,7 @@
 ) -> Vec<WriteOutcome> {
     let outcome = match append(node, log, records, oldest, AppendRole::Owner).await {
         Outcome::Known(outcome) => outcome,
-        // Unreachable for an owner, which never forwards to another node.
+        // This cannot happen in the role of the owner, which never forwards records to another node.
         Outcome::ForwardToOwner { may_be_written: true } => WriteOutcome::Unknown,
         Outcome::ForwardToOwner { may_be_written: false } => WriteOutcome::NotKept,
     };
--- a/crates/scheduler/src/write_outcome.rs
+++ b/crates/scheduler/src/write_outcome.rs
@@ -1,8 +1,8 @@
-//! The write outcome of a submission or a cancel, and its encoding between nodes.
+//! The write outcome of a submission or a cancellation, and its encoding between nodes.
 
 use serde::{Deserialize, Serialize};
 
-/// The write outcome of a submission or a cancel.
+/// The write outcome of a submission or a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WriteOutcome {
     /// The store has written the record.
