--- a/crates/schedule/src/fleet/facts.rs
+++ b/crates/schedule/src/fleet/facts.rs
@@ -38,18 +38,18 @@
 /// The report of a pool's owner to the fleet's owner.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PoolReport {
-    /// The processor that waiting tasks require, in thousandths of a core.
+    /// The CPU that waiting tasks require, in thousandths of a core.
     pub waiting_cpu: u64,
-    /// The processor in use, in thousandths of a core.
+    /// The CPU in use, in thousandths of a core.
     pub used_cpu: u64,
-    /// The processor that jobs which can finish in time will use once VMs that are ordered now have arrived, in thousandths of
+    /// The CPU that jobs which can finish in time will use once VMs that are ordered now have arrived, in thousandths of
     /// a core; see [`crate::pool::Demand`].
     #[serde(default)]
     pub soon_cpu: u64,
     /// The same for jobs that will be late.
     #[serde(default)]
     pub late_cpu: u64,
-    /// The processor of VMs that accept work, in thousandths of a core.
+    /// The CPU capacity of VMs that accept work, in thousandths of a core.
     pub cpu: u64,
     /// The number of VMs that accept work.
     pub vms: u32,
--- a/crates/schedule/src/fleet/moves.rs
+++ b/crates/schedule/src/fleet/moves.rs
@@ -10,7 +10,7 @@
 use crate::Ms;
 use crate::policy::Policy;
 
-/// The processor of a VM if a pool has no VMs to derive it from, in thousandths of a core: that of today's VMs.
+/// The CPU capacity of a VM if a pool has no VMs to derive it from, in thousandths of a core: that of today's VMs.
 const DEFAULT_VM_CPU: u64 = 16_000;
 
 /// The number of VMs that each pool needed over the last seconds.
--- a/crates/schedule/src/policy.rs
+++ b/crates/schedule/src/policy.rs
@@ -91,7 +91,7 @@
     pub rescue_ms: Ms,
     /// Which jobs go first when a pool is full.
     pub shares: SharePolicy,
-    /// Whether tasks that use leftover processor time are slowed down while a serving task on the same VM is near its target.
+    /// Whether tasks that use leftover CPU time are slowed down while a serving task on the same VM is near its target.
     pub pacing: bool,
     /// Whether tasks under which VMs crashed start only on VMs without tasks of other jobs.
     pub keep_suspects_apart: bool,
--- a/crates/schedule/src/pool/report.rs
+++ b/crates/schedule/src/pool/report.rs
@@ -79,7 +79,7 @@
         let vm = &mut self.vms[key];
         let task = row.run.task;
         if let Some(run) = vm.runs.get_mut(&task).filter(|r| r.attempt == row.run.attempt) {
-            run.figure = row.metric;
+            run.metric = row.metric;
             (run.progress, run.progress_at) = (row.percent, now.steady);
             // A listed run exists, even if this owner did not order it and never received an answer about it.
             run.confirmed.get_or_insert(requested_at);
--- a/crates/schedule/src/pool/run.rs
+++ b/crates/schedule/src/pool/run.rs
@@ -53,7 +53,7 @@
     pub speed_percent: Option<u32>,
     pub speed_set_at: Ms,
     /// The latest metric that the run reported; see [`crate::vm::RunRow`].
-    pub figure: Option<u64>,
+    pub metric: Option<u64>,
     /// The latest checkpoint, from which the task resumes elsewhere if the VM is lost.
     pub checkpoint: String,
 }
@@ -85,7 +85,7 @@
             progress_at: now,
             speed_percent: Some(FULL_SPEED),
             speed_set_at: 0,
-            figure: None,
+            metric: None,
             checkpoint: String::new(),
         }
     }
@@ -117,7 +117,7 @@
             progress: 0,
             progress_at: now,
             speed_percent: None,
-            figure: None,
+            metric: None,
             ..self
         }
     }
--- a/crates/schedule/src/pool/throttle.rs
+++ b/crates/schedule/src/pool/throttle.rs
@@ -94,7 +94,7 @@
     if serving.peek().is_none() {
         return Tail::Below;
     }
-    let percent = |run: &Run| run.figure.map(|ms| ms * 100 / u64::from(run.tail_target_ms));
+    let percent = |run: &Run| run.metric.map(|ms| ms * 100 / u64::from(run.tail_target_ms));
     match serving.filter_map(percent).max() {
         // No metric has been reported yet.
         None => Tail::Between,
--- a/crates/schedule/src/progress.rs
+++ b/crates/schedule/src/progress.rs
@@ -96,7 +96,7 @@
 }
 
 impl Progress {
-    /// Returns the state to report to callers. A cancelled job counts as cancelled as soon as the cancel is accepted.
+    /// Returns the state to report to callers. A cancelled job counts as cancelled as soon as the cancellation is accepted.
     pub const fn state(&self, cancelled: bool) -> JobState {
         match self.phase {
             Phase::Completed => JobState::Completed,
--- a/crates/schedule/src/quota/ledger.rs
+++ b/crates/schedule/src/quota/ledger.rs
@@ -185,7 +185,7 @@
         allowed
     }
 
-    /// Returns how much more processor a workspace may use under its cap, if that is limited.
+    /// Returns how much more CPU a workspace may use under its cap, if that is limited.
     pub fn cpu_left(&self, key: WorkspaceKey) -> Option<u64> {
         let entry = self.arena.get(key)?;
         let cap = entry.cap.filter(|cap| cap.cpu > 0)?;
--- a/crates/schedule/src/spec.rs
+++ b/crates/schedule/src/spec.rs
@@ -111,9 +111,9 @@
     pub lasting: bool,
     /// The image that the tasks run. Tasks of one image behave alike.
     pub image: String,
-    /// The tail response time that serving tasks must keep, in milliseconds; 0 means no target.
+    /// The tail latency that serving tasks must keep, in milliseconds; 0 means no target.
     pub tail_target_ms: u32,
-    /// Whether the tasks use only leftover processor time, so that their processor demand reserves no capacity.
+    /// Whether the tasks use only leftover CPU time, so that their CPU demand reserves no capacity.
     pub fills: bool,
     /// The maximum number of tasks of a lasting step that the scheduler may take down at once; 0 means no limit.
     pub may_miss: u32,
--- a/crates/schedule/src/vm.rs
+++ b/crates/schedule/src/vm.rs
@@ -8,10 +8,10 @@
 use crate::Ms;
 use crate::id::{RunId, VmIncarnation};
 
-/// An amount of processor, memory and accelerators, as a VM has it or a task requires it.
+/// An amount of CPU, memory and accelerators, as a VM has it or a task requires it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Room {
-    /// Processor in thousandths of a core.
+    /// CPU in thousandths of a core.
     pub cpu: u32,
     /// Memory in megabytes.
     pub mem_mb: u32,
--- a/crates/scheduler/src/owner/link/mod.rs
+++ b/crates/scheduler/src/owner/link/mod.rs
@@ -227,7 +227,7 @@
     }
 
     /// Waits until orders may be sent; returns false once the link is closed.
-    async fn until_may_send(&self) -> bool {
+    async fn wait_until_may_send(&self) -> bool {
         while !self.is_closed() {
             if self.may_send() {
                 return true;
--- a/crates/scheduler/src/owner/link/orders.rs
+++ b/crates/scheduler/src/owner/link/orders.rs
@@ -96,7 +96,7 @@
     let mut maybe_arrived = false;
     let mut deadline_ms = None;
     loop {
-        if !link.until_may_send().await {
+        if !link.wait_until_may_send().await {
             log_dropped(link, order.run, maybe_arrived);
             return None;
         }
@@ -180,7 +180,7 @@
 pub(super) async fn stop(link: &Shared, run: RunId, handled_loss: LossNumber) -> Option<()> {
     let _permit = link.stops.acquire().await.ok()?;
     loop {
-        if !link.until_may_send().await || link.newest_loss.is_after(handled_loss) {
+        if !link.wait_until_may_send().await || link.newest_loss.is_after(handled_loss) {
             return None;
         }
         let sent_at = Instant::now();
--- a/crates/scheduler/src/pool_log/read.rs
+++ b/crates/scheduler/src/pool_log/read.rs
@@ -26,9 +26,9 @@
 /// Pause after a failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// How often the owner reads the fallback partition while reads of the first one succeed.
-const FALLBACK_EVERY: Duration = Duration::from_millis(1_000);
+const FALLBACK_READ_EVERY: Duration = Duration::from_millis(1_000);
 /// How often the owner reads the fallback partition after a failed read of the first one.
-const FALLBACK_EVERY_AFTER_FAILURE: Duration = Duration::from_millis(150);
+const FALLBACK_READ_EVERY_AFTER_FAILURE: Duration = Duration::from_millis(150);
 
 impl PoolLog {
     /// Reads a partition until all records that the store had at `since` are applied.
@@ -191,8 +191,12 @@
 pub(super) async fn follow_fallback(node: Arc<Node>, log: Arc<PoolLog>) {
     loop {
         let has_failed = log.last_read_failed.load(Ordering::Relaxed);
-        tokio::time::sleep(if has_failed { FALLBACK_EVERY_AFTER_FAILURE } else { FALLBACK_EVERY })
-            .await;
+        tokio::time::sleep(if has_failed {
+            FALLBACK_READ_EVERY_AFTER_FAILURE
+        } else {
+            FALLBACK_READ_EVERY
+        })
+        .await;
         if !log.is_owned() {
             continue;
         }
