--- a/crates/schedule/src/pool/advice.rs
+++ b/crates/schedule/src/pool/advice.rs
@@ -8,7 +8,8 @@
 use crate::id::{JobId, VmIncarnation};
 use crate::spec::{AdvicePolicy, Step};
 
-/// The maximum number of VMs in one request. The users' estimate of a job's critical path includes one request for about as many.
+/// The maximum number of VMs in one request. The specified length of a job's critical path includes one request for about
+/// as many.
 const VMS_PER_REQUEST: usize = 30;
 /// The delay before the next request for a step after a reply or a failed request, in milliseconds.
 const RETRY_MS: Ms = 300;
--- a/crates/schedule/src/pool/incarnation.rs
+++ b/crates/schedule/src/pool/incarnation.rs
@@ -11,8 +11,8 @@
 /// The number of different jobs that fail in a row before a VM is excluded. One job that can never succeed fails on any VM, and
 /// two such jobs may meet on a VM by chance, as 3% of jobs are of this kind.
 const FAILED_JOBS_TO_EXCLUDE: usize = 3;
-/// How long a VM that fails its tasks receives no new ones, in milliseconds. This is about the length of the faults that the
-/// users' sites describe.
+/// How long a VM that fails its tasks receives no new ones, in milliseconds. This is about as long as such faults
+/// last on the sites.
 const EXCLUSION_MS: Ms = 5_000;
 /// How long a VM that rejected a start receives no new tasks, in milliseconds.
 const BRIEF_EXCLUSION_MS: Ms = 500;
--- a/crates/schedule/src/pool/job.rs
+++ b/crates/schedule/src/pool/job.rs
@@ -11,7 +11,7 @@
 use crate::quota::WorkspaceKey;
 use crate::spec::JobSpec;
 
-/// The maximum number of open repetitions of a job, several times as many as are ever due at once under the users' loads.
+/// The maximum number of open repetitions of a job, several times as many as are due at once under the expected load.
 /// Further repetitions wait for these, so that a job that is long overdue uses a bounded part of the owner's memory and
 /// time: planning 20,000 repetitions takes 65 s in a test build.
 const MAX_OPEN_REPETITIONS: usize = 64;
--- a/crates/schedule/src/pool/remaining.rs
+++ b/crates/schedule/src/pool/remaining.rs
@@ -6,7 +6,7 @@
 use crate::id::TaskId;
 
 /// The remaining time, in milliseconds, above which a resumable run is stopped on a VM that another pool needs. Stopping the run
-/// and resuming it elsewhere takes about as long (the users' bounds for the two are 400 and 100 ms, and 900 and 250 ms).
+/// and resuming it elsewhere takes about as long: a stop takes 400 to 900 ms, and a resumption 100 to 250 ms.
 pub(super) const WORTH_STOPPING_MS: Ms = 700;
 
 impl Pool {
--- a/crates/schedule/src/pool/report.rs
+++ b/crates/schedule/src/pool/report.rs
@@ -12,8 +12,8 @@
 /// The maximum number of run ends in one report. A longer list comes in parts, so a run that is missing from one part may be
 /// in the next.
 const MAX_ENDS: usize = 500;
-/// The delay before the stop order for a run that is still listed is repeated, in milliseconds. It is longer than the 900 ms in
-/// which the users' VMs stop a run.
+/// The delay before the stop order for a run that is still listed is repeated, in milliseconds. It is longer than the 900 ms that
+/// a VM takes at most to stop a run.
 const STOP_RETRY_MS: Ms = 1_000;
 /// The progress, in percent, at which a lasting task has completed its start and is working.
 const WORKING_PERCENT: u32 = 100;
