--- a/crates/schedule/src/pool/report.rs
+++ b/crates/schedule/src/pool/report.rs
@@ -12,8 +12,8 @@
 /// The maximum number of run ends in one report. A longer list comes in parts, so a run that is missing from one part may be
 /// in the next.
 const MAX_ENDS: usize = 500;
-/// The delay before the stop order for a run that is still listed is repeated, in milliseconds. It is longer than the 900 ms in
-/// which the users' VMs stop a run.
+/// The delay before the stop order for a run that is still listed is repeated, in milliseconds. It is longer than the 900 ms that
+/// a VM takes at most to stop a run.
 const STOP_RETRY_MS: Ms = 1_000;
 /// The progress, in percent, at which a lasting task has completed its start and is working.
 const WORKING_PERCENT: u32 = 100;
@@ -79,7 +79,7 @@
         let vm = &mut self.vms[key];
         let task = row.run.task;
         if let Some(run) = vm.runs.get_mut(&task).filter(|r| r.attempt == row.run.attempt) {
-            run.figure = row.metric;
+            run.metric = row.metric;
             (run.progress, run.progress_at) = (row.percent, now.steady);
             // A listed run exists, even if this owner did not order it and never received an answer about it.
             run.confirmed.get_or_insert(requested_at);
@@ -130,15 +130,15 @@
         now: Now,
     ) -> Vec<RunId> {
         let vm = &self.vms[key];
-        let first = !vm.token_confirmed;
+        let is_first_report = !vm.token_confirmed;
         let missing = |(&task, run): (&TaskId, &Run)| {
             let id = RunId { task, attempt: run.attempt };
             let confirmed_before = run.confirmed.is_some_and(|at| report.requested_at > at);
-            ((first || confirmed_before) && !listed.contains(&id)).then_some(id)
+            ((is_first_report || confirmed_before) && !listed.contains(&id)).then_some(id)
         };
         let missing: Vec<RunId> = vm.runs.iter().filter_map(missing).collect();
         let (unclear, gone): (Vec<RunId>, Vec<RunId>) =
-            missing.into_iter().partition(|run| !first && vm.runs[&run.task].unclear);
+            missing.into_iter().partition(|run| !is_first_report && vm.runs[&run.task].unclear);
         for run in unclear {
             self.block_start(key, run, now);
         }
