--- a/crates/schedule/tests/link_world/mod.rs
+++ b/crates/schedule/tests/link_world/mod.rs
@@ -4,7 +4,7 @@
 mod link;
 mod machines;
 mod owner;
-mod trouble;
+mod faults;
 #[path = "../world/twice.rs"]
 mod twice;
 mod vm;
--- a/crates/schedule/tests/world/mod.rs
+++ b/crates/schedule/tests/world/mod.rs
@@ -2,7 +2,7 @@
 //! at any moment.
 
 mod checks;
-mod flights;
+mod in_flight;
 mod twice;
 mod vm;
 
@@ -19,7 +19,7 @@
     VmFacts, VmIncarnation, VmLoss, VmReport,
 };
 
-use self::flights::Flight;
+use self::in_flight::Flight;
 use self::twice::{Given, Runs};
 use self::vm::{Run, SimVm};
 use crate::common::{at, job, lasting, step, vm as vm_facts};
