--- a/crates/schedule/tests/link_world/faults.rs
+++ b/crates/schedule/tests/link_world/faults.rs
@@ -11,15 +11,15 @@
         let troubles = self.troubles;
         let Some(vm) = self.vms.get_mut(&name) else { return };
         let way = match kind {
-            0..10 => Some(Way::Cut),
-            10..20 => Some(Way::AnswersLost),
-            20..25 => Some(Way::Unhealthy),
-            82..92 => Some(Way::Slow),
-            25..40 if troubles.late_copies => Some(Way::Late),
+            0..10 => Some(PathState::Cut),
+            10..20 => Some(PathState::AnswersLost),
+            20..25 => Some(PathState::Unhealthy),
+            82..92 => Some(PathState::Slow),
+            25..40 if troubles.late_copies => Some(PathState::Late),
             _ => None,
         };
         if let Some(way) = way {
-            (vm.way, vm.way_until) = (way, now + lasts);
+            (vm.path, vm.path_until) = (way, now + lasts);
             self.tell(|| format!("the way to {name} is {way:?} for {lasts}"));
             return;
         }
@@ -41,8 +41,8 @@
                 self.list_vms();
             }
             72..82 if troubles.room_is_guarded => {
-                let cpu = if vm.has.cpu == 4_000 { 1_000 } else { 4_000 };
-                vm.has.cpu = cpu;
+                let cpu = if vm.actual_room.cpu == 4_000 { 1_000 } else { 4_000 };
+                vm.actual_room.cpu = cpu;
                 self.tell(|| format!("{name} has {cpu}, whatever it tells"));
             }
             _ => (),
@@ -79,11 +79,11 @@
     }
 
     fn begin_life(&mut self, name: &str) {
-        let (life, way) = (self.vms[name].life + 1, self.vms[name].way);
+        let (life, way) = (self.vms[name].incarnation + 1, self.vms[name].path);
         let mut vm = self.new_vm(name, life);
         if self.troubles.ids_are_kept {
             // A way that is cut stays so.
-            (vm.way, vm.way_until) = (way, self.vms[name].way_until);
+            (vm.path, vm.path_until) = (way, self.vms[name].path_until);
         }
         self.tell(|| format!("{name} starts as {}", vm.id));
         self.vms.insert(name.to_owned(), vm);
@@ -93,7 +93,7 @@
     /// From here on VMs have all their room.
     pub fn calm_down(&mut self) {
         for vm in self.vms.values_mut() {
-            (vm.room, vm.has) = (room(), room());
+            (vm.room, vm.actual_room) = (room(), room());
         }
         self.list_vms();
     }
--- a/crates/schedule/tests/link_world/link.rs
+++ b/crates/schedule/tests/link_world/link.rs
@@ -267,7 +267,7 @@
     fn take_hold(&mut self, answer: Option<Answer>, now: Ms, events: &mut Vec<Event>) {
         let Some((_, requested_at, wait)) = self.hold.take() else { return };
         self.answered_at = answer.is_some().then_some(now);
-        if let Some(Answer::Held { life, clock, running, ended }) = answer {
+        if let Some(Answer::Held { incarnation: life, clock, running, ended }) = answer {
             if life != self.vm {
                 self.end_with(life, events);
                 return;
--- a/crates/schedule/tests/link_world/machines.rs
+++ b/crates/schedule/tests/link_world/machines.rs
@@ -16,7 +16,7 @@
         if vm.down_until.is_some() {
             return;
         }
-        if vm.way == Way::Unhealthy && message.answered {
+        if vm.path == PathState::Unhealthy && message.answered {
             self.answer(&message, Answer::Unhealthy);
             return;
         }
@@ -116,8 +116,8 @@
 
     pub(super) fn answer(&mut self, message: &Message, answer: Answer) {
         if message.answered {
-            let way = self.vms.values().find(|v| v.id.id() == message.vm.id()).map(|v| v.way);
-            let most = if way == Some(Way::Slow) { 300 } else { 30 };
+            let way = self.vms.values().find(|v| v.id.id() == message.vm.id()).map(|v| v.path);
+            let most = if way == Some(PathState::Slow) { 300 } else { 30 };
             let delay = self.rng.random_range(0..most);
             self.answers.push((self.now + delay, message.id, answer));
         }
@@ -139,8 +139,8 @@
         for name in names {
             self.start_again(&name);
             let Some(vm) = self.vms.get_mut(&name) else { continue };
-            if vm.way_until <= now {
-                vm.way = Way::Clear;
+            if vm.path_until <= now {
+                vm.path = PathState::Clear;
             }
             let over = vm.runs.iter().filter(|(_, r)| r.ends_at <= now);
             let over: Vec<(RunId, EndKind)> = over
@@ -200,7 +200,7 @@
     pub(super) fn new_vm(&mut self, name: &str, life: u32) -> SimVm {
         let speed = self.rng.random_range(980..=1_000);
         let mut vm = SimVm::new(self.life_of(name, life), life, room(), speed, self.now);
-        vm.guards_room = self.troubles.room_is_guarded;
+        vm.enforces_room = self.troubles.room_is_guarded;
         vm
     }
 
--- a/crates/schedule/tests/link_world/mod.rs
+++ b/crates/schedule/tests/link_world/mod.rs
@@ -26,7 +26,7 @@
 
 use self::link::Link;
 use self::twice::{Given, Runs};
-use self::vm::{Answer, Call, Run, SimVm, Way};
+use self::vm::{Answer, Call, Run, SimVm, PathState};
 use crate::common::{WALL, at, job, step, vm as vm_facts};
 
 const TICK: Ms = 10;
@@ -225,15 +225,15 @@
     /// Sends a call; what becomes of it depends on the way to its VM.
     fn send(&mut self, vm: &VmIncarnation, token: u64, call: Call) -> u64 {
         self.next_call += 1;
-        let way = self.vms.values().find(|v| v.id.id() == vm.id()).map_or(Way::Clear, |v| v.way);
-        let late = way == Way::Late && self.rng.random_bool(0.5);
+        let way = self.vms.values().find(|v| v.id.id() == vm.id()).map_or(PathState::Clear, |v| v.path);
+        let late = way == PathState::Late && self.rng.random_bool(0.5);
         let delay = match way {
             _ if late => self.rng.random_range(100..12_000),
-            Way::Slow => self.rng.random_range(0..300),
+            PathState::Slow => self.rng.random_range(0..300),
             _ => 0,
         };
-        let answered = !late && way != Way::AnswersLost;
-        if way != Way::Cut {
+        let answered = !late && way != PathState::AnswersLost;
+        if way != PathState::Cut {
             self.messages.push(Message {
                 id: self.next_call,
                 arrives: self.now + delay,
--- a/crates/schedule/tests/link_world/owner.rs
+++ b/crates/schedule/tests/link_world/owner.rs
@@ -246,7 +246,7 @@
 
     pub(super) fn facts(&self, name: &str) -> std::sync::Arc<VmFacts> {
         let vm = &self.vms[name];
-        let usual = vm_facts(name, vm.life);
+        let usual = vm_facts(name, vm.incarnation);
         let facts = VmFacts { id: vm.id.clone(), room: vm.room, ..usual.as_ref().clone() };
         std::sync::Arc::new(facts)
     }
--- a/crates/schedule/tests/link_world/vm.rs
+++ b/crates/schedule/tests/link_world/vm.rs
@@ -18,7 +18,7 @@
 pub enum Answer {
     Held {
         /// The life that answers.
-        life: VmIncarnation,
+        incarnation: VmIncarnation,
         clock: u64,
         running: Vec<RunId>,
         ended: Vec<RunEnd>,
@@ -45,7 +45,7 @@
 
 /// What calls to a VM meet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
+pub enum PathState {
     #[default]
     Clear,
     /// Nothing arrives.
@@ -63,16 +63,16 @@
 #[derive(Debug)]
 pub struct SimVm {
     pub id: VmIncarnation,
-    pub life: u32,
-    pub born: Ms,
+    pub incarnation: u32,
+    pub started_at: Ms,
     /// Its clock's speed, in thousandths.
     pub speed: u64,
     pub fence: u64,
     pub room: Room,
     /// It rejects what does not fit.
-    pub guards_room: bool,
+    pub enforces_room: bool,
     /// What it has by its own reckoning, which may be less than what it tells for a while.
-    pub has: Room,
+    pub actual_room: Room,
     pub runs: BTreeMap<TaskId, Run>,
     pub barred: BTreeMap<TaskId, u32>,
     /// Ends, each with the time from which it is listed.
@@ -82,8 +82,8 @@
     pub void_up_to: u64,
     /// Until when all is leased, by its clock.
     pub leased_until: u64,
-    pub way: Way,
-    pub way_until: Ms,
+    pub path: PathState,
+    pub path_until: Ms,
     /// It has crashed, and starts again then.
     pub down_until: Option<Ms>,
     pub listed: bool,
@@ -91,24 +91,24 @@
 }
 
 impl SimVm {
-    pub fn new(id: VmIncarnation, life: u32, room: Room, speed: u64, born: Ms) -> Self {
+    pub fn new(id: VmIncarnation, incarnation: u32, room: Room, speed: u64, started_at: Ms) -> Self {
         Self {
             id,
-            life,
-            born,
+            incarnation,
+            started_at,
             speed,
             fence: 0,
             room,
-            guards_room: false,
-            has: room,
+            enforces_room: false,
+            actual_room: room,
             runs: BTreeMap::new(),
             barred: BTreeMap::new(),
             ended: Vec::new(),
             next_end: 1,
             void_up_to: 0,
             leased_until: 0,
-            way: Way::Clear,
-            way_until: 0,
+            path: PathState::Clear,
+            path_until: 0,
             down_until: None,
             listed: true,
             listed_again_at: 0,
@@ -116,7 +116,7 @@
     }
 
     pub fn clock(&self, now: Ms) -> u64 {
-        now.saturating_sub(self.born) * self.speed / 1_000
+        now.saturating_sub(self.started_at) * self.speed / 1_000
     }
 
     pub fn renew(&mut self, deadline: u64, now: Ms) {
@@ -151,7 +151,7 @@
     pub fn held(&self, now: Ms) -> Answer {
         let running = self.runs.iter().map(|(&task, r)| RunId { task, attempt: r.attempt });
         Answer::Held {
-            life: self.id.clone(),
+            incarnation: self.id.clone(),
             clock: self.clock(now),
             running: running.collect(),
             ended: self.ended.clone(),
@@ -170,6 +170,6 @@
         if there.is_some() || self.barred.get(&run.task).is_some_and(|&b| run.attempt <= b) {
             return Some(Answer::Old);
         }
-        (self.guards_room && !self.has.fits(self.used().plus(demand))).then_some(Answer::NoRoom)
+        (self.enforces_room && !self.actual_room.fits(self.used().plus(demand))).then_some(Answer::NoRoom)
     }
 }
