--- a/crates/schedule/tests/crash_histories.rs
+++ b/crates/schedule/tests/crash_histories.rs
@@ -9,14 +9,14 @@
 
 const HISTORIES: u64 = 8;
 
-fn play(setting: Setting) -> Figures {
+fn run_histories(setting: Setting) -> Figures {
     let seeds = if std::env::var_os("THISTLE_LONG_RUN").is_some() { 1_000 } else { HISTORIES };
     let mut sum = Figures::default();
     for seed in 0..seeds {
-        let figures = History::new(seed, setting).play();
+        let figures = History::new(seed, setting).run();
         assert_eq!(figures.started_too_often, 0, "seed {seed} {setting:?}");
         // Beside others a suspect may meet the next crash by chance: that is why suspects are kept apart.
-        assert!(figures.given_up_wrongly == 0 || !setting.apart, "seed {seed} {setting:?}");
+        assert!(figures.failed_wrongly == 0 || !setting.suspects_apart, "seed {seed} {setting:?}");
         sum.add(figures);
     }
     println!("{setting:?} {seeds} histories: {sum:?}");
@@ -25,15 +25,15 @@
 
 #[test]
 fn guilty_tasks_stop_and_innocent_jobs_go_on() {
-    for guilty_percent in [0, 3, 20] {
-        let figures = play(Setting { guilty_percent, apart: true });
+    for faulty_percent in [0, 3, 20] {
+        let figures = run_histories(Setting { faulty_percent, suspects_apart: true });
         assert!(figures.unfinished == 0, "{figures:?}");
     }
 }
 
 #[test]
 fn keeping_suspects_apart_spares_others() {
-    let apart = play(Setting { guilty_percent: 20, apart: true });
-    let mixed = play(Setting { guilty_percent: 20, apart: false });
-    assert!(apart.lost_beside < mixed.lost_beside, "{apart:?} {mixed:?}");
+    let apart = run_histories(Setting { faulty_percent: 20, suspects_apart: true });
+    let mixed = run_histories(Setting { faulty_percent: 20, suspects_apart: false });
+    assert!(apart.lost_work_of_others < mixed.lost_work_of_others, "{apart:?} {mixed:?}");
 }
--- a/crates/schedule/tests/crashing_tasks.rs
+++ b/crates/schedule/tests/crashing_tasks.rs
@@ -36,7 +36,7 @@
 /// VMs that come back as their next incarnation, and a pool over them.
 struct Crashes {
     pool: Pool,
-    lives: BTreeMap<&'static str, u32>,
+    incarnations: BTreeMap<&'static str, u32>,
     now: Ms,
     phase: Phase,
 }
@@ -46,8 +46,8 @@
         let names = ["a", "b", "c"];
         let mut pool = pool_with(&names);
         pool.submit(JOB, job(steps), at(0));
-        let lives = names.map(|name| (name, 1)).into();
-        Self { pool, lives, now: 10, phase: Phase::Open }
+        let incarnations = names.map(|name| (name, 1)).into();
+        Self { pool, incarnations, now: 10, phase: Phase::Open }
     }
 
     /// Has each VM on which something starts crash at once; returns how often task 0 was started.
@@ -60,7 +60,7 @@
                 self.phase = progress.phase;
             }
             if change_owner && let Some((_, progress)) = records.into_iter().last() {
-                self.succeed(progress);
+                self.replace_owner(progress);
             }
             started += orders.iter().filter(|s| s.run.task.index == 0).count();
             orders.dedup_by_key(|start| start.vm.clone());
@@ -79,7 +79,7 @@
     }
 
     /// Has another owner take over that knows the record only.
-    fn succeed(&mut self, progress: Progress) {
+    fn replace_owner(&mut self, progress: Progress) {
         let mut log = JobLog::default();
         let version = Version { token: self.now, number: 1 };
         let record = encode_progress(version, &progress);
@@ -88,8 +88,8 @@
         let spec = Some(job(vec![step(1, 500)]));
         self.pool = Pool::new();
         self.pool.adopt(JOB, &JobEntry { spec, progress, ..JobEntry::default() }, at(self.now));
-        for (name, life) in &self.lives {
-            let facts = vm(name, *life);
+        for (name, number) in &self.incarnations {
+            let facts = vm(name, *number);
             self.pool.list_vm(facts.clone());
             // The VM on which it was started has crashed before it answered.
             if !self.pool.vms_with_runs().iter().any(|(id, _)| *id == facts.id) {
@@ -99,15 +99,15 @@
     }
 
     fn crash(&mut self, id: &thistle_schedule::VmIncarnation) {
-        let (&name, &life) = self
-            .lives
+        let (&name, &number) = self
+            .incarnations
             .iter()
             .find(|(name, life)| vm(name, **life).id == *id)
             .expect("orders go to VMs that are there");
         self.pool.set_reachable(id, false, at(self.now));
         self.now += AWAY_MS;
-        self.lives.insert(name, life + 1);
-        let next = vm(name, life + 1);
+        self.incarnations.insert(name, number + 1);
+        let next = vm(name, number + 1);
         self.pool.list_vm(next.clone());
         self.pool.vm_lost(id, VmLoss::Replaced, at(self.now));
         self.pool.unlist_vm(id);
@@ -130,10 +130,10 @@
     }
 }
 
-fn harm(crashes: &[(bool, bool)]) -> CrashHistory {
-    let mut harm = CrashHistory::default();
-    crashes.iter().for_each(|&(at_start, alone)| harm.add_crash(Crash { at_start, alone }));
-    harm
+fn crash_history(crashes: &[(bool, bool)]) -> CrashHistory {
+    let mut history = CrashHistory::default();
+    crashes.iter().for_each(|&(at_start, alone)| history.add_crash(Crash { at_start, alone }));
+    history
 }
 
 #[gtest]
@@ -153,26 +153,26 @@
         (&[(false, true); 5], Verdict::GivenUp),
     ];
     for (crashes, verdict) in cases {
-        expect_that!(harm(crashes).verdict(), eq(*verdict), "{crashes:?}");
+        expect_that!(crash_history(crashes).verdict(), eq(*verdict), "{crashes:?}");
     }
 }
 
 #[gtest]
 fn a_vm_that_fell_silent_counts_once_it_is_known_to_have_crashed() {
     let silent = |vm: &str| UnclearLoss { vm: vm.into(), name: "m".into(), at_ms: 1_000 };
-    let mut harm = harm(&[(false, false); 3]);
-    harm.add_unclear(silent("a"));
-    harm.add_unclear(silent("a"));
-    expect_that!(harm.verdict(), eq(Verdict::Suspect));
-    harm.add_unclear(silent("b"));
-    expect_that!(harm.verdict(), eq(Verdict::Held), "both may have crashed");
-    expect_that!(harm.resolve("a", false), eq(true));
-    expect_that!(harm.resolve("a", true), eq(false));
-    expect_that!(harm.verdict(), eq(Verdict::Suspect));
-    expect_that!(harm.overdue(30_999), is_empty());
-    expect_that!(harm.overdue(31_000), elements_are![eq("b")]);
-    harm.resolve("b", true);
-    expect_that!(harm.crashes, eq(4));
+    let mut history = crash_history(&[(false, false); 3]);
+    history.add_unclear(silent("a"));
+    history.add_unclear(silent("a"));
+    expect_that!(history.verdict(), eq(Verdict::Suspect));
+    history.add_unclear(silent("b"));
+    expect_that!(history.verdict(), eq(Verdict::Held), "both may have crashed");
+    expect_that!(history.resolve("a", false), eq(true));
+    expect_that!(history.resolve("a", true), eq(false));
+    expect_that!(history.verdict(), eq(Verdict::Suspect));
+    expect_that!(history.overdue(30_999), is_empty());
+    expect_that!(history.overdue(31_000), elements_are![eq("b")]);
+    history.resolve("b", true);
+    expect_that!(history.crashes, eq(4));
 }
 
 #[gtest]
@@ -180,7 +180,7 @@
     let version = Version { token: 3, number: 1 };
     let without = Progress { begun: true, ..Progress::default() };
     let record =
-        CrashHistoryRecord { time: 0, step: 1, index: 2, crash_history: harm(&[(true, false)]) };
+        CrashHistoryRecord { time: 0, step: 1, index: 2, crash_history: crash_history(&[(true, false)]) };
     let with = Progress { crash_histories: vec![record], ..without.clone() };
     for progress in [without, with] {
         let mut log = JobLog::default();
@@ -205,8 +205,8 @@
     pool.list_vm(vm(&started[0].vm.id()[2..3], 2));
     pool.vm_lost(&started[0].vm, VmLoss::Replaced, at(3_000));
     pool.unlist_vm(&started[0].vm);
-    let reborn = vm(&started[0].vm.id()[2..3], 2);
-    pool.apply_report(&reborn.id, &VmReport::default(), at(3_010));
+    let restarted = vm(&started[0].vm.id()[2..3], 2);
+    pool.apply_report(&restarted.id, &VmReport::default(), at(3_010));
     // Both began right before the crash: either may have done it. Of two VMs one may be held by a suspect.
     expect_that!(plan_and_start(&mut pool, 3_020), is_empty(), "there is a pause first");
     let again = plan_and_start(&mut pool, 3_300);
@@ -257,18 +257,18 @@
     let rows = vec![common::row(first[0].run, 10)];
     pool.apply_report(vm_id, &common::report(12, rows, vec![]), at(500));
     pool.vm_lost(vm_id, VmLoss::Replaced, at(1_000));
-    expect_that!(pool.crash_history_of(task).map(|harm| harm.crashes), some(eq(1)));
+    expect_that!(pool.crash_history_of(task).map(|history| history.crashes), some(eq(1)));
 
     // One that answers what it is asked when it is off the list is leaving.
     let second = plan_and_start(&mut pool, 1_100);
     let vm_id = &second[0].vm;
     pool.unlist_vm(vm_id);
-    for asked_at in [1_110, 1_700] {
+    for requested_at in [1_110, 1_700] {
         let rows = vec![common::row(second[0].run, 10)];
-        pool.apply_report(vm_id, &common::report(asked_at, rows, vec![]), at(asked_at + 400));
+        pool.apply_report(vm_id, &common::report(requested_at, rows, vec![]), at(requested_at + 400));
     }
     pool.vm_lost(vm_id, VmLoss::Replaced, at(3_000));
-    expect_that!(pool.crash_history_of(task).map(|harm| harm.crashes), some(eq(1)));
+    expect_that!(pool.crash_history_of(task).map(|history| history.crashes), some(eq(1)));
 }
 
 /// By reading: the answer to a start and the end of its VM's connections are heard of by different tasks, so that the end may
@@ -282,8 +282,8 @@
     pool.set_reachable(&start.vm, false, at(20));
     pool.apply_start_result(&start.vm, start.run, StartResult::Started, at(21));
     pool.vm_lost(&start.vm, VmLoss::Replaced, at(3_000));
-    let harm = pool.crash_history_of(start.run.task).cloned().unwrap_or_default();
-    expect_that!((harm.crashes, harm.alone), eq((1, 1)));
+    let history = pool.crash_history_of(start.run.task).cloned().unwrap_or_default();
+    expect_that!((history.crashes, history.alone), eq((1, 1)));
 }
 
 /// Tasks that crash their VMs queued for a pool of three or four VMs, and a booking beside them did not start for 3 s. Why: each suspect runs
--- a/crates/schedule/tests/histories/machine.rs
+++ b/crates/schedule/tests/histories/machine.rs
@@ -33,15 +33,15 @@
 pub struct Machine {
     name: String,
     rack: usize,
-    life: u32,
+    incarnation: u32,
     pub state: State,
     pub cut_until: Ms,
     /// It went down without closing its connections.
-    pub dark: bool,
+    pub unresponsive: bool,
     /// When it last answered its owner, or that owner took over.
-    pub heard: Ms,
+    pub last_contact: Ms,
     /// Its owner has given up what ran there.
-    pub given_up: bool,
+    pub is_lost: bool,
     pub crashed_by_task: bool,
     runs: BTreeMap<TaskId, Run>,
     pub ended: Vec<Ended>,
@@ -53,12 +53,12 @@
         Self {
             name: format!("m{number}"),
             rack,
-            life: 1,
+            incarnation: 1,
             state: State::Up,
             cut_until: 0,
-            dark: false,
-            heard: 0,
-            given_up: false,
+            unresponsive: false,
+            last_contact: 0,
+            is_lost: false,
             crashed_by_task: false,
             runs: BTreeMap::new(),
             ended: Vec::new(),
@@ -70,22 +70,22 @@
         let room = Room { cpu: 16_000, mem_mb: 32_000, gpu: 0 };
         let draining = matches!(self.state, State::Leaving(_));
         let rack = format!("r{}", self.rack).into();
-        Arc::new(VmFacts { room, draining, rack, ..vm(&self.name, self.life).as_ref().clone() })
+        Arc::new(VmFacts { room, draining, rack, ..vm(&self.name, self.incarnation).as_ref().clone() })
     }
 
     /// Returns whether its entry stands, also for a while after it has gone.
     pub fn is_listed(&self, now: Ms) -> bool {
-        self.state == State::Up || now < self.heard + 4_500
+        self.state == State::Up || now < self.last_contact + 4_500
     }
 
     pub fn answers(&self, now: Ms) -> bool {
         !matches!(self.state, State::Down(_)) && now >= self.cut_until
     }
 
-    pub fn crash(&mut self, now: Ms, away: Ms, dark: bool) {
+    pub fn crash(&mut self, now: Ms, away: Ms, unresponsive: bool) {
         if !matches!(self.state, State::Down(_)) {
             self.state = State::Down(now + away);
-            self.dark = dark;
+            self.unresponsive = unresponsive;
             self.runs.clear();
             self.ended.clear();
         }
@@ -98,16 +98,16 @@
     }
 
     /// Comes up as another incarnation if it is time to.
-    pub fn come_back(&mut self, now: Ms) -> bool {
+    pub fn restart_if_due(&mut self, now: Ms) -> bool {
         if matches!(self.state, State::Leaving(until) if now >= until) {
             self.crash(now, 1_500, false);
         }
         if !matches!(self.state, State::Down(until) if now >= until) {
             return false;
         }
-        self.life += 1;
-        (self.state, self.heard, self.given_up) = (State::Up, now, false);
-        (self.crashed_by_task, self.dark, self.sequence) = (false, false, 0);
+        self.incarnation += 1;
+        (self.state, self.last_contact, self.is_lost) = (State::Up, now, false);
+        (self.crashed_by_task, self.unresponsive, self.sequence) = (false, false, 0);
         true
     }
 
@@ -120,7 +120,7 @@
 
     /// Ends what is done, and everything once the lease is over.
     pub fn end_runs(&mut self, now: Ms) {
-        if self.cut_until > now && now >= self.heard + LEASE {
+        if self.cut_until > now && now >= self.last_contact + LEASE {
             let lapsed: Vec<TaskId> = self.runs.keys().copied().collect();
             lapsed.into_iter().for_each(|task| self.end(task, EndKind::Lapsed));
         }
--- a/crates/schedule/tests/histories/mod.rs
+++ b/crates/schedule/tests/histories/mod.rs
@@ -17,9 +17,9 @@
 use machine::{Ended, Machine, State};
 
 /// Simulated milliseconds of one turn.
-const TURN: Ms = 50;
+const TICK: Ms = 50;
 /// Jobs come and things fail until then.
-const CALM_AT: Ms = 30_000;
+const FAULT_FREE_AT: Ms = 30_000;
 /// Then everything must come to an end.
 const END: Ms = 75_000;
 const VMS: usize = 12;
@@ -33,9 +33,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Setting {
     /// Jobs in a hundred that have a task that crashes its VMs.
-    pub guilty_percent: u32,
+    pub faulty_percent: u32,
     /// Suspects are kept apart.
-    pub apart: bool,
+    pub suspects_apart: bool,
 }
 
 /// What came of a history, or of many.
@@ -44,30 +44,30 @@
     /// Guilty tasks that were started more than twice after their third crash.
     pub started_too_often: u32,
     /// Jobs without a guilty task that were shown as failed.
-    pub given_up_wrongly: u32,
+    pub failed_wrongly: u32,
     /// Jobs without a guilty task that were not done at the end.
     pub unfinished: u32,
     /// Crashes by guilty tasks.
     pub crashes: u32,
     /// Most VMs that guilty tasks held down at once.
-    pub most_down: usize,
+    pub max_down: usize,
     /// Core-milliseconds of others that went with those VMs.
-    pub lost_beside: u64,
+    pub lost_work_of_others: u64,
     /// Jobs without a guilty task that were done, and their milliseconds from acceptance.
     pub done: u32,
-    pub took: u64,
+    pub total_ms: u64,
 }
 
 impl Figures {
     pub fn add(&mut self, other: Self) {
         self.started_too_often += other.started_too_often;
-        self.given_up_wrongly += other.given_up_wrongly;
+        self.failed_wrongly += other.failed_wrongly;
         self.unfinished += other.unfinished;
         self.crashes += other.crashes;
-        self.most_down = self.most_down.max(other.most_down);
-        self.lost_beside += other.lost_beside;
+        self.max_down = self.max_down.max(other.max_down);
+        self.lost_work_of_others += other.lost_work_of_others;
         self.done += other.done;
-        self.took += other.took;
+        self.total_ms += other.total_ms;
     }
 }
 
@@ -80,14 +80,14 @@
     pool: Pool,
     log: JobLog,
     token: u64,
-    written: u64,
+    records_written: u64,
     steps: BTreeMap<JobId, Vec<Step>>,
     accepted: BTreeMap<JobId, Ms>,
-    guilty: BTreeSet<TaskId>,
+    faulty_tasks: BTreeSet<TaskId>,
     /// How often VMs crashed under a guilty task, and how often it was started since the third time.
-    crashed: BTreeMap<TaskId, (u32, u32)>,
+    crash_counts: BTreeMap<TaskId, (u32, u32)>,
     /// Lasting jobs, and when their callers cancel them.
-    ends: BTreeMap<JobId, Ms>,
+    cancel_times: BTreeMap<JobId, Ms>,
     settled: BTreeSet<JobId>,
     /// VMs that are gone and on which a new owner knows of runs, and when their lease is surely over.
     orphans: BTreeMap<VmIncarnation, Ms>,
@@ -105,12 +105,12 @@
             pool: Pool::new(),
             log: JobLog::default(),
             token: 0,
-            written: 0,
+            records_written: 0,
             steps: BTreeMap::new(),
             accepted: BTreeMap::new(),
-            guilty: BTreeSet::new(),
-            crashed: BTreeMap::new(),
-            ends: BTreeMap::new(),
+            faulty_tasks: BTreeSet::new(),
+            crash_counts: BTreeMap::new(),
+            cancel_times: BTreeMap::new(),
             settled: BTreeSet::new(),
             orphans: BTreeMap::new(),
             figures: Figures::default(),
@@ -119,27 +119,27 @@
         history
     }
 
-    pub fn play(mut self) -> Figures {
+    pub fn run(mut self) -> Figures {
         while self.now < END {
-            self.now += TURN;
-            if self.now < CALM_AT {
-                self.submit_some();
-                self.trouble();
+            self.now += TICK;
+            if self.now < FAULT_FREE_AT {
+                self.submit_jobs();
+                self.inject_faults();
             }
             self.cancel_lasting();
-            self.move_machines();
+            self.advance_machines();
             self.report();
-            self.give_up_orphans();
+            self.expire_orphans();
             self.plan();
         }
         for id in self.steps.keys() {
-            let innocent = !self.guilty.iter().any(|task| task.job == *id);
-            self.figures.unfinished += u32::from(innocent && !self.settled.contains(id));
+            let is_sound = !self.faulty_tasks.iter().any(|task| task.job == *id);
+            self.figures.unfinished += u32::from(is_sound && !self.settled.contains(id));
         }
         self.figures
     }
 
-    fn submit_some(&mut self) {
+    fn submit_jobs(&mut self) {
         if !self.rng.random_bool(0.1) {
             return;
         }
@@ -153,12 +153,12 @@
             }
             (false, false) => vec![step(width, 900)],
         };
-        if self.rng.random_range(0..100) < self.setting.guilty_percent {
+        if self.rng.random_range(0..100) < self.setting.faulty_percent {
             let index = self.rng.random_range(0..steps[0].count);
-            self.guilty.insert(TaskId { job: id, time: 0, step: 0, index });
+            self.faulty_tasks.insert(TaskId { job: id, time: 0, step: 0, index });
         }
         if lasts {
-            self.ends.insert(id, self.now + self.rng.random_range(10_000..40_000));
+            self.cancel_times.insert(id, self.now + self.rng.random_range(10_000..40_000));
         }
         let spec =
             JobSpec { accepted_ms: at(self.now).wall, ..job(steps.clone()).as_ref().clone() };
@@ -172,9 +172,9 @@
 
     fn cancel_lasting(&mut self) {
         let over: Vec<JobId> =
-            self.ends.iter().filter(|(_, end)| **end <= self.now).map(|(&id, _)| id).collect();
+            self.cancel_times.iter().filter(|(_, end)| **end <= self.now).map(|(&id, _)| id).collect();
         for id in over {
-            self.ends.remove(&id);
+            self.cancel_times.remove(&id);
             self.settled.insert(id);
             self.pool.cancel(id, at(self.now));
         }
@@ -184,13 +184,13 @@
     fn replace_owner(&mut self) {
         self.token += 1;
         let mut policy = Policy::default();
-        policy.tasks.keep_suspects_apart = self.setting.apart;
+        policy.tasks.keep_suspects_apart = self.setting.suspects_apart;
         self.pool = Pool::with_policy(policy);
         for (id, entry) in self.log.iter().filter(|(id, _)| !self.settled.contains(id)) {
             self.pool.adopt(id, entry, at(self.now));
         }
         for machine in &mut self.machines {
-            machine.heard = self.now;
+            machine.last_contact = self.now;
             if machine.is_listed(self.now) {
                 self.pool.list_vm(machine.facts());
             }
@@ -198,7 +198,7 @@
         self.pool.set_listing_is_complete(true);
     }
 
-    fn trouble(&mut self) {
+    fn inject_faults(&mut self) {
         let i = self.rng.random_range(0..VMS);
         match self.rng.random_range(0..1_000) {
             0..2 => self.crash(i, AWAY),
@@ -219,10 +219,10 @@
     }
 
     /// Brings VMs up again and ends what is done or over.
-    fn move_machines(&mut self) {
+    fn advance_machines(&mut self) {
         for i in 0..VMS {
             let before = self.machines[i].facts().id.clone();
-            if self.machines[i].come_back(self.now) {
+            if self.machines[i].restart_if_due(self.now) {
                 let facts = self.machines[i].facts();
                 self.pool.list_vm(facts);
                 self.pool.vm_lost(&before, VmLoss::Replaced, at(self.now));
@@ -232,7 +232,7 @@
         }
         let down =
             self.machines.iter().filter(|m| m.crashed_by_task && m.state != State::Up).count();
-        self.figures.most_down = self.figures.most_down.max(down);
+        self.figures.max_down = self.figures.max_down.max(down);
     }
 
     fn report(&mut self) {
@@ -241,23 +241,23 @@
             let id = machine.facts().id.clone();
             if !machine.answers(now) {
                 // A closed connection is heard of at once, silence after a while.
-                if !machine.dark || now >= machine.heard + 600 {
+                if !machine.unresponsive || now >= machine.last_contact + 600 {
                     self.pool.set_reachable(&id, false, at(now));
                 }
-                if now >= machine.heard + LEASE && !machine.given_up {
-                    machine.given_up = true;
+                if now >= machine.last_contact + LEASE && !machine.is_lost {
+                    machine.is_lost = true;
                     self.pool.vm_lost(&id, VmLoss::LeaseOver, at(now));
                 }
                 continue;
             }
-            machine.heard = now;
-            machine.given_up = false;
+            machine.last_contact = now;
+            machine.is_lost = false;
             self.pool.set_reachable(&id, true, at(now));
             self.pool.apply_report(&id, &machine.report(now), at(now));
         }
     }
 
-    fn give_up_orphans(&mut self) {
+    fn expire_orphans(&mut self) {
         let there: Vec<VmIncarnation> =
             self.machines.iter().map(|m| m.facts().id.clone()).collect();
         for id in self.pool.unlisted_with_runs().into_iter().filter(|id| !there.contains(id)) {
@@ -272,12 +272,12 @@
     fn plan(&mut self) {
         let orders = self.pool.plan(at(self.now));
         for (id, progress) in self.pool.take_records() {
-            self.written += 1;
-            let version = Version { token: self.token, number: self.written };
+            self.records_written += 1;
+            let version = Version { token: self.token, number: self.records_written };
             let record = encode_progress(version, &progress);
             assert!(self.log.apply(&progress_key(id), Some(&record)).is_ok());
             if progress.phase != Phase::Open && self.settled.insert(id) {
-                self.note_settled(id, progress.phase);
+                self.record_settled(id, progress.phase);
             }
         }
         for (id, sequence) in self.pool.take_acks() {
@@ -299,16 +299,16 @@
         }
     }
 
-    fn note_settled(&mut self, id: JobId, phase: Phase) {
-        if self.guilty.iter().any(|task| task.job == id) {
+    fn record_settled(&mut self, id: JobId, phase: Phase) {
+        if self.faulty_tasks.iter().any(|task| task.job == id) {
             return;
         }
         match phase {
             Phase::Completed => {
                 self.figures.done += 1;
-                self.figures.took += self.now - self.accepted[&id];
+                self.figures.total_ms += self.now - self.accepted[&id];
             }
-            Phase::Failed => self.figures.given_up_wrongly += 1,
+            Phase::Failed => self.figures.failed_wrongly += 1,
             Phase::Open | Phase::Cancelled => (),
         }
     }
@@ -326,16 +326,16 @@
         let lasts = if shape.lasting { Ms::MAX } else { self.rng.random_range(300..1_500) };
         let machine = &mut self.machines[i];
         machine.start(start.run, shape, now, now.saturating_add(lasts));
-        if !self.guilty.contains(&task) {
+        if !self.faulty_tasks.contains(&task) {
             self.pool.apply_start_result(&start.vm, start.run, StartResult::Started, at(now));
             return;
         }
-        let (crashes, since) = self.crashed.entry(task).or_default();
+        let (crashes, since) = self.crash_counts.entry(task).or_default();
         *since += u32::from(*crashes >= 3);
         self.figures.started_too_often += u32::from(*since > 2);
         *crashes += 1;
         self.figures.crashes += 1;
-        self.figures.lost_beside += machine.work_of_others(task, now);
+        self.figures.lost_work_of_others += machine.work_of_others(task, now);
         self.crash(i, AWAY);
         self.machines[i].crashed_by_task = true;
     }
--- a/crates/schedule/tests/incarnations.rs
+++ b/crates/schedule/tests/incarnations.rs
@@ -12,12 +12,12 @@
 use thistle_schedule::{EndKind, Ms, Phase, Pool, VmFacts, VmIncarnation, VmReport};
 
 /// A task under which a VM has crashed is started again by then.
-const AFTER_A_CRASH: Ms = 1_000;
+const AFTER_CRASH_PAUSE: Ms = 1_000;
 
 /// Returns a VM in the life that started then.
-fn listed(name: &str, born: u64) -> Arc<VmFacts> {
+fn listed(name: &str, started_at: u64) -> Arc<VmFacts> {
     let facts = vm(name, 1);
-    let id = VmIncarnation::new(facts.id.id().clone(), Some(born));
+    let id = VmIncarnation::new(facts.id.id().clone(), Some(started_at));
     Arc::new(VmFacts { id, ..VmFacts::clone(&facts) })
 }
 
@@ -32,26 +32,26 @@
 
 #[gtest]
 fn a_life_is_read_as_it_is_written_and_an_id_alone_is_one_of_unknown_start() {
-    for life in
+    for incarnation in
         [VmIncarnation::new("i-7f3a", Some(1_796_283_012_152)), VmIncarnation::new("i-7f3a", None)]
     {
-        expect_that!(VmIncarnation::from(life.to_string().as_str()), eq(&life));
+        expect_that!(VmIncarnation::from(incarnation.to_string().as_str()), eq(&incarnation));
     }
     expect_that!(VmIncarnation::from("i@x").id().as_ref(), eq("i@x"));
 }
 
 #[gtest]
 fn a_run_that_was_listed_ends_with_the_life_of_its_vm() {
-    let (mut pool, former, life) = pool_of_one();
+    let (mut pool, previous, next) = pool_of_one();
     pool.submit(JOB, job(vec![step(1, 700)]), at(0));
     let run = starts(&pool.plan(at(10)))[0].run;
-    pool.apply_start_result(&former, run, StartResult::Started, at(20));
-    pool.apply_report(&former, &report(30, vec![row(run, 10)], vec![]), at(30));
-    let lost = pool.vm_restarted(&former, &life, at(40));
+    pool.apply_start_result(&previous, run, StartResult::Started, at(20));
+    pool.apply_report(&previous, &report(30, vec![row(run, 10)], vec![]), at(30));
+    let lost = pool.vm_restarted(&previous, &next, at(40));
     expect_that!((lost.len(), lost[0].may_exist), eq((1, false)));
     pool.list_vm(listed("a", 2_000));
-    pool.apply_report(&life, &VmReport::default(), at(50));
-    expect_that!(starts(&pool.plan(at(AFTER_A_CRASH))).len(), eq(1));
+    pool.apply_report(&next, &VmReport::default(), at(50));
+    expect_that!(starts(&pool.plan(at(AFTER_CRASH_PAUSE))).len(), eq(1));
 }
 
 /// Its start had no answer, or no list has shown in which life it was carried out.
@@ -60,18 +60,18 @@
     let answers =
         [None, Some(StartResult::Started), Some(StartResult::StartedWithCopies)].into_iter();
     for (answer, is_done) in answers.zip([true, false, true]) {
-        let (mut pool, former, life) = pool_of_one();
+        let (mut pool, previous, next) = pool_of_one();
         pool.submit(JOB, job(vec![step(1, 700)]), at(0));
         let run = starts(&pool.plan(at(10)))[0].run;
         if let Some(answer) = answer {
-            pool.apply_start_result(&former, run, answer, at(20));
+            pool.apply_start_result(&previous, run, answer, at(20));
         }
-        expect_that!(pool.vm_restarted(&former, &life, at(40))[0].may_exist, eq(true));
+        expect_that!(pool.vm_restarted(&previous, &next, at(40))[0].may_exist, eq(true));
         pool.list_vm(listed("a", 2_000));
         expect_that!(starts(&pool.plan(at(50))), is_empty());
         let ended = is_done.then(|| end(1, run, EndKind::Done));
-        pool.apply_report(&life, &report(60, vec![], ended.into_iter().collect()), at(60));
-        let again = starts(&pool.plan(at(AFTER_A_CRASH))).len();
+        pool.apply_report(&next, &report(60, vec![], ended.into_iter().collect()), at(60));
+        let again = starts(&pool.plan(at(AFTER_CRASH_PAUSE))).len();
         expect_that!(again, eq(usize::from(!is_done)), "{answer:?}");
     }
 }
@@ -98,7 +98,7 @@
 /// The clock of the VM was set back, so that the life in the record tells the later start.
 #[gtest]
 fn the_answer_of_the_listed_life_ends_one_that_a_record_names() {
-    let (mut before, former, _) = pool_of_one();
+    let (mut before, previous, _) = pool_of_one();
     let spec = job(vec![step(1, 700)]);
     before.submit(JOB, spec.clone(), at(0));
     let run = starts(&before.plan(at(10)))[0].run;
@@ -107,7 +107,7 @@
     let mut after = Pool::new();
     after.adopt(JOB, &JobEntry { spec: Some(spec), progress, ..JobEntry::default() }, at(100));
     let facts = listed("a", 500);
-    expect_that!(facts.id.is_other_incarnation_of(&former), eq(true));
+    expect_that!(facts.id.is_other_incarnation_of(&previous), eq(true));
     after.list_vm(facts.clone());
     let ended = vec![end(1, run, EndKind::Done)];
     after.apply_report(&facts.id, &report(110, vec![], ended), at(110));
--- a/crates/schedule/tests/late_ends.rs
+++ b/crates/schedule/tests/late_ends.rs
@@ -13,7 +13,7 @@
 use thistle_schedule::{EndKind, Phase, Pool, Step, VmLoss};
 
 /// Returns a pool whose only VM was lost with the one task of a job, and the start of that task.
-fn given_up(step: Step) -> (Pool, StartOrder) {
+fn pool_after_loss(step: Step) -> (Pool, StartOrder) {
     let mut pool = pool_with(&["a"]);
     pool.submit(JOB, job(vec![step]), at(0));
     let start = start_of_only(&plan_and_start(&mut pool, 10));
@@ -29,7 +29,7 @@
 
 #[gtest]
 fn a_task_that_waits_is_done_by_the_end_of_its_last_run() {
-    let (mut pool, start) = given_up(step(1, 500));
+    let (mut pool, start) = pool_after_loss(step(1, 500));
     let ended = vec![end(1, start.run, EndKind::Done)];
     pool.apply_report(&start.vm, &report(7_100, vec![], ended), at(7_110));
     expect_that!(starts(&pool.plan(at(7_120))), is_empty());
@@ -38,7 +38,7 @@
 
 #[gtest]
 fn a_task_that_was_started_elsewhere_goes_on_there() {
-    let (mut pool, start) = given_up(step(1, 500));
+    let (mut pool, start) = pool_after_loss(step(1, 500));
     let other = vm("b", 1);
     pool.list_vm(other.clone());
     pool.apply_report(&other.id, &report(7_020, vec![], vec![]), at(7_030));
@@ -58,7 +58,7 @@
         (EndKind::Done, Step { lasting: true, ..step(1, 500) }),
         (EndKind::Done, Step { gang: true, ..step(1, 500) }),
     ] {
-        let (mut pool, start) = given_up(step);
+        let (mut pool, start) = pool_after_loss(step);
         pool.apply_report(
             &start.vm,
             &report(7_100, vec![], vec![end(1, start.run, kind)]),
--- a/crates/schedule/tests/link_world/link.rs
+++ b/crates/schedule/tests/link_world/link.rs
@@ -8,38 +8,38 @@
 use super::{Event, LEASE};
 
 const RETRY: Ms = 200;
-const AT_ONCE: usize = 2;
-const LEAST_PATIENCE: Ms = 80;
-const MOST_PATIENCE: Ms = 600;
+const MAX_IN_FLIGHT: usize = 2;
+const MIN_TIMEOUT: Ms = 80;
+const MAX_TIMEOUT: Ms = 600;
 const ACK_WAIT: Ms = 500;
 /// A VM takes at least so long to start again.
-const IN_ITS_LIFE: Ms = 50;
+const MIN_RESTART_TIME: Ms = 50;
 
 /// A call under way.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     call: u64,
-    given_up_at: Ms,
+    times_out_at: Ms,
 }
 
 #[derive(Debug)]
 struct Start {
     order: StartOrder,
     /// How often the lease had run out when it was ordered.
-    lapses: u32,
+    losses: u32,
     deadline: Option<u64>,
-    may_be_there: bool,
-    called_off: bool,
+    may_have_started: bool,
+    cancelled: bool,
     pending: Option<Pending>,
-    again_at: Ms,
+    retry_at: Ms,
 }
 
 #[derive(Debug)]
 struct Stop {
     run: RunId,
-    lapses: u32,
+    losses: u32,
     pending: Option<Pending>,
-    again_at: Ms,
+    retry_at: Ms,
 }
 
 #[derive(Debug)]
@@ -51,9 +51,9 @@
     pub acked: u64,
     pub wait: Ms,
     /// How often all that ran there was given up.
-    pub lapses: u32,
+    pub losses: u32,
     /// How many of these the owner has taken in.
-    pub losses_taken: u32,
+    pub losses_applied: u32,
     lease: TaskLease,
     reachable: bool,
     lost: bool,
@@ -61,10 +61,10 @@
     unanswered: u32,
     /// The question under way, when it was asked, and how long its answer may wait.
     hold: Option<(Pending, Ms, Ms)>,
-    ask_at: Ms,
+    query_at: Ms,
     /// Ends up to this number are to be acknowledged before the next question, but for this time.
-    settle: Option<(u64, Ms)>,
-    pub over: bool,
+    awaited_ack: Option<(u64, Ms)>,
+    pub closed: bool,
     starts: Vec<Start>,
     stops: Vec<Stop>,
 }
@@ -77,49 +77,49 @@
             answered_at: None,
             acked: 0,
             wait: 500,
-            lapses: 0,
-            losses_taken: 0,
+            losses: 0,
+            losses_applied: 0,
             lease: TaskLease::new(LEASE, now),
             reachable: true,
             lost: false,
             next_wait: 0,
             unanswered: 0,
             hold: None,
-            ask_at: now,
-            settle: None,
-            over: false,
+            query_at: now,
+            awaited_ack: None,
+            closed: false,
             starts: Vec::new(),
             stops: Vec::new(),
         }
     }
 
     pub fn start(&mut self, order: StartOrder) {
-        let lapses = self.lapses;
+        let losses = self.losses;
         self.starts.push(Start {
             order,
-            lapses,
+            losses,
             deadline: None,
-            may_be_there: false,
-            called_off: false,
+            may_have_started: false,
+            cancelled: false,
             pending: None,
-            again_at: 0,
+            retry_at: 0,
         });
     }
 
     pub fn stop(&mut self, run: RunId) {
         for start in self.starts.iter_mut().filter(|s| s.order.run == run) {
-            start.called_off = true;
+            start.cancelled = true;
         }
-        let lapses = self.lapses;
-        self.stops.push(Stop { run, lapses, pending: None, again_at: 0 });
+        let losses = self.losses;
+        self.stops.push(Stop { run, losses, pending: None, retry_at: 0 });
     }
 
-    fn patience(&self) -> Ms {
-        (LEAST_PATIENCE << self.unanswered.min(4)).min(MOST_PATIENCE)
+    fn timeout(&self) -> Ms {
+        (MIN_TIMEOUT << self.unanswered.min(4)).min(MAX_TIMEOUT)
     }
 
     fn pending(&self, call: u64, now: Ms) -> Pending {
-        Pending { call, given_up_at: now + self.patience() }
+        Pending { call, times_out_at: now + self.timeout() }
     }
 
     /// Sends what is due.
@@ -129,23 +129,23 @@
         events: &mut Vec<Event>,
         send: &mut dyn FnMut(Call) -> u64,
     ) {
-        self.give_up_calls(now, events);
-        if self.over {
+        self.time_out_calls(now, events);
+        if self.closed {
             return;
         }
-        self.ask(now, send);
-        let lapses = self.lapses;
-        self.stops.retain(|stop| stop.pending.is_some() || stop.lapses == lapses);
-        self.starts.retain(|start| start.pending.is_some() || start.lapses == lapses);
-        let given_up_at = now + self.patience();
-        for stop in self.stops.iter_mut().take(AT_ONCE) {
-            if stop.pending.is_none() && stop.again_at <= now {
+        self.query(now, send);
+        let losses = self.losses;
+        self.stops.retain(|stop| stop.pending.is_some() || stop.losses == losses);
+        self.starts.retain(|start| start.pending.is_some() || start.losses == losses);
+        let times_out_at = now + self.timeout();
+        for stop in self.stops.iter_mut().take(MAX_IN_FLIGHT) {
+            if stop.pending.is_none() && stop.retry_at <= now {
                 let call = send(Call::Stop { run: stop.run });
-                stop.pending = Some(Pending { call, given_up_at });
+                stop.pending = Some(Pending { call, times_out_at });
             }
         }
         let mut i = 0;
-        while i < self.starts.len().min(AT_ONCE) {
+        while i < self.starts.len().min(MAX_IN_FLIGHT) {
             if self.send_start(i, now, events, send) {
                 i += 1;
             }
@@ -161,12 +161,12 @@
         send: &mut dyn FnMut(Call) -> u64,
     ) -> bool {
         let start = &mut self.starts[i];
-        if start.pending.is_some() || start.again_at > now {
+        if start.pending.is_some() || start.retry_at > now {
             return true;
         }
         let run = start.order.run;
-        if start.called_off {
-            if !start.may_be_there {
+        if start.cancelled {
+            if !start.may_have_started {
                 events.push(Event::Started(self.vm.clone(), run, StartResult::NotTaken));
             }
             self.starts.remove(i);
@@ -178,8 +178,8 @@
             return false;
         };
         start.deadline = Some(deadline);
-        if start.may_be_there && self.lease.is_unresponsive() {
-            start.again_at = now + RETRY;
+        if start.may_have_started && self.lease.is_unresponsive() {
+            start.retry_at = now + RETRY;
             return true;
         }
         let call = send(Call::Start { order: start.order.clone(), deadline });
@@ -188,43 +188,43 @@
         true
     }
 
-    fn ask(&mut self, now: Ms, send: &mut dyn FnMut(Call) -> u64) {
-        if let Some((last, until)) = self.settle {
+    fn query(&mut self, now: Ms, send: &mut dyn FnMut(Call) -> u64) {
+        if let Some((last, until)) = self.awaited_ack {
             if self.acked < last && now < until {
                 return;
             }
-            self.settle = None;
+            self.awaited_ack = None;
             if self.acked < last {
-                (self.ask_at, self.next_wait) = (now + ACK_WAIT, 0);
+                (self.query_at, self.next_wait) = (now + ACK_WAIT, 0);
             }
         }
-        if self.hold.is_some() || now < self.ask_at {
+        if self.hold.is_some() || now < self.query_at {
             return;
         }
         let deadline = self.lease.grant(now);
         let wait = self.next_wait;
-        let in_its_life = self.answered_at.is_some_and(|at| now <= at + IN_ITS_LIFE);
-        let last_seen = if in_its_life { self.acked } else { 0 };
+        let same_incarnation = self.answered_at.is_some_and(|at| now <= at + MIN_RESTART_TIME);
+        let last_seen = if same_incarnation { self.acked } else { 0 };
         let wait = if last_seen < self.acked { 0 } else { wait };
         let call = send(Call::Hold { deadline, last_seen, wait });
-        let given_up_at = now + wait + self.patience();
-        self.hold = Some((Pending { call, given_up_at }, now, wait));
+        let times_out_at = now + wait + self.timeout();
+        self.hold = Some((Pending { call, times_out_at }, now, wait));
         self.next_wait = if deadline.is_some() { self.wait } else { 0 };
     }
 
-    fn give_up_calls(&mut self, now: Ms, events: &mut Vec<Event>) {
-        let late = |p: &Pending| p.given_up_at <= now;
+    fn time_out_calls(&mut self, now: Ms, events: &mut Vec<Event>) {
+        let timed_out = |p: &Pending| p.times_out_at <= now;
         let mut calls: Vec<u64> =
-            self.hold.iter().map(|(p, ..)| p).filter(|p| late(p)).map(|p| p.call).collect();
-        calls.extend(self.starts.iter().filter_map(|s| s.pending).filter(late).map(|p| p.call));
-        calls.extend(self.stops.iter().filter_map(|s| s.pending).filter(late).map(|p| p.call));
+            self.hold.iter().map(|(p, ..)| p).filter(|p| timed_out(p)).map(|p| p.call).collect();
+        calls.extend(self.starts.iter().filter_map(|s| s.pending).filter(timed_out).map(|p| p.call));
+        calls.extend(self.stops.iter().filter_map(|s| s.pending).filter(timed_out).map(|p| p.call));
         for call in calls {
-            self.take(call, None, now, events);
+            self.handle_answer(call, None, now, events);
         }
     }
 
     /// Takes in an answer, or that there is none.
-    pub fn take(&mut self, call: u64, answer: Option<Answer>, now: Ms, events: &mut Vec<Event>) {
+    pub fn handle_answer(&mut self, call: u64, answer: Option<Answer>, now: Ms, events: &mut Vec<Event>) {
         let is_hold = self.hold.is_some_and(|(p, ..)| p.call == call);
         let is_start = |s: &Start| s.pending.is_some_and(|p| p.call == call);
         let is_stop = |s: &Stop| s.pending.is_some_and(|p| p.call == call);
@@ -236,40 +236,40 @@
         }
         self.unanswered = if answer.is_some() { 0 } else { self.unanswered + 1 };
         if let Some(Answer::Gone) = answer {
-            self.over = true;
-            self.lapses += 1;
+            self.closed = true;
+            self.losses += 1;
             events.push(Event::Lost(self.vm.clone(), VmLoss::Replaced));
             return;
         }
         if is_hold {
-            self.take_hold(answer, now, events);
+            self.handle_hold_answer(answer, now, events);
         } else if let Some(i) = start {
-            self.take_start(i, answer, now, events);
+            self.handle_start_answer(i, answer, now, events);
         } else if let Some(i) = stop {
-            self.take_stop(i, answer, now, events);
+            self.handle_stop_answer(i, answer, now, events);
         }
     }
 
     /// Ends the link as the VM has started again.
-    pub fn end_with(&mut self, life: VmIncarnation, events: &mut Vec<Event>) {
-        self.over = true;
-        self.lapses += 1;
-        events.push(Event::Restarted(self.vm.clone(), life));
+    pub fn end_as_restarted(&mut self, incarnation: VmIncarnation, events: &mut Vec<Event>) {
+        self.closed = true;
+        self.losses += 1;
+        events.push(Event::Restarted(self.vm.clone(), incarnation));
     }
 
     /// Gives up a question that waits, and asks at once.
-    pub fn ask_at_once(&mut self, now: Ms) {
+    pub fn query_at_once(&mut self, now: Ms) {
         if self.hold.take_if(|(.., wait)| *wait > 0).is_some() {
-            (self.answered_at, self.next_wait, self.ask_at) = (None, 0, now);
+            (self.answered_at, self.next_wait, self.query_at) = (None, 0, now);
         }
     }
 
-    fn take_hold(&mut self, answer: Option<Answer>, now: Ms, events: &mut Vec<Event>) {
+    fn handle_hold_answer(&mut self, answer: Option<Answer>, now: Ms, events: &mut Vec<Event>) {
         let Some((_, requested_at, wait)) = self.hold.take() else { return };
         self.answered_at = answer.is_some().then_some(now);
-        if let Some(Answer::Held { incarnation: life, clock, running, ended }) = answer {
-            if life != self.vm {
-                self.end_with(life, events);
+        if let Some(Answer::Held { incarnation, clock, running, ended }) = answer {
+            if incarnation != self.vm {
+                self.end_as_restarted(incarnation, events);
                 return;
             }
             self.lease.record_clock(clock, now);
@@ -278,11 +278,11 @@
             }
             (self.reachable, self.lost) = (true, false);
             if let Some(last) = ended.iter().map(|e| e.sequence).max() {
-                self.settle = Some((last, now + ACK_WAIT));
+                self.awaited_ack = Some((last, now + ACK_WAIT));
             }
             // What is listed is there.
             let listed = |run: RunId| running.contains(&run) || ended.iter().any(|e| e.run == run);
-            for start in self.starts.extract_if(.., |s| !s.called_off && listed(s.order.run)) {
+            for start in self.starts.extract_if(.., |s| !s.cancelled && listed(s.order.run)) {
                 let result = StartResult::StartedWithCopies;
                 events.push(Event::Started(self.vm.clone(), start.order.run, result));
             }
@@ -303,28 +303,28 @@
         (self.reachable, self.next_wait) = (false, 0);
         if self.lease.is_expired(now) && !self.lost {
             self.lost = true;
-            self.lapses += 1;
+            self.losses += 1;
             events.push(Event::Lost(self.vm.clone(), VmLoss::LeaseOver));
         }
-        self.ask_at = now + RETRY;
+        self.query_at = now + RETRY;
     }
 
-    fn take_start(&mut self, i: usize, answer: Option<Answer>, now: Ms, events: &mut Vec<Event>) {
+    fn handle_start_answer(&mut self, i: usize, answer: Option<Answer>, now: Ms, events: &mut Vec<Event>) {
         let start = &mut self.starts[i];
         start.pending = None;
-        let refused = if start.may_be_there { StartResult::Unclear } else { StartResult::NotTaken };
+        let refused = if start.may_have_started { StartResult::Unclear } else { StartResult::NotTaken };
         let result = match answer {
-            Some(Answer::Started) if start.may_be_there => StartResult::StartedWithCopies,
+            Some(Answer::Started) if start.may_have_started => StartResult::StartedWithCopies,
             Some(Answer::Started) => StartResult::Started,
-            Some(Answer::NoRoom) if !start.may_be_there => StartResult::NoRoom,
-            Some(Answer::Unhealthy) if !start.may_be_there => StartResult::Unhealthy,
+            Some(Answer::NoRoom) if !start.may_have_started => StartResult::NoRoom,
+            Some(Answer::Unhealthy) if !start.may_have_started => StartResult::Unhealthy,
             Some(Answer::Old | Answer::Late | Answer::NoRoom) => refused,
             Some(_) | None => {
                 if answer.is_none() {
-                    start.may_be_there = true;
+                    start.may_have_started = true;
                     self.lease.record_unanswered_start(now);
                 }
-                start.again_at = if answer.is_none() { now } else { now + RETRY };
+                start.retry_at = if answer.is_none() { now } else { now + RETRY };
                 return;
             }
         };
@@ -333,7 +333,7 @@
         events.push(Event::Started(self.vm.clone(), run, result));
     }
 
-    fn take_stop(&mut self, i: usize, answer: Option<Answer>, now: Ms, events: &mut Vec<Event>) {
+    fn handle_stop_answer(&mut self, i: usize, answer: Option<Answer>, now: Ms, events: &mut Vec<Event>) {
         let stop = &mut self.stops[i];
         stop.pending = None;
         if let Some(Answer::Stopped) = answer {
@@ -341,6 +341,6 @@
             events.push(Event::Stopped(self.vm.clone(), run));
             return;
         }
-        stop.again_at = if answer.is_none() { now } else { now + RETRY };
+        stop.retry_at = if answer.is_none() { now } else { now + RETRY };
     }
 }
--- a/crates/schedule/tests/link_world/machines.rs
+++ b/crates/schedule/tests/link_world/machines.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl World {
-    pub(super) fn arrive(&mut self, message: Message) {
+    pub(super) fn handle_call(&mut self, message: Message) {
         let now = self.now;
         let Some(name) =
             self.vms.iter().find(|(_, v)| v.id.id() == message.vm.id()).map(|(n, _)| n.clone())
@@ -33,15 +33,15 @@
                 }
                 let vm = &self.vms[&name];
                 let until = message.waits_until.unwrap_or(now + wait);
-                if vm.lists_an_end() || until <= now {
-                    let answer = vm.held(now);
+                if vm.has_listed_ends() || until <= now {
+                    let answer = vm.hold_answer(now);
                     self.answer(&message, answer);
                 } else {
                     let waits_until = Some(until);
                     self.messages.push(Message { arrives: now + TICK, waits_until, ..message });
                 }
             }
-            Call::Start { order, deadline } => self.arrive_start(&name, &message, &order, deadline),
+            Call::Start { order, deadline } => self.handle_start(&name, &message, &order, deadline),
             Call::Stop { run } => {
                 vm.bar(run);
                 let there = vm.runs.get(&run.task).map(|r| r.attempt);
@@ -53,7 +53,7 @@
         }
     }
 
-    pub(super) fn arrive_start(
+    pub(super) fn handle_start(
         &mut self,
         name: &str,
         message: &Message,
@@ -68,8 +68,8 @@
         if deadline >= vm.clock(now) {
             vm.renew(deadline, now);
         }
-        if let Some(answer) = vm.refuses(run, deadline, demand, now) {
-            self.tell(|| {
+        if let Some(answer) = vm.refusal(run, deadline, demand, now) {
+            self.trace(|| {
                 format!("start {run} on {} of token {}: {answer:?}", order.vm, message.token)
             });
             self.answer(message, answer);
@@ -77,19 +77,19 @@
         }
         let Some(vm) = self.vms.get_mut(name) else { return };
         vm.runs.insert(run.task, Run { attempt: run.attempt, ends_at: now + lasts, fails, demand });
-        let (room, used, life) = (vm.room, vm.used(), vm.id.clone());
-        let heard = message.answered;
-        self.tell(|| {
+        let (room, used, incarnation) = (vm.room, vm.used(), vm.id.clone());
+        let answered = message.answered;
+        self.trace(|| {
             format!(
-                "start {run} on {} of token {} begins, answer heard {heard}",
+                "start {run} on {} of token {} begins, answer heard {answered}",
                 order.vm, message.token
             )
         });
-        let given = Given { token: message.token, at: message.sent };
-        self.runs.note_start(&life, run, given, now);
+        let source = Given { token: message.token, at: message.sent };
+        self.runs.note_start(&incarnation, run, source, now);
         self.check_start(run);
         assert!(
-            room.fits(used) || self.troubles.rooms_shrink,
+            room.fits(used) || self.faults.rooms_shrink,
             "LIMIT: over room on {name} at {now}: {used:?}"
         );
         self.answer(message, Answer::Started);
@@ -98,7 +98,7 @@
     pub(super) fn check_start(&self, run: RunId) {
         let task = run.task;
         let due = self.log.get(task.job).and_then(|e| e.spec.as_ref()).map(|s| s.due_ms(task.time));
-        let due = due.filter(|_| self.repeat.contains(&task.job));
+        let due = due.filter(|_| self.repeating.contains(&task.job));
         assert!(
             due.is_none_or(|due| due <= WALL + self.now),
             "ORDER: {run} starts before it is due"
@@ -116,8 +116,8 @@
 
     pub(super) fn answer(&mut self, message: &Message, answer: Answer) {
         if message.answered {
-            let way = self.vms.values().find(|v| v.id.id() == message.vm.id()).map(|v| v.path);
-            let most = if way == Some(PathState::Slow) { 300 } else { 30 };
+            let path = self.vms.values().find(|v| v.id.id() == message.vm.id()).map(|v| v.path);
+            let most = if path == Some(PathState::Slow) { 300 } else { 30 };
             let delay = self.rng.random_range(0..most);
             self.answers.push((self.now + delay, message.id, answer));
         }
@@ -130,14 +130,14 @@
         if kind == EndKind::Done {
             self.done.insert(run.task);
         }
-        self.tell(|| format!("run {run} on {id} ends {kind:?}"));
+        self.trace(|| format!("run {run} on {id} ends {kind:?}"));
     }
 
     pub(super) fn run_vms(&mut self) {
         let now = self.now;
         let names: Vec<String> = self.vms.keys().cloned().collect();
         for name in names {
-            self.start_again(&name);
+            self.restart_if_due(&name);
             let Some(vm) = self.vms.get_mut(&name) else { continue };
             if vm.path_until <= now {
                 vm.path = PathState::Clear;
@@ -154,13 +154,13 @@
                 self.end_run(&name, run, kind);
             }
             if lapsed {
-                self.lapse(&name);
+                self.expire_lease(&name);
             }
-            self.list_again(&name);
+            self.relist_if_due(&name);
         }
     }
 
-    pub(super) fn lapse(&mut self, name: &str) {
+    pub(super) fn expire_lease(&mut self, name: &str) {
         let Some(vm) = self.vms.get_mut(name) else { return };
         vm.void_up_to = vm.next_end - 1;
         self.runs.note_lapse(&vm.id.clone());
@@ -171,12 +171,12 @@
         }
     }
 
-    pub(super) fn list_again(&mut self, name: &str) {
+    pub(super) fn relist_if_due(&mut self, name: &str) {
         let now = self.now;
         let Some(vm) = self.vms.get_mut(name) else { return };
         if !vm.listed && vm.listed_again_at <= now {
             vm.listed = true;
-            self.tell(|| format!("{name} is listed"));
+            self.trace(|| format!("{name} is listed"));
             self.list_vms();
         }
     }
@@ -197,20 +197,20 @@
         }
     }
 
-    pub(super) fn new_vm(&mut self, name: &str, life: u32) -> SimVm {
+    pub(super) fn new_vm(&mut self, name: &str, number: u32) -> SimVm {
         let speed = self.rng.random_range(980..=1_000);
-        let mut vm = SimVm::new(self.life_of(name, life), life, room(), speed, self.now);
-        vm.enforces_room = self.troubles.room_is_guarded;
+        let mut vm = SimVm::new(self.incarnation_of(name, number), number, room(), speed, self.now);
+        vm.enforces_room = self.faults.room_is_enforced;
         vm
     }
 
     /// Returns the name of a life, which a VM that keeps its ID tells by when it started.
-    fn life_of(&mut self, name: &str, life: u32) -> VmIncarnation {
-        if !self.troubles.ids_are_kept {
-            return vm_facts(name, life).id.clone();
+    fn incarnation_of(&mut self, name: &str, number: u32) -> VmIncarnation {
+        if !self.faults.ids_are_kept {
+            return vm_facts(name, number).id.clone();
         }
         // Its clock may have been set back since its former life.
         let back = if self.rng.random_bool(0.1) { 100_000 } else { 0 };
-        VmIncarnation::new(format!("i-{name}"), Some(WALL + self.now + u64::from(life) - back))
+        VmIncarnation::new(format!("i-{name}"), Some(WALL + self.now + u64::from(number) - back))
     }
 }
--- a/crates/schedule/tests/link_world/mod.rs
+++ b/crates/schedule/tests/link_world/mod.rs
@@ -32,23 +32,23 @@
 const TICK: Ms = 10;
 const LEASE: Ms = 6_000;
 /// Runs on VMs to which there is no link are surely over after this.
-const ORPHANS_OVER: Ms = LEASE * 103 / 100 + 200;
+const ORPHAN_TIMEOUT: Ms = LEASE * 103 / 100 + 200;
 /// An owner looks at its schedule at least so often.
-const LOOK_EVERY: Ms = 50;
+const PLAN_INTERVAL: Ms = 50;
 
 /// What happens beside cuts, crashes, lost answers and changes of owner.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Troubles {
+pub struct Faults {
     /// VMs reject what does not fit, and have less for a while than they tell.
-    pub room_is_guarded: bool,
+    pub room_is_enforced: bool,
     /// Calls without an answer are carried out up to 12 s later.
     pub late_copies: bool,
     /// The store takes up to 12 s: what the owner is told waits, and what it decided goes out, so late.
     pub slow_store: bool,
     /// Owners end by themselves and are begun again by their nodes.
-    pub owners_end: bool,
+    pub owners_restart: bool,
     /// VMs are unlisted for a while and listed again.
-    pub listing_lapses: bool,
+    pub vms_are_unlisted: bool,
     /// The room that VMs tell shrinks and grows.
     pub rooms_shrink: bool,
     /// VMs that crash start again under their IDs, a moment or seconds later, at times with a clock that has been set back.
@@ -79,11 +79,11 @@
     /// It has arrived and waits for an end until then.
     waits_until: Option<Ms>,
     /// The VM has it and carries it out late, unless it crashes before.
-    at_vm: bool,
+    queued_at_vm: bool,
 }
 
 /// What was decided and is being written.
-struct Decided {
+struct PendingWrite {
     until: Ms,
     records: Vec<(JobId, Progress)>,
     acks: Vec<(VmIncarnation, u64)>,
@@ -93,7 +93,7 @@
 pub struct World {
     pub rng: StdRng,
     pub now: Ms,
-    troubles: Troubles,
+    faults: Faults,
     vms: BTreeMap<String, SimVm>,
     messages: Vec<Message>,
     answers: Vec<(Ms, u64, Answer)>,
@@ -103,22 +103,22 @@
     links_opened: u64,
     events: Vec<Event>,
     orphans: BTreeMap<VmIncarnation, Ms>,
-    writing: Option<Decided>,
-    looked_at: Ms,
+    pending_write: Option<PendingWrite>,
+    planned_at: Ms,
     log: JobLog,
     /// What the owner's node knows of who owns the pool.
     ownership: Ownership,
-    shard: Arc<str>,
+    pool_name: Arc<str>,
     token: u64,
-    number: u64,
+    record_number: u64,
     pool: Pool,
     steps: BTreeMap<JobId, Vec<Step>>,
     /// Jobs with repetitions.
-    repeat: BTreeSet<JobId>,
+    repeating: BTreeSet<JobId>,
     done: BTreeSet<TaskId>,
     failures: BTreeMap<TaskId, u32>,
     runs: Runs,
-    loud: bool,
+    verbose: bool,
 }
 
 fn room() -> Room {
@@ -126,11 +126,11 @@
 }
 
 impl World {
-    pub fn new(seed: u64, troubles: Troubles) -> Self {
+    pub fn new(seed: u64, faults: Faults) -> Self {
         let mut world = Self {
             rng: StdRng::seed_from_u64(seed),
             now: 0,
-            troubles,
+            faults,
             vms: BTreeMap::new(),
             messages: Vec::new(),
             answers: Vec::new(),
@@ -139,20 +139,20 @@
             links_opened: 0,
             events: Vec::new(),
             orphans: BTreeMap::new(),
-            writing: None,
-            looked_at: 0,
+            pending_write: None,
+            planned_at: 0,
             log: JobLog::default(),
             ownership: Ownership::new(NodeIncarnation { name: "a".to_owned(), incarnation: 1 }, 0),
-            shard: "desk".into(),
+            pool_name: "desk".into(),
             token: 0,
-            number: 0,
+            record_number: 0,
             pool: Pool::new(),
             steps: BTreeMap::new(),
-            repeat: BTreeSet::new(),
+            repeating: BTreeSet::new(),
             done: BTreeSet::new(),
             failures: BTreeMap::new(),
             runs: Runs::default(),
-            loud: std::env::var_os("THISTLE_SEED").is_some(),
+            verbose: std::env::var_os("THISTLE_SEED").is_some(),
         };
         for name in ["a", "b", "c", "d"] {
             let vm = world.new_vm(name, 1);
@@ -162,8 +162,8 @@
         world
     }
 
-    fn tell(&self, what: impl FnOnce() -> String) {
-        if self.loud {
+    fn trace(&self, what: impl FnOnce() -> String) {
+        if self.verbose {
             println!("{} {}", self.now, what());
         }
     }
@@ -180,7 +180,7 @@
         let mut spec = job(steps).as_ref().clone();
         if self.rng.random_bool(0.15) {
             let start_at_ms = WALL + self.now + self.rng.random_range(0..500);
-            self.repeat.insert(id);
+            self.repeating.insert(id);
             spec.repeats = Some(Repeats { count: 2, start_at_ms, interval_ms: 700 });
         }
         let spec = encode(&spec);
@@ -195,12 +195,12 @@
         self.pool.cancel(id, at(self.now));
     }
 
-    pub fn tick(&mut self, calm: bool) {
+    pub fn tick(&mut self, fault_free: bool) {
         self.now += TICK;
         self.run_vms();
         self.deliver();
         self.run_links();
-        self.own(calm);
+        self.run_owner(fault_free);
     }
 
     fn run_links(&mut self) {
@@ -212,7 +212,7 @@
         let mut events = std::mem::take(&mut self.events);
         for (_, call, answer) in due {
             for link in links.values_mut() {
-                link.take(call, Some(answer.clone()), now, &mut events);
+                link.handle_answer(call, Some(answer.clone()), now, &mut events);
             }
         }
         for link in links.values_mut() {
@@ -225,15 +225,15 @@
     /// Sends a call; what becomes of it depends on the way to its VM.
     fn send(&mut self, vm: &VmIncarnation, token: u64, call: Call) -> u64 {
         self.next_call += 1;
-        let way = self.vms.values().find(|v| v.id.id() == vm.id()).map_or(PathState::Clear, |v| v.path);
-        let late = way == PathState::Late && self.rng.random_bool(0.5);
-        let delay = match way {
+        let path = self.vms.values().find(|v| v.id.id() == vm.id()).map_or(PathState::Clear, |v| v.path);
+        let late = path == PathState::Late && self.rng.random_bool(0.5);
+        let delay = match path {
             _ if late => self.rng.random_range(100..12_000),
             PathState::Slow => self.rng.random_range(0..300),
             _ => 0,
         };
-        let answered = !late && way != PathState::AnswersLost;
-        if way != PathState::Cut {
+        let answered = !late && path != PathState::AnswersLost;
+        if path != PathState::Cut {
             self.messages.push(Message {
                 id: self.next_call,
                 arrives: self.now + delay,
@@ -243,7 +243,7 @@
                 call,
                 answered,
                 waits_until: None,
-                at_vm: late,
+                queued_at_vm: late,
             });
         }
         self.next_call
@@ -255,7 +255,7 @@
             std::mem::take(&mut self.messages).into_iter().partition(|m| m.arrives <= now);
         self.messages = later;
         for message in due {
-            self.arrive(message);
+            self.handle_call(message);
         }
     }
 
--- a/crates/schedule/tests/link_world/owner.rs
+++ b/crates/schedule/tests/link_world/owner.rs
@@ -4,11 +4,11 @@
 
 impl World {
     /// The owner ends by itself, by a panic or a VM's mistaken word, and its node begins another one.
-    pub(super) fn end_owner(&mut self) {
-        self.ownership.record_owner_end(&self.shard, self.token, self.now);
-        match self.ownership.my_token(&self.shard) {
+    pub(super) fn restart_owner(&mut self) {
+        self.ownership.record_owner_end(&self.pool_name, self.token, self.now);
+        match self.ownership.my_token(&self.pool_name) {
             // It goes on under the token that it has.
-            Some(token) => self.begin_owner(token),
+            Some(token) => self.start_owner(token),
             None => self.replace_owner(),
         }
     }
@@ -18,20 +18,20 @@
         let owner = NodeIncarnation { name: "a".to_owned(), incarnation: 1 };
         let claim = Claim { owner, released: false };
         // The offset of a claim is one below its token.
-        self.ownership.record_claim(&self.shard, claim, self.token, self.now);
-        self.begin_owner(self.token + 1);
+        self.ownership.record_claim(&self.pool_name, claim, self.token, self.now);
+        self.start_owner(self.token + 1);
     }
 
     /// Another owner begins, from the records only. What the one before has sent stays under way.
-    fn begin_owner(&mut self, token: u64) {
+    fn start_owner(&mut self, token: u64) {
         // What it was writing is there, or is not.
-        if let Some(step) = self.writing.take()
+        if let Some(step) = self.pending_write.take()
             && self.rng.random_bool(0.5)
         {
             self.write(step.records);
         }
-        (self.token, self.number) = (token, 0);
-        self.tell(|| format!("an owner begins, token {}", self.token));
+        (self.token, self.record_number) = (token, 0);
+        self.trace(|| format!("an owner begins, token {}", self.token));
         self.pool = Pool::new();
         self.links.clear();
         self.events.clear();
@@ -56,41 +56,41 @@
             self.pool.list_vm(facts);
             match self.links.get_mut(id.id()) {
                 Some(link) if link.vm == id => (),
-                Some(link) if !link.over => link.ask_at_once(now),
+                Some(link) if !link.closed => link.query_at_once(now),
                 Some(_) | None => self.open_link(id),
             }
         }
         for vm in listed.iter().filter(|vm| !there.contains_key(&vm.id)) {
             self.pool.unlist_vm(&vm.id);
-            if vm.reachable && self.link(&vm.id).is_some_and(|link| !link.over) {
+            if vm.reachable && self.link(&vm.id).is_some_and(|link| !link.closed) {
                 continue;
             }
             // Another life of it is listed.
             let other =
                 there.iter().find(|(id, name)| ***name == *vm.name || id.id() == vm.id.id());
-            let Some((life, _)) = other else { continue };
-            if !life.is_other_incarnation_of(&vm.id) {
+            let Some((incarnation, _)) = other else { continue };
+            if !incarnation.is_other_incarnation_of(&vm.id) {
                 self.events.push(Event::Lost(vm.id.clone(), VmLoss::Replaced));
-            } else if life.started_at() > vm.id.started_at() {
-                let (life, mut events) = (life.clone(), std::mem::take(&mut self.events));
+            } else if incarnation.started_at() > vm.id.started_at() {
+                let (incarnation, mut events) = (incarnation.clone(), std::mem::take(&mut self.events));
                 match self.link_mut(&vm.id) {
-                    Some(link) => link.end_with(life, &mut events),
-                    None => events.push(Event::Restarted(vm.id.clone(), life)),
+                    Some(link) => link.end_as_restarted(incarnation, &mut events),
+                    None => events.push(Event::Restarted(vm.id.clone(), incarnation)),
                 }
                 self.events = events;
             }
         }
         for id in self.pool.unlisted_with_runs() {
             if self.link(&id).is_none() {
-                self.orphans.entry(id).or_insert(self.now + ORPHANS_OVER);
+                self.orphans.entry(id).or_insert(self.now + ORPHAN_TIMEOUT);
             }
         }
     }
 
-    fn open_link(&mut self, life: VmIncarnation) {
+    fn open_link(&mut self, incarnation: VmIncarnation) {
         let token = (self.token << 24) | self.links_opened;
         self.links_opened += 1;
-        self.links.insert(life.id().clone(), Link::new(life, token, self.now));
+        self.links.insert(incarnation.id().clone(), Link::new(incarnation, token, self.now));
     }
 
     fn link(&self, vm: &VmIncarnation) -> Option<&Link> {
@@ -101,34 +101,34 @@
         self.links.get_mut(vm.id()).filter(|link| link.vm == *vm)
     }
 
-    pub(super) fn own(&mut self, calm: bool) {
-        if let Some(step) = self.writing.take() {
+    pub(super) fn run_owner(&mut self, fault_free: bool) {
+        if let Some(step) = self.pending_write.take() {
             if step.until > self.now {
-                self.writing = Some(step);
+                self.pending_write = Some(step);
                 return;
             }
             self.carry_out(step);
         }
-        if self.events.is_empty() && self.now < self.looked_at + LOOK_EVERY {
+        if self.events.is_empty() && self.now < self.planned_at + PLAN_INTERVAL {
             return;
         }
-        self.looked_at = self.now;
+        self.planned_at = self.now;
         for event in std::mem::take(&mut self.events) {
-            self.take(event);
+            self.apply_event(event);
         }
         self.drop_orphans();
         let orders = self.pool.plan(at(self.now));
         let records = self.pool.take_records();
         let acks = self.pool.take_acks();
-        let slow = self.troubles.slow_store && !calm && self.rng.random_bool(0.02);
+        let slow = self.faults.slow_store && !fault_free && self.rng.random_bool(0.02);
         let takes = match records.is_empty() {
             true => 0,
             false if slow => self.rng.random_range(200..12_000),
             false => self.rng.random_range(0..3) * TICK,
         };
-        let step = Decided { until: self.now + takes, records, acks, orders };
+        let step = PendingWrite { until: self.now + takes, records, acks, orders };
         if takes > 0 {
-            self.writing = Some(step);
+            self.pending_write = Some(step);
         } else {
             self.carry_out(step);
         }
@@ -139,14 +139,14 @@
 
     pub(super) fn write(&mut self, records: Vec<(JobId, Progress)>) {
         for (id, progress) in records {
-            self.number += 1;
-            let version = Version { token: self.token, number: self.number };
+            self.record_number += 1;
+            let version = Version { token: self.token, number: self.record_number };
             let value = encode_progress(version, &progress);
             assert!(self.log.apply(&progress_key(id), Some(&value)).is_ok());
         }
     }
 
-    pub(super) fn carry_out(&mut self, step: Decided) {
+    pub(super) fn carry_out(&mut self, step: PendingWrite) {
         self.write(step.records);
         for (vm, sequence) in step.acks {
             if let Some(link) = self.link_mut(&vm) {
@@ -169,15 +169,15 @@
         };
         match order {
             // It was decided before a loss that was told since, whose taking in releases it.
-            Order::Start(_) if link.lapses != link.losses_taken => (),
+            Order::Start(_) if link.losses != link.losses_applied => (),
             Order::Start(start) => {
-                if self.loud {
+                if self.verbose {
                     println!("{} ordered {} on {vm}", self.now, start.run);
                 }
                 link.start(start);
             }
             Order::Stop { run, .. } => {
-                if self.loud {
+                if self.verbose {
                     println!("{} ordered to stop {run} on {vm}", self.now);
                 }
                 link.stop(run);
@@ -186,20 +186,20 @@
         }
     }
 
-    pub(super) fn take(&mut self, event: Event) {
+    pub(super) fn apply_event(&mut self, event: Event) {
         let now = at(self.now);
         if !matches!(event, Event::Report(..)) {
-            self.tell(|| format!("told {event:?}"));
+            self.trace(|| format!("told {event:?}"));
         }
         match event {
             Event::Report(vm, _) if self.link(&vm).is_none() => (),
             Event::Report(vm, report) => {
-                let news = self.pool.apply_report(&vm, &report, now);
-                if !report.ended.is_empty() || !news.not_listed.is_empty() {
+                let changes = self.pool.apply_report(&vm, &report, now);
+                if !report.ended.is_empty() || !changes.not_listed.is_empty() {
                     let ended = report.ended.iter().map(|e| format!("{} {:?}", e.run, e.kind));
                     let ended: Vec<String> = ended.collect();
-                    let gone: Vec<String> = news.not_listed.iter().map(RunId::to_string).collect();
-                    self.tell(|| {
+                    let gone: Vec<String> = changes.not_listed.iter().map(RunId::to_string).collect();
+                    self.trace(|| {
                         format!(
                             "{vm}, asked {}: ended {ended:?}, not listed {gone:?}",
                             report.requested_at
@@ -217,18 +217,18 @@
             }
             Event::Lost(vm, loss) => {
                 if let Some(link) = self.link_mut(&vm) {
-                    link.losses_taken = link.lapses.min(link.losses_taken + 1);
+                    link.losses_applied = link.losses.min(link.losses_applied + 1);
                 }
                 self.pool.vm_lost(&vm, loss, now);
             }
-            Event::Restarted(vm, life) => {
+            Event::Restarted(vm, incarnation) => {
                 if let Some(link) = self.link_mut(&vm) {
-                    link.losses_taken = link.lapses.min(link.losses_taken + 1);
+                    link.losses_applied = link.losses.min(link.losses_applied + 1);
                 }
-                self.pool.vm_restarted(&vm, &life, now);
+                self.pool.vm_restarted(&vm, &incarnation, now);
                 if self.link(&vm).is_some() {
-                    self.orphans.remove(&life);
-                    self.open_link(life);
+                    self.orphans.remove(&incarnation);
+                    self.open_link(incarnation);
                 }
             }
         }
--- a/crates/schedule/tests/link_world/vm.rs
+++ b/crates/schedule/tests/link_world/vm.rs
@@ -143,12 +143,12 @@
         sequence
     }
 
-    pub fn lists_an_end(&self) -> bool {
+    pub fn has_listed_ends(&self) -> bool {
         !self.ended.is_empty()
     }
 
     /// Both lists.
-    pub fn held(&self, now: Ms) -> Answer {
+    pub fn hold_answer(&self, now: Ms) -> Answer {
         let running = self.runs.iter().map(|(&task, r)| RunId { task, attempt: r.attempt });
         Answer::Held {
             incarnation: self.id.clone(),
@@ -159,7 +159,7 @@
     }
 
     /// What it answers to a start, none if it begins the run.
-    pub fn refuses(&self, run: RunId, deadline: u64, demand: Room, now: Ms) -> Option<Answer> {
+    pub fn refusal(&self, run: RunId, deadline: u64, demand: Room, now: Ms) -> Option<Answer> {
         if deadline < self.clock(now) {
             return Some(Answer::Late);
         }
--- a/crates/schedule/tests/need.rs
+++ b/crates/schedule/tests/need.rs
@@ -69,9 +69,9 @@
 
 #[gtest]
 fn arrivals_that_outpace_those_before_them_are_told_from_chance() {
-    let turn: Vec<u64> =
+    let arrival_times: Vec<u64> =
         [1_000, 3_000, 5_000].into_iter().chain((0..5).map(|i| 7_000 + i * 50)).collect();
-    let pool = with_arrivals(&turn);
+    let pool = with_arrivals(&arrival_times);
     expect_that!(arriving(&pool, 7_200), ge(3_000), "seven a second at least, not one in a second");
 }
 
--- a/crates/schedule/tests/random.rs
+++ b/crates/schedule/tests/random.rs
@@ -10,28 +10,28 @@
 use thistle_schedule::JobId;
 use world::World;
 
-const TURNS: u64 = 1_100;
+const TICKS: u64 = 1_100;
 /// After these, nothing fails any more and all jobs must come to an end.
-const CALM_AFTER: u64 = 500;
+const FAULT_FREE_AFTER: u64 = 500;
 const SEEDS: u64 = 60;
 
 fn play(seed: u64) {
     let mut world = World::new(seed);
     let mut next = 1;
-    for turn in 0..TURNS {
-        let calm = turn >= CALM_AFTER;
-        if !calm && world.rng.random_bool(0.1) {
+    for tick in 0..TICKS {
+        let fault_free = tick >= FAULT_FREE_AFTER;
+        if !fault_free && world.rng.random_bool(0.1) {
             world.submit(next);
             next += 1;
         }
-        if !calm && next > 2 && world.rng.random_bool(0.02) {
+        if !fault_free && next > 2 && world.rng.random_bool(0.02) {
             let id = JobId(world.rng.random_range(1..next));
             world.cancel(id);
         }
-        if !calm {
-            world.trouble();
+        if !fault_free {
+            world.inject_fault();
         }
-        world.turn(calm);
+        world.tick(fault_free);
     }
     world.check_settled();
 }
--- a/crates/schedule/tests/readers.rs
+++ b/crates/schedule/tests/readers.rs
@@ -8,11 +8,11 @@
 
 const POOLS: [&str; 5] = ["desk", "routes", "hub", "zones", "portal"];
 
-fn life(i: usize) -> NodeIncarnation {
+fn node(i: usize) -> NodeIncarnation {
     NodeIncarnation { name: format!("node-{i}"), incarnation: 1 }
 }
 
-fn beat(speed: u32, i: usize) -> Heartbeat {
+fn heartbeat(speed: u32, i: usize) -> Heartbeat {
     let relay = format!("10.0.{}.{}:7060", i / 200, i % 200).parse().ok();
     Heartbeat { incarnation: 1, sequence: 1, leaving: false, relay, speed }
 }
@@ -21,17 +21,17 @@
 fn views(nodes: usize, now: Ms) -> Vec<Ownership> {
     let speed = |i: usize| if i % 5 == 4 { 100 } else { 1_000 };
     let view = |i: usize| {
-        let mut view = Ownership::new(life(i), 0);
+        let mut view = Ownership::new(node(i), 0);
         view.record_read(now);
         for other in 0..nodes {
-            view.record_heartbeat(&life(other).name, &beat(speed(other), other), now);
+            view.record_heartbeat(&node(other).name, &heartbeat(speed(other), other), now);
         }
         view
     };
     (0..nodes).map(view).collect()
 }
 
-fn readers(views: &[Ownership], pool: &str, now: Ms) -> Vec<usize> {
+fn readers_of(views: &[Ownership], pool: &str, now: Ms) -> Vec<usize> {
     (0..views.len()).filter(|&i| views[i].is_reader(pool, now) == Some(true)).collect()
 }
 
@@ -41,7 +41,7 @@
     for nodes in [6, 9, 32, 97, 300] {
         let views = views(nodes, 3_000);
         for pool in POOLS {
-            let read_by = readers(&views, pool, 3_000);
+            let read_by = readers_of(&views, pool, 3_000);
             expect_that!(read_by.len(), eq(READERS.min(nodes)), "{nodes} nodes, {pool}");
         }
     }
@@ -50,7 +50,7 @@
 #[gtest]
 fn nodes_that_have_just_started_leave_the_store_to_owners() {
     let views = views(97, 1_900);
-    expect_that!(readers(&views, "desk", 1_900), is_empty());
+    expect_that!(readers_of(&views, "desk", 1_900), is_empty());
 }
 
 #[gtest]
@@ -58,7 +58,7 @@
     let views = views(97, 3_000);
     for pool in POOLS {
         expect_that!(
-            readers(&views, pool, 3_000),
+            readers_of(&views, pool, 3_000),
             each(predicate(|i: &usize| i % 5 != 4)),
             "{pool}"
         );
@@ -70,7 +70,7 @@
     let mut views = views(97, 3_000);
     for pool in POOLS {
         let name = [pool.into()];
-        let read_by = readers(&views, pool, 3_000);
+        let read_by = readers_of(&views, pool, 3_000);
         let mut first = None;
         for now in (3_000..30_000).step_by(100) {
             for (i, view) in views.iter_mut().enumerate() {
@@ -79,8 +79,8 @@
                     let sequence = now;
                     let speed = if other % 5 == 4 { 100 } else { 1_000 };
                     view.record_heartbeat(
-                        &life(other).name,
-                        &Heartbeat { sequence, ..beat(speed, other) },
+                        &node(other).name,
+                        &Heartbeat { sequence, ..heartbeat(speed, other) },
                         now,
                     );
                 }
@@ -105,17 +105,17 @@
 #[gtest]
 fn others_than_the_owner_and_oneself_are_asked_in_its_place() {
     let mut views = views(97, 3_000);
-    let owner = Claim { owner: life(7), released: false };
+    let owner = Claim { owner: node(7), released: false };
     for view in &mut views {
         view.record_claim(&"desk".into(), owner.clone(), token_of(0), 3_000);
     }
-    let relay = |i: usize| beat(0, i).relay.unwrap();
-    let read_by: Vec<_> = readers(&views, "desk", 3_000).into_iter().map(relay).collect();
+    let relay = |i: usize| heartbeat(0, i).relay.unwrap();
+    let read_by: Vec<_> = readers_of(&views, "desk", 3_000).into_iter().map(relay).collect();
     for (i, view) in views.iter().enumerate() {
-        let asked = view.readers_to_query("desk", 3_000);
-        expect_that!(asked, not(is_empty()));
-        expect_that!(asked, not(contains(eq(&relay(i)))));
-        expect_that!(asked, not(contains(eq(&relay(7)))));
-        expect_that!(asked, each(predicate(|a| read_by.contains(a))), "node {i}");
+        let queried = view.readers_to_query("desk", 3_000);
+        expect_that!(queried, not(is_empty()));
+        expect_that!(queried, not(contains(eq(&relay(i)))));
+        expect_that!(queried, not(contains(eq(&relay(7)))));
+        expect_that!(queried, each(predicate(|a| read_by.contains(a))), "node {i}");
     }
 }
--- a/crates/schedule/tests/room.rs
+++ b/crates/schedule/tests/room.rs
@@ -32,9 +32,9 @@
     // One of them has arrived; of the others nothing is known.
     pool.apply_start_result(&started[0].vm, started[0].run, StartResult::Started, at(20));
     pool.list_vm(with_room(2_000));
-    let called_off = stops(&pool.plan(at(30)));
-    expect_that!(called_off, len(eq(2)), "two of four cores are left, and one is in use for sure");
-    expect_that!(called_off.contains(&started[0].run), eq(false));
+    let cancelled = stops(&pool.plan(at(30)));
+    expect_that!(cancelled, len(eq(2)), "two of four cores are left, and one is in use for sure");
+    expect_that!(cancelled.contains(&started[0].run), eq(false));
     // Until they are surely not there they count.
     expect_that!(starts(&pool.plan(at(40))), is_empty());
 }
@@ -76,15 +76,15 @@
 fn a_vm_that_turns_starts_away_is_asked_ever_more_seldom() {
     let mut pool = pool_with(&["a"]);
     pool.submit(JOB, job(vec![step(1, 1_000)]), at(0));
-    let mut asked = 0;
+    let mut attempts = 0;
     for now in (0..8_000).step_by(100) {
         for start in starts(&pool.plan(at(now))) {
-            asked += 1;
+            attempts += 1;
             pool.apply_start_result(&start.vm, start.run, StartResult::NoRoom, at(now));
         }
         pool.apply_report(&vm("a", 1).id, &VmReport::default(), at(now));
     }
-    expect_that!(asked, le(5), "every half second would be 16 times");
+    expect_that!(attempts, le(5), "every half second would be 16 times");
     // What it says of itself counts at once.
     pool.list_vm(with_room(5_000));
     expect_that!(starts(&pool.plan(at(8_010))), len(eq(1)));
--- a/crates/schedule/tests/takeover.rs
+++ b/crates/schedule/tests/takeover.rs
@@ -280,16 +280,16 @@
     let mut log = JobLog::default();
     let value = encode(job(vec![step(1, 500)]).as_ref());
     expect_that!(log.apply(&submit_key(JOB), Some(&value)).is_ok(), eq(true));
-    let mut tell = |token, number, phase| {
+    let mut apply_progress = |token, number, phase| {
         let progress = thistle_schedule::Progress { begun: true, phase, ..Default::default() };
         let value = encode_progress(Version { token, number }, &progress);
         expect_that!(log.apply(&progress_key(JOB), Some(&value)), eq(&Ok(None)));
         log.get(JOB).and_then(JobEntry::state)
     };
-    expect_that!(tell(3, 7, Phase::Open), some(eq(JobState::Running)));
-    expect_that!(tell(3, 8, Phase::Completed), some(eq(JobState::Completed)));
-    expect_that!(tell(3, 7, Phase::Open), some(eq(JobState::Completed)));
-    expect_that!(tell(2, 90, Phase::Open), some(eq(JobState::Completed)), "a former owner's");
+    expect_that!(apply_progress(3, 7, Phase::Open), some(eq(JobState::Running)));
+    expect_that!(apply_progress(3, 8, Phase::Completed), some(eq(JobState::Completed)));
+    expect_that!(apply_progress(3, 7, Phase::Open), some(eq(JobState::Completed)));
+    expect_that!(apply_progress(2, 90, Phase::Open), some(eq(JobState::Completed)), "a former owner's");
 }
 
 /// A cancel counted for whatever job had its ID. One of another workspace, written before that job's submission was read,
--- a/crates/schedule/tests/unclear.rs
+++ b/crates/schedule/tests/unclear.rs
@@ -20,9 +20,9 @@
     pool.apply_start_result(&first.vm, first.run, StartResult::Unclear, at(200));
     let mut orders = pool.plan(at(210));
     // Two lists, both asked for after the outcome was known, and neither holds the run.
-    for asked_at in [300, 800] {
-        pool.apply_report(&first.vm, &report(asked_at, vec![], vec![]), at(asked_at + 10));
-        orders.extend(pool.plan(at(asked_at + 20)));
+    for requested_at in [300, 800] {
+        pool.apply_report(&first.vm, &report(requested_at, vec![], vec![]), at(requested_at + 10));
+        orders.extend(pool.plan(at(requested_at + 20)));
     }
     expect_that!(starts(&orders).len(), eq(0), "the first copy may be under way");
     expect_that!(stops(&orders), contains(eq(&first.run)), "only a stop bars it");
--- a/crates/schedule/tests/world/in_flight.rs
+++ b/crates/schedule/tests/world/in_flight.rs
@@ -4,9 +4,9 @@
 
 /// An order on its way.
 #[derive(Clone, Debug)]
-pub(super) struct Flight {
+pub(super) struct InFlightOrder {
     arrives: Ms,
-    given: Ms,
+    ordered_at: Ms,
     token: u64,
     deadline: Ms,
     order: Order,
@@ -14,7 +14,7 @@
 }
 
 /// Tells an order in short.
-fn brief(order: &Order) -> String {
+fn describe(order: &Order) -> String {
     match order {
         Order::Start(start) => format!("start {} on {}", start.run, start.vm),
         Order::Stop { vm, run } => format!("stop {run} on {vm}"),
@@ -24,14 +24,14 @@
 }
 
 impl World {
-    pub(super) fn send(&mut self, order: Order, calm: bool) {
-        let late = !calm && self.rng.random_bool(0.05);
+    pub(super) fn send(&mut self, order: Order, fault_free: bool) {
+        let late = !fault_free && self.rng.random_bool(0.05);
         let delay = if late { self.rng.random_range(2_000..12_000) } else { 0 };
         let (token, deadline) = (self.token, self.now + LEASE);
-        self.tell(|| format!("ordered {} late {late}", brief(&order)));
-        let flight = Flight {
+        self.trace(|| format!("ordered {} late {late}", describe(&order)));
+        let flight = InFlightOrder {
             arrives: self.now + delay,
-            given: self.now,
+            ordered_at: self.now,
             token,
             deadline,
             order,
@@ -39,23 +39,23 @@
         };
         if late {
             // The order is given again until it is answered; the late copy comes all the same.
-            let again = Flight { arrives: self.now + 600, answered: true, ..flight.clone() };
-            self.flights.push(again);
+            let again = InFlightOrder { arrives: self.now + 600, answered: true, ..flight.clone() };
+            self.in_flight.push(again);
         }
-        self.flights.push(flight);
+        self.in_flight.push(flight);
     }
 
     pub(super) fn deliver(&mut self) {
         let now = self.now;
-        let (due, later) = self.flights.drain(..).partition(|f: &Flight| f.arrives <= now);
-        self.flights = later;
+        let (due, later) = self.in_flight.drain(..).partition(|f: &InFlightOrder| f.arrives <= now);
+        self.in_flight = later;
         for flight in due {
-            self.arrive(flight);
+            self.handle_arrival(flight);
         }
     }
 
-    fn arrive(&mut self, flight: Flight) {
-        self.tell(|| format!("arrives {} of token {}", brief(&flight.order), flight.token));
+    fn handle_arrival(&mut self, flight: InFlightOrder) {
+        self.trace(|| format!("arrives {} of token {}", describe(&flight.order), flight.token));
         let target = match &flight.order {
             Order::Start(start) => start.vm.clone(),
             Order::Stop { vm, .. } | Order::Throttle { vm, .. } => vm.clone(),
@@ -63,12 +63,12 @@
         };
         let now = self.now;
         let Some((name, sim)) =
-            self.vms.iter_mut().find(|(name, sim)| life_of(name, sim) == target)
+            self.vms.iter_mut().find(|(name, sim)| incarnation_of(name, sim) == target)
         else {
             return;
         };
         let evacuated = self.evacuated.get(hall_of(name)).copied();
-        let is_copy = flight.answered && flight.given + TURN < now;
+        let is_copy = flight.answered && flight.ordered_at + TICK < now;
         if let Order::Start(start) = &flight.order
             && is_copy
             && evacuated.is_some()
@@ -79,10 +79,10 @@
             }
             return;
         }
-        if sim.cut_until > now || sim.dark_until > now {
+        if sim.cut_until > now || sim.down_until > now {
             // Given again once it can be reached, unless the owner has changed or given up on it. That gives no longer lease.
             if flight.answered && flight.token == self.token && !self.lost.contains(&target) {
-                self.flights.push(Flight { arrives: now + 200, ..flight });
+                self.in_flight.push(InFlightOrder { arrives: now + 200, ..flight });
             }
             return;
         }
@@ -92,7 +92,7 @@
         sim.fence = flight.token;
         let name = name.clone();
         match flight.order.clone() {
-            Order::Start(start) => self.arrive_start(&name, &flight, &start),
+            Order::Start(start) => self.handle_start(&name, &flight, &start),
             Order::Stop { run, .. } => {
                 let sim = self.vms.get_mut(&name).expect("it was found");
                 let barred = sim.barred.entry(run.task).or_default();
@@ -111,7 +111,7 @@
         }
     }
 
-    fn arrive_start(&mut self, name: &str, flight: &Flight, start: &StartOrder) {
+    fn handle_start(&mut self, name: &str, flight: &InFlightOrder, start: &StartOrder) {
         let (now, run) = (self.now, start.run);
         let lasts = self.rng.random_range(200..2_000);
         let fails = self.rng.random_bool(0.08);
@@ -127,10 +127,10 @@
         } else {
             sim.lease_until = sim.lease_until.max(flight.deadline);
             let evacuated = self.evacuated.get(hall_of(name)).copied();
-            let ordered_after = evacuated.is_some_and(|since| flight.given > since);
+            let ordered_after = evacuated.is_some_and(|since| flight.ordered_at > since);
             assert!(!ordered_after, "{run} starts in an evacuated hall at {now}");
-            let given = Given { token: flight.token, at: flight.given };
-            self.runs.note_start(&start.vm, run, given, now);
+            let source = Given { token: flight.token, at: flight.ordered_at };
+            self.runs.note_start(&start.vm, run, source, now);
             self.check_start(name, start);
             let shape = &self.steps[&run.task.job][usize::from(run.task.step)];
             let ends_at = if shape.lasting && !fails { Ms::MAX } else { now + lasts };
@@ -141,7 +141,7 @@
             assert!(vm_facts(name, 1).room.fits(used), "over room on {name} at {now}: {used:?}");
             StartResult::Started
         };
-        self.tell(|| format!("start {run} on {name}: {result:?}, answered {}", flight.answered));
+        self.trace(|| format!("start {run} on {name}: {result:?}, answered {}", flight.answered));
         if flight.answered && flight.token == self.token {
             self.pool.apply_start_result(&start.vm, run, result, at(now));
         }
--- a/crates/schedule/tests/world/mod.rs
+++ b/crates/schedule/tests/world/mod.rs
@@ -19,25 +19,25 @@
     VmFacts, VmIncarnation, VmLoss, VmReport,
 };
 
-use self::in_flight::Flight;
+use self::in_flight::InFlightOrder;
 use self::twice::{Given, Runs};
 use self::vm::{Run, SimVm};
 use crate::common::{at, job, lasting, step, vm as vm_facts};
 
 /// Simulated milliseconds of one turn.
-const TURN: Ms = 50;
+const TICK: Ms = 50;
 const LEASE: Ms = 6_000;
 
 pub struct World {
     pub rng: StdRng,
     now: Ms,
     vms: BTreeMap<String, SimVm>,
-    flights: Vec<Flight>,
+    in_flight: Vec<InFlightOrder>,
     log: JobLog,
     token: u64,
     /// How many records of progress were written, and the last one of each job.
-    written: u64,
-    older: BTreeMap<JobId, Vec<u8>>,
+    records_written: u64,
+    older_records: BTreeMap<JobId, Vec<u8>>,
     pool: Pool,
     steps: BTreeMap<JobId, Vec<Step>>,
     /// Ends that were listed, by task.
@@ -47,7 +47,7 @@
     failures: BTreeMap<TaskId, u32>,
     runs: Runs,
     /// Tells all that happens.
-    loud: bool,
+    verbose: bool,
     last_answer: BTreeMap<VmIncarnation, Ms>,
     lost: BTreeSet<VmIncarnation>,
     /// Evacuated halls, with since when.
@@ -56,7 +56,7 @@
 
 fn facts_of(name: &str, sim: &SimVm) -> std::sync::Arc<VmFacts> {
     let facts = vm_facts(name, sim.id_number);
-    let id = VmIncarnation::new(facts.id.id().clone(), Some(u64::from(sim.life)));
+    let id = VmIncarnation::new(facts.id.id().clone(), Some(u64::from(sim.incarnation)));
     std::sync::Arc::new(VmFacts { id, hall: hall_of(name).into(), ..facts.as_ref().clone() })
 }
 
@@ -65,7 +65,7 @@
     if name < "c" { "hall-a" } else { "hall-b" }
 }
 
-fn life_of(name: &str, sim: &SimVm) -> VmIncarnation {
+fn incarnation_of(name: &str, sim: &SimVm) -> VmIncarnation {
     facts_of(name, sim).id.clone()
 }
 
@@ -73,7 +73,7 @@
     pub fn new(seed: u64) -> Self {
         let names = ["a", "b", "c", "d"];
         let vms = names.iter().map(|n| {
-            let mut vm = SimVm { life: 1, id_number: 1, next_end: 1, ..SimVm::default() };
+            let mut vm = SimVm { incarnation: 1, id_number: 1, next_end: 1, ..SimVm::default() };
             vm.lease_until = LEASE;
             ((*n).to_owned(), vm)
         });
@@ -81,33 +81,33 @@
             rng: StdRng::seed_from_u64(seed),
             now: 0,
             vms: vms.collect(),
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             log: JobLog::default(),
             token: 1,
-            written: 0,
-            older: BTreeMap::new(),
+            records_written: 0,
+            older_records: BTreeMap::new(),
             pool: Pool::new(),
             steps: BTreeMap::new(),
             done: BTreeSet::new(),
             acknowledged: BTreeSet::new(),
             failures: BTreeMap::new(),
             runs: Runs::default(),
-            loud: std::env::var_os("THISTLE_SEED").is_some(),
+            verbose: std::env::var_os("THISTLE_SEED").is_some(),
             last_answer: BTreeMap::new(),
             lost: BTreeSet::new(),
             evacuated: BTreeMap::new(),
         };
-        world.list_all();
+        world.list_vms();
         world
     }
 
-    fn tell(&self, what: impl FnOnce() -> String) {
-        if self.loud {
+    fn trace(&self, what: impl FnOnce() -> String) {
+        if self.verbose {
             println!("{} {}", self.now, what());
         }
     }
 
-    fn list_all(&mut self) {
+    fn list_vms(&mut self) {
         for (name, sim) in &self.vms {
             self.pool.list_vm(facts_of(name, sim));
         }
@@ -143,34 +143,34 @@
 
     /// Another node takes over, knowing the records only.
     fn replace_owner(&mut self) {
-        self.tell(|| format!("owner replaced, token {}", self.token + 1));
+        self.trace(|| format!("owner replaced, token {}", self.token + 1));
         self.token += 1;
         self.pool = Pool::new();
-        self.tell_halls();
+        self.update_halls();
         self.lost.clear();
         for (id, entry) in self.log.iter() {
             self.pool.adopt(id, entry, at(self.now));
         }
         let now = self.now;
         for (name, sim) in &self.vms {
-            self.last_answer.insert(life_of(name, sim), now);
+            self.last_answer.insert(incarnation_of(name, sim), now);
         }
-        self.list_all();
+        self.list_vms();
         for id in self.pool.unlisted_with_runs() {
             self.last_answer.insert(id, now);
         }
     }
 
     /// Evacuates a hall, or takes it back.
-    fn evacuate_or_take_back(&mut self, hall: &'static str) {
+    fn toggle_evacuation(&mut self, hall: &'static str) {
         if self.evacuated.remove(hall).is_none() {
             self.evacuated.insert(hall, self.now);
         }
-        self.tell(|| format!("evacuated: {:?}", self.evacuated));
-        self.tell_halls();
+        self.trace(|| format!("evacuated: {:?}", self.evacuated));
+        self.update_halls();
     }
 
-    fn tell_halls(&mut self) {
+    fn update_halls(&mut self) {
         let mut halls = Halls::default();
         for (&hall, &since) in &self.evacuated {
             halls.evacuate(Evacuation { hall: hall.into(), since });
@@ -178,16 +178,16 @@
         self.pool.set_halls(halls.into(), true);
     }
 
-    pub fn turn(&mut self, calm: bool) {
-        self.now += TURN;
+    pub fn tick(&mut self, calm: bool) {
+        self.now += TICK;
         if calm && !self.evacuated.is_empty() {
             self.evacuated.clear();
-            self.tell_halls();
+            self.update_halls();
         }
         self.end_runs();
         self.deliver();
-        self.hold_all();
-        self.give_up_lost();
+        self.poll_vms();
+        self.expire_leases();
         let orders = self.pool.plan(at(self.now));
         let records = self.pool.take_records();
         // A crash before the records are written: nothing was ordered or acknowledged.
@@ -196,12 +196,12 @@
             return;
         }
         for (id, progress) in records {
-            self.written += 1;
-            let version = Version { token: self.token, number: self.written };
+            self.records_written += 1;
+            let version = Version { token: self.token, number: self.records_written };
             let value = encode_progress(version, &progress);
             assert!(self.log.apply(&progress_key(id), Some(&value)).is_ok());
             // Records in two partitions may be read in any order.
-            if let Some(older) = self.older.insert(id, value) {
+            if let Some(older) = self.older_records.insert(id, value) {
                 assert!(self.log.apply(&progress_key(id), Some(&older)).is_ok());
             }
         }
@@ -220,8 +220,8 @@
 
     fn end_runs(&mut self) {
         let now = self.now;
-        for (name, sim) in self.vms.iter_mut().filter(|(_, sim)| sim.dark_until <= now) {
-            let id = life_of(name, sim);
+        for (name, sim) in self.vms.iter_mut().filter(|(_, sim)| sim.down_until <= now) {
+            let id = incarnation_of(name, sim);
             let over: Vec<TaskId> =
                 sim.runs.iter().filter(|(_, r)| r.ends_at <= now).map(|(&t, _)| t).collect();
             for task in over {
@@ -251,11 +251,11 @@
     }
 
     /// Every VM that can be reached is asked and gets its lease renewed.
-    fn hold_all(&mut self) {
+    fn poll_vms(&mut self) {
         let now = self.now;
         for (name, sim) in &mut self.vms {
-            let id = life_of(name, sim);
-            if sim.cut_until > now || sim.dark_until > now {
+            let id = incarnation_of(name, sim);
+            if sim.cut_until > now || sim.down_until > now {
                 self.pool.set_reachable(&id, false, at(now));
                 continue;
             }
@@ -269,7 +269,7 @@
             };
             let running = sim.runs.iter().map(row).collect();
             let report = VmReport { requested_at: now, running, ended: sim.ended.clone() };
-            if self.loud {
+            if self.verbose {
                 let runs: Vec<String> = report.running.iter().map(|r| r.run.to_string()).collect();
                 let ends = report.ended.iter().map(|e| format!("{} {:?}", e.run, e.kind));
                 println!("{now} {id} lists {runs:?}, ended {:?}", ends.collect::<Vec<_>>());
@@ -281,7 +281,7 @@
         }
     }
 
-    fn give_up_lost(&mut self) {
+    fn expire_leases(&mut self) {
         let over = |heard: Ms| self.now >= heard + LEASE * 103 / 100 + 200;
         let gone: Vec<VmIncarnation> = self
             .last_answer
@@ -290,14 +290,14 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in gone {
-            self.tell(|| format!("lost {id}"));
+            self.trace(|| format!("lost {id}"));
             self.pool.vm_lost(&id, VmLoss::LeaseOver, at(self.now));
             self.lost.insert(id);
         }
     }
 
     fn acknowledge(&mut self, id: &VmIncarnation, sequence: u64) {
-        let Some((_, sim)) = self.vms.iter_mut().find(|(n, sim)| life_of(n, sim) == *id) else {
+        let Some((_, sim)) = self.vms.iter_mut().find(|(n, sim)| incarnation_of(n, sim) == *id) else {
             return;
         };
         self.runs.note_acknowledged(id, sequence, self.now);
@@ -316,14 +316,14 @@
         }
     }
 
-    pub fn trouble(&mut self) {
+    pub fn inject_fault(&mut self) {
         let names: Vec<String> = self.vms.keys().cloned().collect();
         let name = names[self.rng.random_range(0..names.len())].clone();
         let now = self.now;
         let lasts = self.rng.random_range(500..9_000);
         let kind = self.rng.random_range(0..100);
         if kind < 5 {
-            self.tell(|| format!("{name} {}", if kind < 3 { "cut off" } else { "crashes" }));
+            self.trace(|| format!("{name} {}", if kind < 3 { "cut off" } else { "crashes" }));
         }
         let sim = self.vms.get_mut(&name).expect("it is there");
         match kind {
@@ -332,11 +332,11 @@
                 // It crashes and comes back, at times under its ID.
                 let keeps_id = self.rng.random_bool(0.5);
                 let sim = self.vms.get_mut(&name).expect("it is there");
-                let old = life_of(&name, sim);
+                let old = incarnation_of(&name, sim);
                 self.runs.note_death(&old);
-                let life = sim.life + 1;
+                let life = sim.incarnation + 1;
                 let id_number = if keeps_id { sim.id_number } else { life };
-                *sim = SimVm { life, id_number, next_end: 1, lease_until: now, ..SimVm::default() };
+                *sim = SimVm { incarnation: life, id_number, next_end: 1, lease_until: now, ..SimVm::default() };
                 self.pool.unlist_vm(&old);
                 let facts = facts_of(&name, sim);
                 let new = facts.id.clone();
@@ -350,7 +350,7 @@
                 self.last_answer.insert(new, now);
             }
             5..8 => self.replace_owner(),
-            8..10 => self.evacuate_or_take_back(hall_of(&name)),
+            8..10 => self.toggle_evacuation(hall_of(&name)),
             _ => (),
         }
     }
--- a/crates/schedule/tests/world/vm.rs
+++ b/crates/schedule/tests/world/vm.rs
@@ -14,7 +14,7 @@
 
 #[derive(Default, Debug)]
 pub struct SimVm {
-    pub life: u32,
+    pub incarnation: u32,
     /// Under which ID it is listed; it may start again under the one that it had.
     pub id_number: u32,
     pub fence: u64,
@@ -27,7 +27,7 @@
     pub next_end: u64,
     pub lease_until: Ms,
     pub cut_until: Ms,
-    pub dark_until: Ms,
+    pub down_until: Ms,
 }
 
 impl SimVm {
