--- a/crates/schedule/tests/crashing_tasks.rs
+++ b/crates/schedule/tests/crashing_tasks.rs
@@ -19,7 +19,7 @@
 };
 
 /// The downtime of a VM that crashed.
-const AWAY_MS: Ms = 3_300;
+const DOWNTIME_MS: Ms = 3_300;
 /// The most starts of a task under which VMs crash: the platform allows two starts after the third crash.
 const MOST_STARTS: usize = 5;
 
@@ -41,7 +41,7 @@
     }
 
     /// Crashes each VM right after a start on it, and returns how often task 0 was started.
-    fn play(&mut self, change_owner: bool) -> usize {
+    fn run(&mut self, change_owner: bool) -> usize {
         let mut started = 0;
         for _ in 0..40 {
             let mut orders = starts(&self.pool.plan(at(self.now)));
@@ -95,7 +95,7 @@
             .find(|(name, life)| vm(name, **life).id == *id)
             .expect("orders go to VMs that are there");
         self.pool.set_reachable(id, false, at(self.now));
-        self.now += AWAY_MS;
+        self.now += DOWNTIME_MS;
         self.incarnations.insert(name, number + 1);
         let next = vm(name, number + 1);
         self.pool.list_vm(next.clone());
@@ -115,7 +115,7 @@
     ];
     for (what, step, change_owner) in cases {
         let mut crashes = Crashes::new(vec![step]);
-        expect_that!(crashes.play(change_owner), le(MOST_STARTS), "{what}");
+        expect_that!(crashes.run(change_owner), le(MOST_STARTS), "{what}");
         expect_that!(crashes.phase, eq(Phase::Failed), "{what}");
     }
 }
@@ -149,12 +149,12 @@
 
 #[gtest]
 fn an_unresponsive_vm_counts_once_it_is_known_to_have_crashed() {
-    let silent = |vm: &str| UnclearLoss { vm: vm.into(), name: "m".into(), at_ms: 1_000 };
+    let unclear_loss = |vm: &str| UnclearLoss { vm: vm.into(), name: "m".into(), at_ms: 1_000 };
     let mut history = crash_history(&[(false, false); 3]);
-    history.add_unclear(silent("a"));
-    history.add_unclear(silent("a"));
+    history.add_unclear(unclear_loss("a"));
+    history.add_unclear(unclear_loss("a"));
     expect_that!(history.verdict(), eq(Verdict::Suspect));
-    history.add_unclear(silent("b"));
+    history.add_unclear(unclear_loss("b"));
     expect_that!(history.verdict(), eq(Verdict::Held), "both may have crashed");
     expect_that!(history.resolve("a", false), eq(true));
     expect_that!(history.resolve("a", true), eq(false));
@@ -208,10 +208,10 @@
     expect_that!(again, len(eq(1)));
     let third = JobId(8);
     pool.submit(third, job(vec![step(1, 500)]), at(3_310));
-    let beside = plan_and_start(&mut pool, 3_320);
-    expect_that!(beside, len(eq(1)));
-    expect_that!(beside[0].run.task.job, eq(third));
-    expect_that!(beside[0].vm, not(eq(&again[0].vm)));
+    let third_started = plan_and_start(&mut pool, 3_320);
+    expect_that!(third_started, len(eq(1)));
+    expect_that!(third_started[0].run.task.job, eq(third));
+    expect_that!(third_started[0].vm, not(eq(&again[0].vm)));
 }
 
 #[gtest]
@@ -304,5 +304,5 @@
     let orders = starts(&pool.plan(at(600)));
     expect_that!(orders, not(is_empty()));
     let held = pool.demand(0, at(610)).staying;
-    expect_that!(held, ge(4_000), "nothing else goes beside it");
+    expect_that!(held, ge(4_000), "no other job is placed on its VM");
 }
--- a/crates/schedule/tests/emptying.rs
+++ b/crates/schedule/tests/emptying.rs
@@ -118,10 +118,10 @@
     }
     for draining in ["b", "a"] {
         let mut pool = pool.clone();
-        let sound = if draining == "a" { "b" } else { "a" };
+        let healthy = if draining == "a" { "b" } else { "a" };
         let facts = common::vm(draining, 1);
         pool.list_vm(thistle_schedule::VmFacts { draining: true, ..(*facts).clone() }.into());
-        pool.set_cordoned([Arc::from(sound)].into());
+        pool.set_cordoned([Arc::from(healthy)].into());
         let leaving = started.iter().find(|s| s.vm == facts.id).expect("one runs there").run;
         expect_that!(stops(&pool.plan(at(200))), eq(&vec![leaving]), "{draining} drains");
     }
--- a/crates/schedule/tests/histories/machine.rs
+++ b/crates/schedule/tests/histories/machine.rs
@@ -87,9 +87,9 @@
         !matches!(self.state, State::Down(_)) && now >= self.cut_until
     }
 
-    pub fn crash(&mut self, now: Ms, away: Ms, unresponsive: bool) {
+    pub fn crash(&mut self, now: Ms, downtime: Ms, unresponsive: bool) {
         if !matches!(self.state, State::Down(_)) {
-            self.state = State::Down(now + away);
+            self.state = State::Down(now + downtime);
             self.unresponsive = unresponsive;
             self.runs.clear();
             self.ended.clear();
@@ -129,9 +129,9 @@
             let lapsed: Vec<TaskId> = self.runs.keys().copied().collect();
             lapsed.into_iter().for_each(|task| self.end(task, EndKind::Lapsed));
         }
-        let over = self.runs.iter().filter(|(_, run)| run.ends_at <= now);
-        let over: Vec<TaskId> = over.map(|(&task, _)| task).collect();
-        over.into_iter().for_each(|task| self.end(task, EndKind::Done));
+        let finished = self.runs.iter().filter(|(_, run)| run.ends_at <= now);
+        let finished: Vec<TaskId> = finished.map(|(&task, _)| task).collect();
+        finished.into_iter().for_each(|task| self.end(task, EndKind::Done));
     }
 
     pub fn end(&mut self, task: TaskId, kind: EndKind) {
--- a/crates/schedule/tests/histories/mod.rs
+++ b/crates/schedule/tests/histories/mod.rs
@@ -23,9 +23,9 @@
 /// All jobs must have ended by this time.
 const END: Ms = 75_000;
 const VMS: usize = 12;
-const RACK: usize = 4;
+const VMS_PER_RACK: usize = 4;
 /// The downtime of a VM that crashed.
-const AWAY: Ms = 3_300;
+const DOWNTIME: Ms = 3_300;
 /// The time after the last contact with a VM when its lease has expired for certain.
 const LEASE: Ms = 6_300;
 
@@ -96,7 +96,7 @@
 
 impl History {
     pub fn new(seed: u64, setting: Setting) -> Self {
-        let machines = (0..VMS).map(|i| Machine::new(i, i / RACK)).collect();
+        let machines = (0..VMS).map(|i| Machine::new(i, i / VMS_PER_RACK)).collect();
         let mut history = Self {
             rng: StdRng::seed_from_u64(seed),
             setting,
@@ -144,9 +144,9 @@
             return;
         }
         let id = JobId(u64::try_from(self.steps.len()).unwrap_or(0) + 1);
-        let lasts = self.rng.random_bool(0.08);
+        let is_lasting = self.rng.random_bool(0.08);
         let width = self.rng.random_range(2..9);
-        let steps = match (lasts, self.rng.random_bool(0.4)) {
+        let steps = match (is_lasting, self.rng.random_bool(0.4)) {
             (true, _) => vec![lasting(3, 1)],
             (false, true) => {
                 vec![step(width, 900), Step { depends_on: vec![0], ..step(width, 900) }]
@@ -157,7 +157,7 @@
             let index = self.rng.random_range(0..steps[0].count);
             self.faulty_tasks.insert(TaskId { job: id, time: 0, step: 0, index });
         }
-        if lasts {
+        if is_lasting {
             self.cancel_times.insert(id, self.now + self.rng.random_range(10_000..40_000));
         }
         let spec =
@@ -171,13 +171,13 @@
     }
 
     fn cancel_lasting(&mut self) {
-        let over: Vec<JobId> = self
+        let due: Vec<JobId> = self
             .cancel_times
             .iter()
             .filter(|(_, end)| **end <= self.now)
             .map(|(&id, _)| id)
             .collect();
-        for id in over {
+        for id in due {
             self.cancel_times.remove(&id);
             self.settled.insert(id);
             self.pool.cancel(id, at(self.now));
@@ -205,10 +205,12 @@
     fn inject_faults(&mut self) {
         let i = self.rng.random_range(0..VMS);
         match self.rng.random_range(0..1_000) {
-            0..2 => self.crash(i, AWAY),
+            0..2 => self.crash(i, DOWNTIME),
             2 if self.rng.random_bool(0.5) => {
-                let rack = i / RACK;
-                (0..VMS).filter(|i| i / RACK == rack).for_each(|i| self.crash(i, 2 * AWAY));
+                let rack = i / VMS_PER_RACK;
+                (0..VMS)
+                    .filter(|i| i / VMS_PER_RACK == rack)
+                    .for_each(|i| self.crash(i, 2 * DOWNTIME));
             }
             3..5 => self.machines[i].cut_until = self.now + self.rng.random_range(500..12_000),
             5 => self.machines[i].leave(self.now),
@@ -217,9 +219,9 @@
         }
     }
 
-    fn crash(&mut self, i: usize, away: Ms) {
-        let dark = self.rng.random_bool(0.3);
-        self.machines[i].crash(self.now, away, dark);
+    fn crash(&mut self, i: usize, downtime: Ms) {
+        let unresponsive = self.rng.random_bool(0.3);
+        self.machines[i].crash(self.now, downtime, unresponsive);
     }
 
     /// Restarts VMs that are due and ends runs that are done or whose lease has expired.
@@ -262,9 +264,9 @@
     }
 
     fn expire_orphans(&mut self) {
-        let there: Vec<VmIncarnation> =
+        let present: Vec<VmIncarnation> =
             self.machines.iter().map(|m| m.facts().id.clone()).collect();
-        for id in self.pool.unlisted_with_runs().into_iter().filter(|id| !there.contains(id)) {
+        for id in self.pool.unlisted_with_runs().into_iter().filter(|id| !present.contains(id)) {
             self.orphans.entry(id).or_insert(self.now + LEASE);
         }
         let now = self.now;
@@ -327,20 +329,20 @@
         }
         let task = start.run.task;
         let shape = &self.steps[&task.job][usize::from(task.step)];
-        let lasts = if shape.lasting { Ms::MAX } else { self.rng.random_range(300..1_500) };
+        let duration = if shape.lasting { Ms::MAX } else { self.rng.random_range(300..1_500) };
         let machine = &mut self.machines[i];
-        machine.start(start.run, shape, now, now.saturating_add(lasts));
+        machine.start(start.run, shape, now, now.saturating_add(duration));
         if !self.faulty_tasks.contains(&task) {
             self.pool.apply_start_result(&start.vm, start.run, StartResult::Started, at(now));
             return;
         }
-        let (crashes, since) = self.crash_counts.entry(task).or_default();
-        *since += u32::from(*crashes >= 3);
-        self.figures.started_too_often += u32::from(*since > 2);
+        let (crashes, starts) = self.crash_counts.entry(task).or_default();
+        *starts += u32::from(*crashes >= 3);
+        self.figures.started_too_often += u32::from(*starts > 2);
         *crashes += 1;
         self.figures.crashes += 1;
         self.figures.lost_work_of_others += machine.work_of_others(task, now);
-        self.crash(i, AWAY);
+        self.crash(i, DOWNTIME);
         self.machines[i].crashed_by_task = true;
     }
 }
--- a/crates/schedule/tests/late_calls.rs
+++ b/crates/schedule/tests/late_calls.rs
@@ -12,7 +12,7 @@
 const FAULT_FREE_AFTER: u64 = 2_500;
 const SEEDS: u64 = 60;
 
-fn play(seed: u64, faults: Faults) {
+fn run_seed(seed: u64, faults: Faults) {
     let mut world = World::new(seed, faults);
     let mut next = 1;
     for tick in 0..TICKS {
@@ -36,19 +36,21 @@
     world.check_settled();
 }
 
-/// Plays all seeds and returns those that fail. `THISTLE_SEED` plays a single seed and prints all events.
-fn broken_seeds(faults: Faults) -> Vec<u64> {
+/// Runs all seeds and returns those that fail. `THISTLE_SEED` runs a single seed and prints all events.
+fn failing_seeds(faults: Faults) -> Vec<u64> {
     if let Some(seed) = std::env::var("THISTLE_SEED").ok().and_then(|seed| seed.parse().ok()) {
-        play(seed, faults);
+        run_seed(seed, faults);
         return Vec::new();
     }
     let seeds = if std::env::var_os("THISTLE_LONG_RUN").is_some() { SEEDS * 50 } else { SEEDS };
-    (0..seeds).filter(|&seed| std::panic::catch_unwind(|| play(seed, faults)).is_err()).collect()
+    (0..seeds)
+        .filter(|&seed| std::panic::catch_unwind(|| run_seed(seed, faults)).is_err())
+        .collect()
 }
 
 fn assert_guarantees_hold(faults: Faults) {
-    let broken = broken_seeds(faults);
-    assert!(broken.is_empty(), "{} seeds: {broken:?}", broken.len());
+    let failing = failing_seeds(faults);
+    assert!(failing.is_empty(), "{} seeds: {failing:?}", failing.len());
 }
 
 #[test]
@@ -136,9 +138,11 @@
 /// received it, and the task was started again.
 #[test]
 fn an_acknowledgement_that_reaches_the_next_incarnation_drops_none_of_its_ends() {
-    let broken: Vec<u64> = [410, 1_264]
+    let failing: Vec<u64> = [410, 1_264]
         .into_iter()
-        .filter(|&seed| std::panic::catch_unwind(|| play(seed, RESTARTS_AND_LATE_CALLS)).is_err())
+        .filter(|&seed| {
+            std::panic::catch_unwind(|| run_seed(seed, RESTARTS_AND_LATE_CALLS)).is_err()
+        })
         .collect();
-    assert!(broken.is_empty(), "{broken:?}");
+    assert!(failing.is_empty(), "{failing:?}");
 }
--- a/crates/schedule/tests/link_world/faults.rs
+++ b/crates/schedule/tests/link_world/faults.rs
@@ -6,7 +6,7 @@
     pub fn inject_fault(&mut self) {
         let names: Vec<String> = self.vms.keys().cloned().collect();
         let name = names[self.rng.random_range(0..names.len())].clone();
-        let (now, lasts) = (self.now, self.rng.random_range(300..9_000));
+        let (now, duration) = (self.now, self.rng.random_range(300..9_000));
         let kind = self.rng.random_range(0..1_000);
         let faults = self.faults;
         let Some(vm) = self.vms.get_mut(&name) else { return };
@@ -19,8 +19,8 @@
             _ => None,
         };
         if let Some(path) = path {
-            (vm.path, vm.path_until) = (path, now + lasts);
-            self.trace(|| format!("the way to {name} is {path:?} for {lasts}"));
+            (vm.path, vm.path_until) = (path, now + duration);
+            self.trace(|| format!("the path to {name} is {path:?} for {duration}"));
             return;
         }
         match kind {
@@ -30,8 +30,8 @@
             44..48 => self.replace_owner(),
             48..56 if faults.owners_restart => self.restart_owner(),
             56..62 if faults.vms_are_unlisted => {
-                (vm.listed, vm.listed_again_at) = (false, now + lasts);
-                self.trace(|| format!("{name} is not listed for {lasts}"));
+                (vm.listed, vm.listed_again_at) = (false, now + duration);
+                self.trace(|| format!("{name} is not listed for {duration}"));
                 self.list_vms();
             }
             62..72 if faults.rooms_shrink => {
@@ -43,7 +43,7 @@
             72..82 if faults.room_is_enforced => {
                 let cpu = if vm.actual_room.cpu == 4_000 { 1_000 } else { 4_000 };
                 vm.actual_room.cpu = cpu;
-                self.trace(|| format!("{name} has {cpu}, whatever it tells"));
+                self.trace(|| format!("{name} has {cpu}, whatever it reports"));
             }
             _ => (),
         }
@@ -63,12 +63,12 @@
         // Hold requests that wait at the VM, and orders that it has received but not carried out, are lost with it.
         self.messages
             .retain(|m| m.vm.id() != id.id() || !m.queued_at_vm && m.waits_until.is_none());
-        let most = if self.rng.random_bool(0.7) { 500 } else { 8_000 };
-        let away = self.rng.random_range(50..most);
-        self.trace(|| format!("{name} crashes and is away for {away}"));
+        let max_downtime = if self.rng.random_bool(0.7) { 500 } else { 8_000 };
+        let downtime = self.rng.random_range(50..max_downtime);
+        self.trace(|| format!("{name} crashes and is down for {downtime}"));
         if let Some(vm) = self.vms.get_mut(name) {
             vm.runs.clear();
-            vm.down_until = Some(self.now + away);
+            vm.down_until = Some(self.now + downtime);
         }
     }
 
--- a/crates/schedule/tests/link_world/link.rs
+++ b/crates/schedule/tests/link_world/link.rs
@@ -7,7 +7,7 @@
 use super::vm::{Answer, Call};
 use super::{Event, LEASE};
 
-const RETRY: Ms = 200;
+const RETRY_DELAY: Ms = 200;
 const MAX_IN_FLIGHT: usize = 2;
 const MIN_TIMEOUT: Ms = 80;
 const MAX_TIMEOUT: Ms = 600;
@@ -28,6 +28,7 @@
     /// The number of losses of the VM when the start was ordered.
     losses: u32,
     deadline: Option<u64>,
+    /// A copy of the start had no answer, so the run may have started.
     may_have_started: bool,
     cancelled: bool,
     pending: Option<Pending>,
@@ -179,7 +180,7 @@
         };
         start.deadline = Some(deadline);
         if start.may_have_started && self.lease.is_unresponsive() {
-            start.retry_at = now + RETRY;
+            start.retry_at = now + RETRY_DELAY;
             return true;
         }
         let call = send(Call::Start { order: start.order.clone(), deadline });
@@ -258,7 +259,7 @@
     }
 
     /// Closes the link because the VM has restarted.
-    pub fn end_as_restarted(&mut self, incarnation: VmIncarnation, events: &mut Vec<Event>) {
+    pub fn close_as_restarted(&mut self, incarnation: VmIncarnation, events: &mut Vec<Event>) {
         self.closed = true;
         self.losses += 1;
         events.push(Event::Restarted(self.vm.clone(), incarnation));
@@ -276,7 +277,7 @@
         self.answered_at = answer.is_some().then_some(now);
         if let Some(Answer::Held { incarnation, clock, running, ended }) = answer {
             if incarnation != self.vm {
-                self.end_as_restarted(incarnation, events);
+                self.close_as_restarted(incarnation, events);
                 return;
             }
             self.lease.record_clock(clock, now);
@@ -313,7 +314,7 @@
             self.losses += 1;
             events.push(Event::Lost(self.vm.clone(), VmLoss::LeaseOver));
         }
-        self.query_at = now + RETRY;
+        self.query_at = now + RETRY_DELAY;
     }
 
     fn handle_start_answer(
@@ -338,7 +339,7 @@
                     start.may_have_started = true;
                     self.lease.record_unanswered_start(now);
                 }
-                start.retry_at = if answer.is_none() { now } else { now + RETRY };
+                start.retry_at = if answer.is_none() { now } else { now + RETRY_DELAY };
                 return;
             }
         };
@@ -361,6 +362,6 @@
             events.push(Event::Stopped(self.vm.clone(), run));
             return;
         }
-        stop.retry_at = if answer.is_none() { now } else { now + RETRY };
+        stop.retry_at = if answer.is_none() { now } else { now + RETRY_DELAY };
     }
 }
--- a/crates/schedule/tests/link_world/machines.rs
+++ b/crates/schedule/tests/link_world/machines.rs
@@ -44,8 +44,8 @@
             Call::Start { order, deadline } => self.handle_start(&name, &message, &order, deadline),
             Call::Stop { run } => {
                 vm.bar(run);
-                let there = vm.runs.get(&run.task).map(|r| r.attempt);
-                if let Some(attempt) = there.filter(|&a| a <= run.attempt) {
+                let running = vm.runs.get(&run.task).map(|r| r.attempt);
+                if let Some(attempt) = running.filter(|&a| a <= run.attempt) {
                     self.end_run(&name, RunId { task: run.task, attempt }, EndKind::Stopped);
                 }
                 self.answer(&message, Answer::Stopped);
@@ -61,7 +61,7 @@
         deadline: u64,
     ) {
         let (now, run) = (self.now, order.run);
-        let lasts = self.rng.random_range(200..2_000);
+        let duration = self.rng.random_range(200..2_000);
         let fails = self.rng.random_bool(0.05);
         let demand = self.steps[&run.task.job][usize::from(run.task.step)].room();
         let Some(vm) = self.vms.get_mut(name) else { return };
@@ -76,12 +76,13 @@
             return;
         }
         let Some(vm) = self.vms.get_mut(name) else { return };
-        vm.runs.insert(run.task, Run { attempt: run.attempt, ends_at: now + lasts, fails, demand });
+        vm.runs
+            .insert(run.task, Run { attempt: run.attempt, ends_at: now + duration, fails, demand });
         let (room, used, incarnation) = (vm.room, vm.used(), vm.id.clone());
         let answered = message.answered;
         self.trace(|| {
             format!(
-                "start {run} on {} of token {} begins, answer heard {answered}",
+                "start {run} on {} of token {} begins, answered {answered}",
                 order.vm, message.token
             )
         });
@@ -142,18 +143,18 @@
             if vm.path_until <= now {
                 vm.path = PathState::Clear;
             }
-            let over = vm.runs.iter().filter(|(_, r)| r.ends_at <= now);
-            let over: Vec<(RunId, EndKind)> = over
+            let finished = vm.runs.iter().filter(|(_, r)| r.ends_at <= now);
+            let finished: Vec<(RunId, EndKind)> = finished
                 .map(|(&task, r)| {
                     let kind = if r.fails { EndKind::Failed } else { EndKind::Done };
                     (RunId { task, attempt: r.attempt }, kind)
                 })
                 .collect();
-            let lapsed = vm.leased_until <= vm.clock(now);
-            for (run, kind) in over {
+            let expired = vm.leased_until <= vm.clock(now);
+            for (run, kind) in finished {
                 self.end_run(&name, run, kind);
             }
-            if lapsed {
+            if expired {
                 self.expire_lease(&name);
             }
             self.relist_if_due(&name);
@@ -193,7 +194,7 @@
             *self.failures.entry(end.run.task).or_default() += 1;
         }
         if !seen.is_empty() {
-            self.runs.record_acknowledged(&id, last_seen, self.now);
+            self.runs.record_acknowledgement(&id, last_seen, self.now);
         }
     }
 
--- a/crates/schedule/tests/link_world/mod.rs
+++ b/crates/schedule/tests/link_world/mod.rs
@@ -75,6 +75,7 @@
     vm: VmIncarnation,
     token: u64,
     call: Call,
+    /// Whether the answer reaches the owner.
     answered: bool,
     /// The call has arrived and is held until a run ends, at most until this time.
     waits_until: Option<Ms>,
--- a/crates/schedule/tests/link_world/owner.rs
+++ b/crates/schedule/tests/link_world/owner.rs
@@ -25,13 +25,13 @@
     /// Starts another owner, which knows only the records. Calls that the previous owner sent stay in flight.
     fn start_owner(&mut self, token: u64) {
         // The records that the previous owner was writing are stored or lost.
-        if let Some(step) = self.pending_write.take()
+        if let Some(write) = self.pending_write.take()
             && self.rng.random_bool(0.5)
         {
-            self.write(step.records);
+            self.write(write.records);
         }
         (self.token, self.record_number) = (token, 0);
-        self.trace(|| format!("an owner begins, token {}", self.token));
+        self.trace(|| format!("owner starts, token {}", self.token));
         self.pool = Pool::new();
         self.links.clear();
         self.events.clear();
@@ -46,11 +46,11 @@
     pub(super) fn list_vms(&mut self) {
         let names: Vec<String> = self.vms.keys().cloned().collect();
         let listed = self.pool.vm_summaries();
-        let mut there = BTreeMap::new();
+        let mut present = BTreeMap::new();
         let names = names.iter().filter(|n| self.vms[*n].listed).collect::<Vec<_>>();
         for name in names {
             let facts = self.facts(name);
-            there.insert(facts.id.clone(), name.clone());
+            present.insert(facts.id.clone(), name.clone());
             self.orphans.remove(&facts.id);
             let (id, now) = (facts.id.clone(), self.now);
             self.pool.list_vm(facts);
@@ -60,14 +60,14 @@
                 Some(_) | None => self.open_link(id),
             }
         }
-        for vm in listed.iter().filter(|vm| !there.contains_key(&vm.id)) {
+        for vm in listed.iter().filter(|vm| !present.contains_key(&vm.id)) {
             self.pool.unlist_vm(&vm.id);
             if vm.reachable && self.link(&vm.id).is_some_and(|link| !link.closed) {
                 continue;
             }
             // Another incarnation of the VM is listed.
             let other =
-                there.iter().find(|(id, name)| ***name == *vm.name || id.id() == vm.id.id());
+                present.iter().find(|(id, name)| ***name == *vm.name || id.id() == vm.id.id());
             let Some((incarnation, _)) = other else { continue };
             if !incarnation.is_other_incarnation_of(&vm.id) {
                 self.events.push(Event::Lost(vm.id.clone(), VmLoss::Replaced));
@@ -75,7 +75,7 @@
                 let (incarnation, mut events) =
                     (incarnation.clone(), std::mem::take(&mut self.events));
                 match self.link_mut(&vm.id) {
-                    Some(link) => link.end_as_restarted(incarnation, &mut events),
+                    Some(link) => link.close_as_restarted(incarnation, &mut events),
                     None => events.push(Event::Restarted(vm.id.clone(), incarnation)),
                 }
                 self.events = events;
@@ -103,12 +103,12 @@
     }
 
     pub(super) fn run_owner(&mut self, fault_free: bool) {
-        if let Some(step) = self.pending_write.take() {
-            if step.until > self.now {
-                self.pending_write = Some(step);
+        if let Some(write) = self.pending_write.take() {
+            if write.until > self.now {
+                self.pending_write = Some(write);
                 return;
             }
-            self.carry_out(step);
+            self.carry_out(write);
         }
         if self.events.is_empty() && self.now < self.planned_at + PLAN_INTERVAL {
             return;
@@ -122,16 +122,16 @@
         let records = self.pool.take_records();
         let acks = self.pool.take_acks();
         let slow = self.faults.slow_store && !fault_free && self.rng.random_bool(0.02);
-        let takes = match records.is_empty() {
+        let write_time = match records.is_empty() {
             true => 0,
             false if slow => self.rng.random_range(200..12_000),
             false => self.rng.random_range(0..3) * TICK,
         };
-        let step = PendingWrite { until: self.now + takes, records, acks, orders };
-        if takes > 0 {
-            self.pending_write = Some(step);
+        let write = PendingWrite { until: self.now + write_time, records, acks, orders };
+        if write_time > 0 {
+            self.pending_write = Some(write);
         } else {
-            self.carry_out(step);
+            self.carry_out(write);
         }
         let known: BTreeSet<VmIncarnation> =
             self.pool.vm_summaries().into_iter().map(|vm| vm.id).collect();
@@ -147,14 +147,14 @@
         }
     }
 
-    pub(super) fn carry_out(&mut self, step: PendingWrite) {
-        self.write(step.records);
-        for (vm, sequence) in step.acks {
+    pub(super) fn carry_out(&mut self, write: PendingWrite) {
+        self.write(write.records);
+        for (vm, sequence) in write.acks {
             if let Some(link) = self.link_mut(&vm) {
                 link.acked = link.acked.max(sequence);
             }
         }
-        for order in step.orders {
+        for order in write.orders {
             self.dispatch(order);
         }
     }
@@ -190,7 +190,7 @@
     pub(super) fn apply_event(&mut self, event: Event) {
         let now = at(self.now);
         if !matches!(event, Event::Report(..)) {
-            self.trace(|| format!("told {event:?}"));
+            self.trace(|| format!("applies {event:?}"));
         }
         match event {
             Event::Report(vm, _) if self.link(&vm).is_none() => (),
@@ -199,11 +199,11 @@
                 if !report.ended.is_empty() || !changes.not_listed.is_empty() {
                     let ended = report.ended.iter().map(|e| format!("{} {:?}", e.run, e.kind));
                     let ended: Vec<String> = ended.collect();
-                    let gone: Vec<String> =
+                    let not_listed: Vec<String> =
                         changes.not_listed.iter().map(RunId::to_string).collect();
                     self.trace(|| {
                         format!(
-                            "{vm}, asked {}: ended {ended:?}, not listed {gone:?}",
+                            "{vm}, requested {}: ended {ended:?}, not listed {not_listed:?}",
                             report.requested_at
                         )
                     });
@@ -238,9 +238,9 @@
 
     pub(super) fn drop_orphans(&mut self) {
         let now = self.now;
-        let over = self.orphans.iter().filter(|(_, at)| **at <= now);
-        let over: Vec<VmIncarnation> = over.map(|(vm, _)| vm.clone()).collect();
-        for vm in over {
+        let expired = self.orphans.iter().filter(|(_, at)| **at <= now);
+        let expired: Vec<VmIncarnation> = expired.map(|(vm, _)| vm.clone()).collect();
+        for vm in expired {
             self.orphans.remove(&vm);
             self.pool.vm_lost(&vm, VmLoss::LeaseOver, at(now));
         }
--- a/crates/schedule/tests/link_world/vm.rs
+++ b/crates/schedule/tests/link_world/vm.rs
@@ -169,11 +169,11 @@
         if deadline < self.clock(now) {
             return Some(Answer::Late);
         }
-        let there = self.runs.get(&run.task).map(|r| r.attempt);
-        if there == Some(run.attempt) {
+        let running = self.runs.get(&run.task).map(|r| r.attempt);
+        if running == Some(run.attempt) {
             return Some(Answer::Started);
         }
-        if there.is_some() || self.barred.get(&run.task).is_some_and(|&b| run.attempt <= b) {
+        if running.is_some() || self.barred.get(&run.task).is_some_and(|&b| run.attempt <= b) {
             return Some(Answer::Old);
         }
         (self.enforces_room && !self.actual_room.fits(self.used().plus(demand)))
--- a/crates/schedule/tests/need.rs
+++ b/crates/schedule/tests/need.rs
@@ -43,10 +43,10 @@
 }
 
 /// The lead time for which the tests query the demand.
-const LEAD: u64 = 2_000;
+const LEAD_TIME: u64 = 2_000;
 
 fn arriving(pool: &Pool, now: u64) -> u64 {
-    pool.demand(LEAD, at(now)).arriving
+    pool.demand(LEAD_TIME, at(now)).arriving
 }
 
 #[gtest]
@@ -97,7 +97,7 @@
     let second = Step { depends_on: vec![0], estimated_ms: 1_500, ..step(3, 500) };
     pool.submit(JOB, job(vec![step(2, 1_000), second]), at(0));
     plan_and_start(&mut pool, 0);
-    let soon = pool.demand(LEAD, at(10));
+    let soon = pool.demand(LEAD_TIME, at(10));
     expect_that!((soon.staying, soon.waiting, soon.following), eq((0, 0, 1_500)));
     let now = pool.demand(0, at(10));
     expect_that!((now.staying, now.waiting, now.following), eq((2_000, 0, 0)));
@@ -113,7 +113,7 @@
     pool.submit(JOB, job(vec![step(2, 1_000), second, third]), at(0));
     plan_and_start(&mut pool, 0);
     expect_that!(pool.demand(1_200, at(0)).following, eq(1_500), "the second, from 1.0 to 1.5 s");
-    expect_that!(pool.demand(LEAD, at(0)).following, eq(400), "the third, from 1.5 to 2.5 s");
+    expect_that!(pool.demand(LEAD_TIME, at(0)).following, eq(400), "the third, from 1.5 to 2.5 s");
     expect_that!(pool.demand(2_600, at(0)).following, eq(0), "all have ended");
 }
 
@@ -122,16 +122,16 @@
     let mut pool = pool_with(&["a"]);
     pool.submit(JOB, job(vec![lasting(1, 1)]), at(0));
     plan_and_start(&mut pool, 0);
-    expect_that!(pool.demand(LEAD, at(60_000)).in_time(), eq(1_000));
+    expect_that!(pool.demand(LEAD_TIME, at(60_000)).in_time(), eq(1_000));
     let late = JobSpec { accepted_ms: WALL, ..job(vec![step(8, 1_000)]).as_ref().clone() };
     pool.submit(JobId(2), late.into(), at(0));
     plan_and_start(&mut pool, 0);
     expect_that!(
-        pool.demand(LEAD, at(0)).waiting,
+        pool.demand(LEAD_TIME, at(0)).waiting,
         eq(5_000),
         "three have room beside the lasting one"
     );
-    expect_that!(pool.demand(LEAD, at(60_000)).waiting, eq(0));
+    expect_that!(pool.demand(LEAD_TIME, at(60_000)).waiting, eq(0));
 }
 
 /// Lasting tasks that fitted on none of eleven VMs, half of whose room was in use, waited for 12 s because the
@@ -143,7 +143,7 @@
     let step = Step { anti_affinity: 0, demand: large, ..lasting(3, 1) };
     pool.submit(JOB, job(vec![step]), at(0));
     expect_that!(plan_and_start(&mut pool, 0), len(eq(1)));
-    expect_that!(pool.demand(LEAD, at(10)).waiting, eq(3_000), "two of 500 each");
+    expect_that!(pool.demand(LEAD_TIME, at(10)).waiting, eq(3_000), "two of 500 each");
 }
 
 /// A task that needed a whole VM of sixteen cores was not started for 25 s in a pool that used less than half of its
--- a/crates/schedule/tests/random.rs
+++ b/crates/schedule/tests/random.rs
@@ -15,7 +15,7 @@
 const FAULT_FREE_AFTER: u64 = 500;
 const SEEDS: u64 = 60;
 
-fn play(seed: u64) {
+fn run_seed(seed: u64) {
     let mut world = World::new(seed);
     let mut next = 1;
     for tick in 0..TICKS {
@@ -36,18 +36,18 @@
     world.check_settled();
 }
 
-/// Plays all seeds and returns those that fail. `THISTLE_SEED` plays a single seed and prints all events.
-fn broken_seeds() -> Vec<u64> {
+/// Runs all seeds and returns those that fail. `THISTLE_SEED` runs a single seed and prints all events.
+fn failing_seeds() -> Vec<u64> {
     if let Some(seed) = std::env::var("THISTLE_SEED").ok().and_then(|seed| seed.parse().ok()) {
-        play(seed);
+        run_seed(seed);
         return Vec::new();
     }
     let seeds = if std::env::var_os("THISTLE_LONG_RUN").is_some() { SEEDS * 50 } else { SEEDS };
-    (0..seeds).filter(|&seed| std::panic::catch_unwind(|| play(seed)).is_err()).collect()
+    (0..seeds).filter(|&seed| std::panic::catch_unwind(|| run_seed(seed)).is_err()).collect()
 }
 
 #[test]
 fn guarantees_hold_through_late_orders_cuts_crashes_and_changes_of_owner() {
-    let broken = broken_seeds();
-    assert!(broken.is_empty(), "seeds {broken:?}");
+    let failing = failing_seeds();
+    assert!(failing.is_empty(), "seeds {failing:?}");
 }
--- a/crates/schedule/tests/readers.rs
+++ b/crates/schedule/tests/readers.rs
@@ -41,8 +41,8 @@
     for nodes in [6, 9, 32, 97, 300] {
         let views = views(nodes, 3_000);
         for pool in POOLS {
-            let read_by = readers_of(&views, pool, 3_000);
-            expect_that!(read_by.len(), eq(READERS.min(nodes)), "{nodes} nodes, {pool}");
+            let readers = readers_of(&views, pool, 3_000);
+            expect_that!(readers.len(), eq(READERS.min(nodes)), "{nodes} nodes, {pool}");
         }
     }
 }
@@ -70,7 +70,7 @@
     let mut views = views(97, 3_000);
     for pool in POOLS {
         let name = [pool.into()];
-        let read_by = readers_of(&views, pool, 3_000);
+        let readers = readers_of(&views, pool, 3_000);
         let mut first = None;
         for now in (3_000..30_000).step_by(100) {
             for (i, view) in views.iter_mut().enumerate() {
@@ -92,7 +92,7 @@
                 break;
             }
         }
-        expect_that!(first, some(predicate(|i: usize| read_by.contains(&i))), "{pool}");
+        expect_that!(first, some(predicate(|i: usize| readers.contains(&i))), "{pool}");
     }
 }
 
@@ -110,12 +110,12 @@
         view.record_claim(&"desk".into(), owner.clone(), token_of(0), 3_000);
     }
     let relay = |i: usize| heartbeat(0, i).relay.unwrap();
-    let read_by: Vec<_> = readers_of(&views, "desk", 3_000).into_iter().map(relay).collect();
+    let readers: Vec<_> = readers_of(&views, "desk", 3_000).into_iter().map(relay).collect();
     for (i, view) in views.iter().enumerate() {
         let queried = view.readers_to_query("desk", 3_000);
         expect_that!(queried, not(is_empty()));
         expect_that!(queried, not(contains(eq(&relay(i)))));
         expect_that!(queried, not(contains(eq(&relay(7)))));
-        expect_that!(queried, each(predicate(|a| read_by.contains(a))), "node {i}");
+        expect_that!(queried, each(predicate(|a| readers.contains(a))), "node {i}");
     }
 }
--- a/crates/schedule/tests/world/checks.rs
+++ b/crates/schedule/tests/world/checks.rs
@@ -26,9 +26,9 @@
         for (id, entry) in self.log.iter() {
             let lasting = entry.spec.as_ref().is_some_and(|s| s.is_lasting());
             let settled = entry.progress.phase != Phase::Open;
-            let at_work = entry.progress.assigned_vms().count();
+            let running = entry.progress.assigned_vms().count();
             assert!(
-                settled || entry.cancelled || (lasting && at_work == 2),
+                settled || entry.cancelled || (lasting && running == 2),
                 "{id} is still open at the end: {:?}",
                 entry.progress
             );
--- a/crates/schedule/tests/world/in_flight.rs
+++ b/crates/schedule/tests/world/in_flight.rs
@@ -10,6 +10,7 @@
     token: u64,
     deadline: Ms,
     order: Order,
+    /// Whether the answer reaches the owner.
     answered: bool,
 }
 
@@ -18,8 +19,8 @@
     match order {
         Order::Start(start) => format!("start {} on {}", start.run, start.vm),
         Order::Stop { vm, run } => format!("stop {run} on {vm}"),
-        Order::Throttle { vm, run, percent } => format!("pace {run} on {vm} to {percent}"),
-        Order::RequestAdvice(_) => "question".to_owned(),
+        Order::Throttle { vm, run, percent } => format!("throttle {run} on {vm} to {percent}"),
+        Order::RequestAdvice(_) => "advice request".to_owned(),
     }
 }
 
@@ -29,7 +30,7 @@
         let delay = if late { self.rng.random_range(2_000..12_000) } else { 0 };
         let (token, deadline) = (self.token, self.now + LEASE);
         self.trace(|| format!("ordered {} late {late}", describe(&order)));
-        let flight = InFlightOrder {
+        let sent = InFlightOrder {
             arrives: self.now + delay,
             ordered_at: self.now,
             token,
@@ -39,24 +40,24 @@
         };
         if late {
             // The order is resent until it is answered; the late copy arrives nevertheless.
-            let again = InFlightOrder { arrives: self.now + 600, answered: true, ..flight.clone() };
+            let again = InFlightOrder { arrives: self.now + 600, answered: true, ..sent.clone() };
             self.in_flight.push(again);
         }
-        self.in_flight.push(flight);
+        self.in_flight.push(sent);
     }
 
     pub(super) fn deliver(&mut self) {
         let now = self.now;
         let (due, later) = self.in_flight.drain(..).partition(|f: &InFlightOrder| f.arrives <= now);
         self.in_flight = later;
-        for flight in due {
-            self.handle_arrival(flight);
+        for sent in due {
+            self.handle_arrival(sent);
         }
     }
 
-    fn handle_arrival(&mut self, flight: InFlightOrder) {
-        self.trace(|| format!("arrives {} of token {}", describe(&flight.order), flight.token));
-        let target = match &flight.order {
+    fn handle_arrival(&mut self, sent: InFlightOrder) {
+        self.trace(|| format!("arrives {} of token {}", describe(&sent.order), sent.token));
+        let target = match &sent.order {
             Order::Start(start) => start.vm.clone(),
             Order::Stop { vm, .. } | Order::Throttle { vm, .. } => vm.clone(),
             Order::RequestAdvice(_) => return,
@@ -68,13 +69,13 @@
             return;
         };
         let evacuated = self.evacuated.get(hall_of(name)).copied();
-        let is_copy = flight.answered && flight.ordered_at + TICK < now;
-        if let Order::Start(start) = &flight.order
+        let is_copy = sent.answered && sent.ordered_at + TICK < now;
+        if let Order::Start(start) = &sent.order
             && is_copy
             && evacuated.is_some()
         {
             // The order is not resent into an evacuated hall, but a copy may be in flight.
-            if flight.token == self.token {
+            if sent.token == self.token {
                 self.pool.apply_start_result(&target, start.run, StartResult::Unclear, at(now));
             }
             return;
@@ -82,29 +83,29 @@
         if sim.cut_until > now || sim.down_until > now {
             // The order is resent once the VM is reachable, unless the owner has changed or the VM is lost. Resending
             // does not extend the lease.
-            if flight.answered && flight.token == self.token && !self.lost.contains(&target) {
-                self.in_flight.push(InFlightOrder { arrives: now + 200, ..flight });
+            if sent.answered && sent.token == self.token && !self.lost.contains(&target) {
+                self.in_flight.push(InFlightOrder { arrives: now + 200, ..sent });
             }
             return;
         }
-        if flight.token < sim.fence {
+        if sent.token < sim.fence {
             return;
         }
-        sim.fence = flight.token;
+        sim.fence = sent.token;
         let name = name.clone();
-        match flight.order.clone() {
-            Order::Start(start) => self.handle_start(&name, &flight, &start),
+        match sent.order.clone() {
+            Order::Start(start) => self.handle_start(&name, &sent, &start),
             Order::Stop { run, .. } => {
                 let sim = self.vms.get_mut(&name).expect("it was found");
                 let barred = sim.barred.entry(run.task).or_default();
                 *barred = run.attempt.max(*barred);
                 if sim.runs.get(&run.task).is_some_and(|r| r.attempt <= run.attempt) {
-                    let there = sim.runs.remove(&run.task).expect("it was there");
-                    let stopped = RunId { task: run.task, attempt: there.attempt };
+                    let run_there = sim.runs.remove(&run.task).expect("it was run_there");
+                    let stopped = RunId { task: run.task, attempt: run_there.attempt };
                     let sequence = sim.list_end(stopped, EndKind::Stopped);
                     self.runs.record_end(&target, stopped, EndKind::Stopped, sequence, now);
                 }
-                if flight.answered && flight.token == self.token {
+                if sent.answered && sent.token == self.token {
                     self.pool.record_stop_answer(&target, run, at(now));
                 }
             }
@@ -112,29 +113,29 @@
         }
     }
 
-    fn handle_start(&mut self, name: &str, flight: &InFlightOrder, start: &StartOrder) {
+    fn handle_start(&mut self, name: &str, sent: &InFlightOrder, start: &StartOrder) {
         let (now, run) = (self.now, start.run);
-        let lasts = self.rng.random_range(200..2_000);
+        let duration = self.rng.random_range(200..2_000);
         let fails = self.rng.random_bool(0.08);
         let sim = self.vms.get_mut(name).expect("it was found");
-        let there = sim.runs.get(&run.task).map(|r| r.attempt);
+        let running = sim.runs.get(&run.task).map(|r| r.attempt);
         let old = sim.barred.get(&run.task).is_some_and(|&b| run.attempt <= b);
-        let result = if flight.deadline < now {
+        let result = if sent.deadline < now {
             StartResult::Unclear
-        } else if there == Some(run.attempt) {
+        } else if running == Some(run.attempt) {
             StartResult::Started
-        } else if old || there.is_some() {
+        } else if old || running.is_some() {
             StartResult::Unclear
         } else {
-            sim.lease_until = sim.lease_until.max(flight.deadline);
+            sim.lease_until = sim.lease_until.max(sent.deadline);
             let evacuated = self.evacuated.get(hall_of(name)).copied();
-            let ordered_after = evacuated.is_some_and(|since| flight.ordered_at > since);
+            let ordered_after = evacuated.is_some_and(|since| sent.ordered_at > since);
             assert!(!ordered_after, "{run} starts in an evacuated hall at {now}");
-            let source = OrderSource { token: flight.token, at: flight.ordered_at };
+            let source = OrderSource { token: sent.token, at: sent.ordered_at };
             self.runs.record_start(&start.vm, run, source, now);
             self.check_start(name, start);
             let shape = &self.steps[&run.task.job][usize::from(run.task.step)];
-            let ends_at = if shape.lasting && !fails { Ms::MAX } else { now + lasts };
+            let ends_at = if shape.lasting && !fails { Ms::MAX } else { now + duration };
             let demand = shape.room();
             let sim = self.vms.get_mut(name).expect("it was found");
             sim.runs.insert(run.task, Run { attempt: run.attempt, ends_at, fails, demand });
@@ -142,8 +143,8 @@
             assert!(vm_facts(name, 1).room.fits(used), "over room on {name} at {now}: {used:?}");
             StartResult::Started
         };
-        self.trace(|| format!("start {run} on {name}: {result:?}, answered {}", flight.answered));
-        if flight.answered && flight.token == self.token {
+        self.trace(|| format!("start {run} on {name}: {result:?}, answered {}", sent.answered));
+        if sent.answered && sent.token == self.token {
             self.pool.apply_start_result(&start.vm, run, result, at(now));
         }
     }
--- a/crates/schedule/tests/world/mod.rs
+++ b/crates/schedule/tests/world/mod.rs
@@ -37,7 +37,7 @@
     token: u64,
     /// The number of progress records written, and the last one of each job.
     records_written: u64,
-    older_records: BTreeMap<JobId, Vec<u8>>,
+    last_records: BTreeMap<JobId, Vec<u8>>,
     pool: Pool,
     steps: BTreeMap<JobId, Vec<Step>>,
     /// Tasks whose end `done` was listed.
@@ -85,7 +85,7 @@
             log: JobLog::default(),
             token: 1,
             records_written: 0,
-            older_records: BTreeMap::new(),
+            last_records: BTreeMap::new(),
             pool: Pool::new(),
             steps: BTreeMap::new(),
             done: BTreeSet::new(),
@@ -116,10 +116,10 @@
     pub fn submit(&mut self, n: u64) {
         let width = self.rng.random_range(1..4);
         // There are only a few lasting jobs, as they never end and the others need room.
-        let lasts = |steps: &&Vec<Step>| steps[0].lasting;
-        let many = self.steps.values().filter(lasts).count() >= 3;
+        let is_lasting = |steps: &&Vec<Step>| steps[0].lasting;
+        let enough_lasting = self.steps.values().filter(is_lasting).count() >= 3;
         let steps = match self.rng.random_range(0..5) {
-            0 if !many => vec![lasting(2, 1)],
+            0 if !enough_lasting => vec![lasting(2, 1)],
             1 => vec![Step { gang: true, ..step(2, 1_000) }],
             _ => {
                 let second = Step { depends_on: vec![0], ..step(width, 900) };
@@ -178,9 +178,9 @@
         self.pool.set_halls(halls.into(), true);
     }
 
-    pub fn tick(&mut self, calm: bool) {
+    pub fn tick(&mut self, fault_free: bool) {
         self.now += TICK;
-        if calm && !self.evacuated.is_empty() {
+        if fault_free && !self.evacuated.is_empty() {
             self.evacuated.clear();
             self.update_halls();
         }
@@ -191,7 +191,7 @@
         let orders = self.pool.plan(at(self.now));
         let records = self.pool.take_records();
         // The owner crashes before the records are written: nothing is ordered or acknowledged.
-        if !calm && self.rng.random_bool(0.01) {
+        if !fault_free && self.rng.random_bool(0.01) {
             self.replace_owner();
             return;
         }
@@ -201,7 +201,7 @@
             let value = encode_progress(version, &progress);
             assert!(self.log.apply(&progress_key(id), Some(&value)).is_ok());
             // Records in two partitions may be read in any order.
-            if let Some(older) = self.older_records.insert(id, value) {
+            if let Some(older) = self.last_records.insert(id, value) {
                 assert!(self.log.apply(&progress_key(id), Some(&older)).is_ok());
             }
         }
@@ -209,12 +209,12 @@
             self.acknowledge(&id, sequence);
         }
         // The owner crashes after the records are written: the orders are never sent.
-        if !calm && self.rng.random_bool(0.01) {
+        if !fault_free && self.rng.random_bool(0.01) {
             self.replace_owner();
             return;
         }
         for order in orders {
-            self.send(order, calm);
+            self.send(order, fault_free);
         }
     }
 
@@ -222,9 +222,9 @@
         let now = self.now;
         for (name, sim) in self.vms.iter_mut().filter(|(_, sim)| sim.down_until <= now) {
             let id = incarnation_of(name, sim);
-            let over: Vec<TaskId> =
+            let finished: Vec<TaskId> =
                 sim.runs.iter().filter(|(_, r)| r.ends_at <= now).map(|(&t, _)| t).collect();
-            for task in over {
+            for task in finished {
                 let run = sim.runs.remove(&task).expect("it was there");
                 let kind = if run.fails { EndKind::Failed } else { EndKind::Done };
                 let run = RunId { task, attempt: run.attempt };
@@ -282,14 +282,14 @@
     }
 
     fn expire_leases(&mut self) {
-        let over = |heard: Ms| self.now >= heard + LEASE * 103 / 100 + 200;
-        let gone: Vec<VmIncarnation> = self
+        let is_over = |last_answer: Ms| self.now >= last_answer + LEASE * 103 / 100 + 200;
+        let expired: Vec<VmIncarnation> = self
             .last_answer
             .iter()
-            .filter(|(id, heard)| over(**heard) && !self.lost.contains(*id))
+            .filter(|(id, last_answer)| is_over(**last_answer) && !self.lost.contains(*id))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in gone {
+        for id in expired {
             self.trace(|| format!("lost {id}"));
             self.pool.vm_lost(&id, VmLoss::LeaseOver, at(self.now));
             self.lost.insert(id);
@@ -301,7 +301,7 @@
         else {
             return;
         };
-        self.runs.record_acknowledged(id, sequence, self.now);
+        self.runs.record_acknowledgement(id, sequence, self.now);
         let (seen, left) = sim.ended.drain(..).partition(|e: &RunEnd| e.sequence <= sequence);
         sim.ended = left;
         for end in seen {
@@ -321,24 +321,24 @@
         let names: Vec<String> = self.vms.keys().cloned().collect();
         let name = names[self.rng.random_range(0..names.len())].clone();
         let now = self.now;
-        let lasts = self.rng.random_range(500..9_000);
+        let duration = self.rng.random_range(500..9_000);
         let kind = self.rng.random_range(0..100);
         if kind < 5 {
             self.trace(|| format!("{name} {}", if kind < 3 { "cut off" } else { "crashes" }));
         }
         let sim = self.vms.get_mut(&name).expect("it is there");
         match kind {
-            0..3 => sim.cut_until = now + lasts,
+            0..3 => sim.cut_until = now + duration,
             3..5 => {
                 // The VM crashes and restarts, at times under its ID.
                 let keeps_id = self.rng.random_bool(0.5);
                 let sim = self.vms.get_mut(&name).expect("it is there");
                 let old = incarnation_of(&name, sim);
                 self.runs.record_vm_crash(&old);
-                let life = sim.incarnation + 1;
-                let id_number = if keeps_id { sim.id_number } else { life };
+                let number = sim.incarnation + 1;
+                let id_number = if keeps_id { sim.id_number } else { number };
                 *sim = SimVm {
-                    incarnation: life,
+                    incarnation: number,
                     id_number,
                     next_end: 1,
                     lease_until: now,
--- a/crates/schedule/tests/world/twice.rs
+++ b/crates/schedule/tests/world/twice.rs
@@ -97,7 +97,7 @@
 
     pub(super) fn record_lease_expiry(&mut self, vm: &VmIncarnation) {
         let runs = self.by_task.values_mut().flatten().filter(|r| r.vm == *vm);
-        for end in runs.filter_map(|r| r.end.as_mut()).filter(|o| o.acknowledged.is_none()) {
+        for end in runs.filter_map(|r| r.end.as_mut()).filter(|e| e.acknowledged.is_none()) {
             end.void = true;
         }
     }
@@ -108,12 +108,12 @@
         }
     }
 
-    pub(super) fn record_acknowledged(&mut self, vm: &VmIncarnation, sequence: u64, now: Ms) {
+    pub(super) fn record_acknowledgement(&mut self, vm: &VmIncarnation, sequence: u64, now: Ms) {
         let mut tasks = Vec::new();
         for (&task, runs) in &mut self.by_task {
             for started in runs.iter_mut().filter(|r| r.vm == *vm && !r.vm_is_gone) {
-                let end = started.end.as_mut().filter(|o| o.sequence <= sequence);
-                let Some(end) = end.filter(|o| o.acknowledged.is_none()) else { continue };
+                let end = started.end.as_mut().filter(|e| e.sequence <= sequence);
+                let Some(end) = end.filter(|e| e.acknowledged.is_none()) else { continue };
                 end.acknowledged = Some(now);
                 tasks.push(task);
             }
@@ -132,9 +132,9 @@
     /// Checks that no run started after an end `done` that counts, at each start and each acknowledgement.
     fn check_no_start_after_done(&self, task: TaskId) {
         let runs = &self.by_task[&task];
-        let counts = |o: &&End| o.kind == EndKind::Done && o.acknowledged.is_some() && !o.void;
+        let counts = |e: &&End| e.kind == EndKind::Done && e.acknowledged.is_some() && !e.void;
         let first =
-            runs.iter().filter_map(|r| r.end.as_ref()).filter(counts).map(|o| o.order).min();
+            runs.iter().filter_map(|r| r.end.as_ref()).filter(counts).map(|e| e.order).min();
         let Some(first) = first else { return };
         let again = runs.iter().any(|r| r.order > first);
         assert!(!again, "TWICE: {task} was started after it was done:\n{}", Trace(runs));
