--- a/crates/schedule/tests/crashing_tasks.rs
+++ b/crates/schedule/tests/crashing_tasks.rs
@@ -120,7 +120,7 @@
     }
 }
 
-fn crash_history(crashes: &[(bool, bool)]) -> CrashHistory {
+fn history_of(crashes: &[(bool, bool)]) -> CrashHistory {
     let mut history = CrashHistory::default();
     crashes.iter().for_each(|&(at_start, alone)| history.add_crash(Crash { at_start, alone }));
     history
@@ -143,14 +143,14 @@
         (&[(false, true); 5], Verdict::GivenUp),
     ];
     for (crashes, verdict) in cases {
-        expect_that!(crash_history(crashes).verdict(), eq(*verdict), "{crashes:?}");
+        expect_that!(history_of(crashes).verdict(), eq(*verdict), "{crashes:?}");
     }
 }
 
 #[gtest]
 fn an_unresponsive_vm_counts_once_it_is_known_to_have_crashed() {
     let unclear_loss = |vm: &str| UnclearLoss { vm: vm.into(), name: "m".into(), at_ms: 1_000 };
-    let mut history = crash_history(&[(false, false); 3]);
+    let mut history = history_of(&[(false, false); 3]);
     history.add_unclear(unclear_loss("a"));
     history.add_unclear(unclear_loss("a"));
     expect_that!(history.verdict(), eq(Verdict::Suspect));
@@ -173,7 +173,7 @@
         time: 0,
         step: 1,
         index: 2,
-        crash_history: crash_history(&[(true, false)]),
+        crash_history: history_of(&[(true, false)]),
     };
     let with = Progress { crash_histories: vec![record], ..without.clone() };
     for progress in [without, with] {
--- a/crates/schedule/tests/emptying.rs
+++ b/crates/schedule/tests/emptying.rs
@@ -10,7 +10,7 @@
 use thistle_schedule::pool::StartOrder;
 use thistle_schedule::{EndKind, JobId, Pool, RunEnd, Step};
 
-fn checkpointing(count: u32, cpu: u32) -> Step {
+fn checkpointing_step(count: u32, cpu: u32) -> Step {
     Step { checkpointing: true, estimated_ms: 4_000, ..step(count, cpu) }
 }
 
@@ -30,7 +30,7 @@
 
 #[gtest]
 fn a_resumable_run_on_a_vm_that_another_pool_needs_is_stopped_and_resumed_elsewhere() {
-    let (mut pool, started) = urgent_drain(checkpointing(1, 1_000));
+    let (mut pool, started) = urgent_drain(checkpointing_step(1, 1_000));
     pool.apply_report(&started.vm, &report(500, vec![row(started.run, 10)], vec![]), at(510));
     expect_that!(stops(&pool.plan(at(520))), eq(&vec![started.run]));
     expect_that!(stops(&pool.plan(at(530))), is_empty(), "ordered once");
@@ -44,10 +44,10 @@
 
 #[gtest]
 fn a_run_that_is_nearly_done_or_would_lose_its_work_is_left_to_end() {
-    let (mut pool, started) = urgent_drain(checkpointing(1, 1_000));
+    let (mut pool, started) = urgent_drain(checkpointing_step(1, 1_000));
     pool.apply_report(&started.vm, &report(3_000, vec![row(started.run, 90)], vec![]), at(3_010));
     expect_that!(stops(&pool.plan(at(3_020))), is_empty(), "a tenth of 3.3 s is left");
-    for shape in [step(1, 1_000), Step { gang: true, ..checkpointing(1, 1_000) }] {
+    for shape in [step(1, 1_000), Step { gang: true, ..checkpointing_step(1, 1_000) }] {
         let (mut pool, started) = urgent_drain(shape);
         pool.apply_report(&started.vm, &report(100, vec![row(started.run, 1)], vec![]), at(110));
         expect_that!(stops(&pool.plan(at(120))), is_empty());
@@ -56,7 +56,7 @@
 
 #[gtest]
 fn a_vm_that_is_emptied_for_maintenance_lets_its_tasks_end() {
-    let (mut pool, started) = urgent_drain(checkpointing(1, 1_000));
+    let (mut pool, started) = urgent_drain(checkpointing_step(1, 1_000));
     pool.set_urgent(HashSet::new());
     pool.apply_report(&started.vm, &report(100, vec![row(started.run, 1)], vec![]), at(110));
     expect_that!(stops(&pool.plan(at(120))), is_empty());
@@ -81,7 +81,7 @@
 
 #[gtest]
 fn tasks_to_be_resumed_count_like_running_ones_in_their_pools_need() {
-    let (mut pool, started) = urgent_drain(checkpointing(1, 1_000));
+    let (mut pool, started) = urgent_drain(checkpointing_step(1, 1_000));
     let stopped = RunEnd { checkpoint: "half".into(), ..end(1, started.run, EndKind::Stopped) };
     pool.apply_report(&started.vm, &report(600, vec![], vec![stopped]), at(610));
     let load = pool.load(at(620));
--- a/crates/schedule/tests/link_world/owner.rs
+++ b/crates/schedule/tests/link_world/owner.rs
@@ -25,10 +25,10 @@
     /// Starts another owner, which knows only the records. Calls that the previous owner sent stay in flight.
     fn start_owner(&mut self, token: u64) {
         // The records that the previous owner was writing are stored or lost.
-        if let Some(write) = self.pending_write.take()
+        if let Some(pending) = self.pending_write.take()
             && self.rng.random_bool(0.5)
         {
-            self.write(write.records);
+            self.write(pending.records);
         }
         (self.token, self.record_number) = (token, 0);
         self.trace(|| format!("owner starts, token {}", self.token));
@@ -103,12 +103,12 @@
     }
 
     pub(super) fn run_owner(&mut self, fault_free: bool) {
-        if let Some(write) = self.pending_write.take() {
-            if write.until > self.now {
-                self.pending_write = Some(write);
+        if let Some(pending) = self.pending_write.take() {
+            if pending.until > self.now {
+                self.pending_write = Some(pending);
                 return;
             }
-            self.carry_out(write);
+            self.carry_out(pending);
         }
         if self.events.is_empty() && self.now < self.planned_at + PLAN_INTERVAL {
             return;
@@ -127,11 +127,11 @@
             false if slow => self.rng.random_range(200..12_000),
             false => self.rng.random_range(0..3) * TICK,
         };
-        let write = PendingWrite { until: self.now + write_time, records, acks, orders };
+        let pending = PendingWrite { until: self.now + write_time, records, acks, orders };
         if write_time > 0 {
-            self.pending_write = Some(write);
+            self.pending_write = Some(pending);
         } else {
-            self.carry_out(write);
+            self.carry_out(pending);
         }
         let known: BTreeSet<VmIncarnation> =
             self.pool.vm_summaries().into_iter().map(|vm| vm.id).collect();
@@ -147,14 +147,14 @@
         }
     }
 
-    pub(super) fn carry_out(&mut self, write: PendingWrite) {
-        self.write(write.records);
-        for (vm, sequence) in write.acks {
+    pub(super) fn carry_out(&mut self, pending: PendingWrite) {
+        self.write(pending.records);
+        for (vm, sequence) in pending.acks {
             if let Some(link) = self.link_mut(&vm) {
                 link.acked = link.acked.max(sequence);
             }
         }
-        for order in write.orders {
+        for order in pending.orders {
             self.dispatch(order);
         }
     }
--- a/crates/schedule/tests/world/in_flight.rs
+++ b/crates/schedule/tests/world/in_flight.rs
@@ -100,7 +100,7 @@
                 let barred = sim.barred.entry(run.task).or_default();
                 *barred = run.attempt.max(*barred);
                 if sim.runs.get(&run.task).is_some_and(|r| r.attempt <= run.attempt) {
-                    let run_there = sim.runs.remove(&run.task).expect("it was run_there");
+                    let run_there = sim.runs.remove(&run.task).expect("it was there");
                     let stopped = RunId { task: run.task, attempt: run_there.attempt };
                     let sequence = sim.list_end(stopped, EndKind::Stopped);
                     self.runs.record_end(&target, stopped, EndKind::Stopped, sequence, now);
--- a/crates/schedule/tests/world/mod.rs
+++ b/crates/schedule/tests/world/mod.rs
@@ -282,11 +282,11 @@
     }
 
     fn expire_leases(&mut self) {
-        let is_over = |last_answer: Ms| self.now >= last_answer + LEASE * 103 / 100 + 200;
+        let is_over = |answered_at: Ms| self.now >= answered_at + LEASE * 103 / 100 + 200;
         let expired: Vec<VmIncarnation> = self
             .last_answer
             .iter()
-            .filter(|(id, last_answer)| is_over(**last_answer) && !self.lost.contains(*id))
+            .filter(|(id, answered_at)| is_over(**answered_at) && !self.lost.contains(*id))
             .map(|(id, _)| id.clone())
             .collect();
         for id in expired {
