--- a/crates/schedule/tests/crashing_tasks.rs
+++ b/crates/schedule/tests/crashing_tasks.rs
@@ -92,7 +92,7 @@
         let (&name, &number) = self
             .incarnations
             .iter()
-            .find(|(name, life)| vm(name, **life).id == *id)
+            .find(|(name, number)| vm(name, **number).id == *id)
             .expect("orders go to VMs that are there");
         self.pool.set_reachable(id, false, at(self.now));
         self.now += DOWNTIME_MS;
--- a/crates/schedule/tests/histories/mod.rs
+++ b/crates/schedule/tests/histories/mod.rs
@@ -53,8 +53,9 @@
     pub max_down: usize,
     /// Core-milliseconds of tasks of other jobs that were lost with those VMs.
     pub lost_work_of_others: u64,
-    /// Jobs without a faulty task that were completed, and the sum of their milliseconds from acceptance.
+    /// Jobs without a faulty task that were completed.
     pub done: u32,
+    /// The sum over these jobs of the milliseconds from acceptance to completion.
     pub total_ms: u64,
 }
 
@@ -133,8 +134,8 @@
             self.plan();
         }
         for id in self.steps.keys() {
-            let is_sound = !self.faulty_tasks.iter().any(|task| task.job == *id);
-            self.figures.unfinished += u32::from(is_sound && !self.settled.contains(id));
+            let has_no_faulty_task = !self.faulty_tasks.iter().any(|task| task.job == *id);
+            self.figures.unfinished += u32::from(has_no_faulty_task && !self.settled.contains(id));
         }
         self.figures
     }
--- a/crates/schedule/tests/need.rs
+++ b/crates/schedule/tests/need.rs
@@ -129,7 +129,7 @@
     expect_that!(
         pool.demand(LEAD_TIME, at(0)).waiting,
         eq(5_000),
-        "three have room beside the lasting one"
+        "three have room next to the lasting one"
     );
     expect_that!(pool.demand(LEAD_TIME, at(60_000)).waiting, eq(0));
 }
--- a/crates/schedule/tests/unclear.rs
+++ b/crates/schedule/tests/unclear.rs
@@ -23,7 +23,7 @@
         pool.apply_report(&first.vm, &report(requested_at, vec![], vec![]), at(requested_at + 10));
         orders.extend(pool.plan(at(requested_at + 20)));
     }
-    expect_that!(starts(&orders).len(), eq(0), "the first copy may be under way");
+    expect_that!(starts(&orders).len(), eq(0), "the first copy may be in flight");
     expect_that!(stops(&orders), contains(eq(&first.run)), "only a stop bars it");
     // A run that is barred and that the VM does not list cannot start any more.
     pool.record_stop_answer(&first.vm, first.run, at(900));
--- a/crates/schedule/tests/world/mod.rs
+++ b/crates/schedule/tests/world/mod.rs
@@ -35,8 +35,9 @@
     in_flight: Vec<InFlightOrder>,
     log: JobLog,
     token: u64,
-    /// The number of progress records written, and the last one of each job.
+    /// The number of progress records written.
     records_written: u64,
+    /// The last progress record of each job.
     last_records: BTreeMap<JobId, Vec<u8>>,
     pool: Pool,
     steps: BTreeMap<JobId, Vec<Step>>,
