--- a/crates/bench/src/cmd/record.rs
+++ b/crates/bench/src/cmd/record.rs
@@ -1,12 +1,12 @@
-//! `thistle-bench record`: draws the arrivals of the traces; their set-ups are written by hand.
+//! `thistle-bench record`: generates the arrivals of the traces; the set-ups are written by hand.
 
 use std::path::Path;
 
-use thistle_replay::record::{Load, draw};
+use thistle_replay::record::{Load, generate};
 
 use super::Error;
 
-/// Slots of the ten workers of each trace.
+/// The number of slots of the ten workers of each trace.
 const SLOTS: u32 = 80;
 
 const BASE: Load = Load {
@@ -43,10 +43,10 @@
     ("doubled-booking", Load { seed: 6, load_percent: 70, once_percent: 60, ..BASE }),
 ];
 
-/// Draws all traces.
+/// Generates all traces.
 pub fn run(dir: &Path) -> Result<(), Error> {
     for (name, load) in &TRACES {
-        let lines = draw(load);
+        let lines = generate(load);
         std::fs::write(dir.join(format!("{name}.csv")), &lines)?;
         println!("{name}: {} arrivals", lines.lines().count());
     }
--- a/crates/bench/src/slopes/pool.rs
+++ b/crates/bench/src/slopes/pool.rs
@@ -1,22 +1,22 @@
-//! Slopes of a pool's owner: what a change of owner costs, and a step of the schedule.
+//! Costs of the owner of a pool: a change of owner, and a step of the schedule.
 
 use std::hint::black_box;
 use std::sync::Arc;
 
 use thistle_schedule::job_log::{Version, encode, encode_progress, progress_key, submit_key};
 use thistle_schedule::pool::Now;
-use thistle_schedule::progress::{Place, TaskRecord};
+use thistle_schedule::progress::{TaskPlacement, TaskRecord};
 use thistle_schedule::{
-    JobId, JobLog, JobSpec, Objective, Pool, Progress, Room, Step, VmFacts, VmLife, VmReport,
+    JobId, JobLog, JobSpec, Objective, Pool, Progress, Room, Step, VmFacts, VmIncarnation, VmReport,
 };
 
 use super::{Slope, micros};
 
-/// Open jobs of a pool: some seconds of the users' largest load are about four hundred.
+/// The numbers of open jobs of a pool: a few seconds of the users' largest load are about four hundred jobs.
 const JOBS: [u32; 4] = [100, 200, 400, 800];
-/// VMs of a pool: 3,200 in 22 pools are 145 each.
+/// The numbers of VMs of a pool: 3,200 VMs in 22 pools are 145 each.
 const VMS: [u32; 4] = [50, 100, 200, 400];
-/// Tasks of a job, of which half run.
+/// The number of tasks of a job, of which half run.
 const TASKS: u32 = 8;
 const ROUNDS: usize = 5;
 const NOW: Now = Now { steady: 10_000, wall: 1_700_000_000_000 };
@@ -26,23 +26,23 @@
         slope("reading the records of a pool", "open job", &JOBS, |jobs| {
             let records = records(jobs, 145);
             micros(ROUNDS, 1, || {
-                black_box(read(&records));
+                black_box(load_log(&records));
             })
         }),
         slope("taking over a pool", "open job", &JOBS, |jobs| {
-            let log = read(&records(jobs, 145));
+            let log = load_log(&records(jobs, 145));
             micros(ROUNDS, 1, || {
-                black_box(taken_over(&log, 145));
+                black_box(taken_over_pool(&log, 145));
             })
         }),
         slope("one step of a pool, waiting jobs", "open job", &JOBS, |jobs| {
-            let mut pool = taken_over(&read(&records(jobs, 145)), 145);
+            let mut pool = taken_over_pool(&load_log(&records(jobs, 145)), 145);
             micros(ROUNDS, 1, || {
                 black_box(pool.plan(NOW));
             })
         }),
         slope("one step of a pool, VMs", "VM", &VMS, |vms| {
-            let mut pool = taken_over(&read(&records(200, vms)), vms);
+            let mut pool = taken_over_pool(&load_log(&records(200, vms)), vms);
             micros(ROUNDS, 1, || {
                 black_box(pool.plan(NOW));
             })
@@ -55,8 +55,8 @@
     Slope::new(name, per, "us", points)
 }
 
-fn vm_id(vm: u32) -> VmLife {
-    VmLife::new(format!("i-{vm:010x}"), None)
+fn vm_id(vm: u32) -> VmIncarnation {
+    VmIncarnation::new(format!("i-{vm:010x}"), None)
 }
 
 fn spec() -> JobSpec {
@@ -74,7 +74,7 @@
     }
 }
 
-/// Makes the records of open jobs, half of whose tasks run on VMs.
+/// Returns the records of open jobs, half of whose tasks run on VMs.
 fn records(jobs: u32, vms: u32) -> Vec<(String, Vec<u8>)> {
     let submission = encode(&spec());
     let mut records = Vec::new();
@@ -84,7 +84,7 @@
             time: 0,
             step: 0,
             index,
-            place: Place::On(vm_id((job + index) % vms).to_string()),
+            placement: TaskPlacement::On(vm_id((job + index) % vms).to_string()),
             attempt: 1,
             failures: 0,
             checkpoint: String::new(),
@@ -97,7 +97,7 @@
     records
 }
 
-fn read(records: &[(String, Vec<u8>)]) -> JobLog {
+fn load_log(records: &[(String, Vec<u8>)]) -> JobLog {
     let mut log = JobLog::default();
     for (key, value) in records {
         assert!(log.apply(key, Some(value)).is_ok(), "a record of this version can be read");
@@ -105,11 +105,11 @@
     log
 }
 
-/// Takes a pool over whose VMs have answered and are too small for its tasks, so that a step looks at
-/// every job and every VM.
-fn taken_over(log: &JobLog, vms: u32) -> Pool {
+/// Returns a pool after a change of owner. Its VMs have reported and are too small for its tasks, so that a
+/// step examines every job and every VM.
+fn taken_over_pool(log: &JobLog, vms: u32) -> Pool {
     let mut pool = Pool::new();
-    pool.taken_over(NOW);
+    pool.record_takeover(NOW);
     for (id, entry) in log.iter() {
         pool.adopt(id, entry, NOW);
     }
@@ -128,7 +128,7 @@
             cold: false,
         };
         pool.list_vm(Arc::new(facts));
-        pool.report(&vm_id(vm), &VmReport::default(), NOW);
+        pool.apply_report(&vm_id(vm), &VmReport::default(), NOW);
     }
     pool
 }
--- a/crates/bench/src/slopes/requests.rs
+++ b/crates/bench/src/slopes/requests.rs
@@ -1,4 +1,4 @@
-//! Slopes of an entry's decisions about requests.
+//! Costs of the routing decisions of an entry.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use thistle_request::Router;
 use thistle_request::admit::Ticket;
 use thistle_request::breaker::SendResult;
-use thistle_request::router::{Ask, Avoid, ChoicePolicy, Decision, RouterConfig};
+use thistle_request::router::{ChoicePolicy, Decision, FailedVms, RouteRequest, RouterConfig};
 
 use super::{Slope, micros};
 
@@ -34,7 +34,7 @@
 }
 
 fn router(vms: usize) -> Router {
-    let fleet = Fleet::new(Layout::even(vms, POOLS, 12), PlanConfig::default(), 1);
+    let fleet = Fleet::new(Layout::uniform(vms, POOLS, 12), PlanConfig::default(), 1);
     let cfg = RouterConfig { choice: ChoicePolicy::TwoChoices, ..RouterConfig::default() };
     let mut router = Router::new(cfg);
     router.apply_view(&view::changed_since(&fleet.state, Revision::NONE));
@@ -48,16 +48,16 @@
     micros(5, 5_000, || {
         n += 1;
         let now = Instant::from_micros(n);
-        let ask = Ask {
+        let ask = RouteRequest {
             ticket: Ticket(n),
             pool,
             tier: Tier::Gold,
             deadline: now + Duration::from_secs(1),
             repeatable: true,
-            avoid: Avoid::default(),
+            failed_vms: FailedVms::default(),
         };
         if let Decision::Send(vm) = router.submit(ask, now) {
-            black_box(router.finish(vm, SendResult::Good, Duration::from_millis(1), now));
+            black_box(router.finish(vm, SendResult::Success, Duration::from_millis(1), now));
         }
     })
 }
--- a/crates/e2e/tests/cluster/settings.rs
+++ b/crates/e2e/tests/cluster/settings.rs
@@ -1,4 +1,4 @@
-//! Addresses and settings of a test's cluster.
+//! Addresses and settings of the cluster of a test.
 
 use std::path::Path;
 
@@ -19,14 +19,14 @@
     )
 }
 
-/// The loopback addresses of one cluster: 127.A.B.*, of its own.
-pub struct Net {
+/// The loopback addresses of one cluster: 127.A.B.*, with A and B unique to the cluster.
+pub struct Addresses {
     prefix: String,
     pub entries: usize,
     pub workers: usize,
 }
 
-impl Net {
+impl Addresses {
     pub fn new(pid: u32, number: u8, entries: usize, workers: usize) -> Self {
         let a = 16 + pid % 200;
         Self { prefix: format!("127.{a}.{number}"), entries, workers }
--- a/crates/entry/src/backend.rs
+++ b/crates/entry/src/backend.rs
@@ -1,4 +1,5 @@
-//! Exchanges with backend servers: one request and its whole answer on a connection at a time.
+//! HTTP exchanges with backend servers: one request and its complete answer per connection at a
+//! time.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,67 +19,67 @@
 
 use crate::gated_io::{GateSlot, GatedIo};
 
-/// Idle connections that are kept for one VM.
+/// The maximum number of idle connections kept per VM.
 const MAX_IDLE: usize = 8;
 
 /// The body of a request to a backend server.
 pub type BackendBody = Full<Bytes>;
 
-/// A whole answer.
+/// A complete answer of a backend server.
 #[derive(Debug)]
 pub struct Answer {
-    /// Its status line and headers.
+    /// The status line and headers.
     pub parts: Parts,
-    /// Its whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// Why an exchange gave no whole answer; whether bytes went out is asked of the gate.
+/// Why an exchange ended without a complete answer. The gate tells whether bytes were written.
 #[derive(Debug)]
 pub struct ExchangeError {
-    /// The reason to tell the caller.
+    /// The reason reported to the caller.
     pub reason: RefusalReason,
-    /// What happened, for people.
+    /// A human-readable description of the failure.
     pub detail: String,
 }
 
-/// How an exchange is to be done.
+/// The parameters of an exchange.
 #[derive(Clone, Debug)]
 pub struct ExchangePlan {
-    /// The backend server.
+    /// The address of the backend server.
     pub addr: SocketAddr,
-    /// Whether the connection may be used again, as answers name their request.
+    /// Whether the connection may be reused, which requires that answers echo their request's id.
     pub reuse: bool,
-    /// The gate before the first byte.
+    /// The gate that must admit the request before its first byte is written.
     pub gate: Arc<SendGate>,
-    /// How long a connection may take to be made.
+    /// The connect timeout.
     pub connect_timeout: Duration,
-    /// Largest body of the answer, in bytes.
+    /// The maximum size of the answer's body, in bytes.
     pub max_answer: usize,
-    /// Largest headers of the answer, in bytes.
+    /// The maximum size of the answer's headers, in bytes.
     pub max_headers: usize,
 }
 
-struct Conn {
+struct Connection {
     sender: SendRequest<BackendBody>,
     gate: GateSlot,
 }
 
-/// Idle connections by backend server.
+/// A pool of idle connections by backend server.
 #[derive(Default)]
 pub struct Backends {
-    idle: Mutex<HashMap<SocketAddr, Vec<Conn>>>,
+    idle: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
 }
 
 impl Backends {
-    /// Makes an empty set.
+    /// Creates an empty pool.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sends a request and returns the whole answer.
+    /// Sends a request and returns the complete answer.
     ///
-    /// A connection whose exchange did not end with a whole answer is never used again.
+    /// A connection whose exchange did not end with a complete answer is never reused.
     pub async fn exchange(
         &self,
         plan: &ExchangePlan,
@@ -88,37 +89,37 @@
             Some(conn) => self.send_on_idle(plan, conn, req).await?,
             None => send_on_new(plan, req).await?,
         };
-        let answer = read_whole(answer, plan.max_answer).await?;
+        let answer = read_complete(answer, plan.max_answer).await?;
         if plan.reuse {
             self.put_idle(plan.addr, conn);
         }
         Ok(answer)
     }
 
-    /// Sends on an idle connection; on a new one when it turns out to be closed and the request
-    /// comes back whole.
+    /// Sends a request on an idle connection, or on a new one if the idle connection turns out to
+    /// be closed and returns the request unsent.
     async fn send_on_idle(
         &self,
         plan: &ExchangePlan,
-        mut conn: Conn,
+        mut conn: Connection,
         req: Request<BackendBody>,
-    ) -> Result<(Conn, Response<Incoming>), ExchangeError> {
+    ) -> Result<(Connection, Response<Incoming>), ExchangeError> {
         conn.gate.set(plan.gate.clone());
         match conn.sender.try_send_request(req).await {
             Ok(answer) => Ok((conn, answer)),
             Err(mut e) => match e.take_message() {
                 Some(req) if !plan.gate.has_passed() => send_on_new(plan, req).await,
-                _ => Err(broken(e.error())),
+                _ => Err(exchange_error(e.error())),
             },
         }
     }
 
-    /// Closes the idle connections to servers for which `keep` is false.
+    /// Closes the idle connections to servers for which `keep` returns false.
     pub fn retain(&self, keep: impl Fn(&SocketAddr) -> bool) {
         self.lock().retain(|addr, _| keep(addr));
     }
 
-    fn take_idle(&self, plan: &ExchangePlan) -> Option<Conn> {
+    fn take_idle(&self, plan: &ExchangePlan) -> Option<Connection> {
         if !plan.reuse {
             return None;
         }
@@ -132,7 +133,7 @@
         None
     }
 
-    fn put_idle(&self, addr: SocketAddr, conn: Conn) {
+    fn put_idle(&self, addr: SocketAddr, conn: Connection) {
         let mut idle = self.lock();
         let conns = idle.entry(addr).or_default();
         if conns.len() < MAX_IDLE {
@@ -140,7 +141,7 @@
         }
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Vec<Conn>>> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Vec<Connection>>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -148,20 +149,20 @@
 async fn send_on_new(
     plan: &ExchangePlan,
     req: Request<BackendBody>,
-) -> Result<(Conn, Response<Incoming>), ExchangeError> {
+) -> Result<(Connection, Response<Incoming>), ExchangeError> {
     let mut conn = connect(plan).await?;
     conn.gate.set(plan.gate.clone());
-    let answer = conn.sender.send_request(req).await.map_err(|e| broken(&e))?;
+    let answer = conn.sender.send_request(req).await.map_err(|e| exchange_error(&e))?;
     Ok((conn, answer))
 }
 
-async fn connect(plan: &ExchangePlan) -> Result<Conn, ExchangeError> {
-    let refused = |detail: String| ExchangeError { reason: RefusalReason::Connect, detail };
+async fn connect(plan: &ExchangePlan) -> Result<Connection, ExchangeError> {
+    let connect_error = |detail: String| ExchangeError { reason: RefusalReason::Connect, detail };
     let connecting = TcpStream::connect(plan.addr);
     let stream = tokio::time::timeout(plan.connect_timeout, connecting)
         .await
-        .map_err(|_| refused("the connection took too long to be made".to_owned()))?
-        .map_err(|e| refused(e.to_string()))?;
+        .map_err(|_| connect_error("the connection took too long to be made".to_owned()))?
+        .map_err(|e| connect_error(e.to_string()))?;
     let _ = stream.set_nodelay(true);
     let gate = GateSlot::default();
     let io = TokioIo::new(GatedIo::new(stream, gate.clone()));
@@ -169,12 +170,12 @@
         .max_buf_size(plan.max_headers)
         .handshake(io)
         .await
-        .map_err(|e| refused(e.to_string()))?;
+        .map_err(|e| connect_error(e.to_string()))?;
     tokio::spawn(conn);
-    Ok(Conn { sender, gate })
+    Ok(Connection { sender, gate })
 }
 
-async fn read_whole(answer: Response<Incoming>, max: usize) -> Result<Answer, ExchangeError> {
+async fn read_complete(answer: Response<Incoming>, max: usize) -> Result<Answer, ExchangeError> {
     let (parts, body) = answer.into_parts();
     let read = Limited::new(body, max).collect().await;
     let body = read.map_err(|e| {
@@ -186,7 +187,7 @@
     Ok(Answer { parts, body: body.to_bytes() })
 }
 
-fn broken(e: &hyper::Error) -> ExchangeError {
+fn exchange_error(e: &hyper::Error) -> ExchangeError {
     let reason = if e.is_parse() { RefusalReason::BadAnswer } else { RefusalReason::Broken };
     ExchangeError { reason, detail: e.to_string() }
 }
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -1,4 +1,4 @@
-//! A request's way: accepted, picked, claimed, sent, answered or refused.
+//! The processing of a request: it is routed, claimed if needed, sent, and answered or refused.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,55 +9,55 @@
 use thistle_model::{RefusalReason, Service, Tier};
 use thistle_request::Router;
 use thistle_request::admit::Ticket;
-use thistle_request::claim::{Claim, KeptAnswer, Standing};
+use thistle_request::claim::{Claim, ClaimState, KeptAnswer};
 use thistle_request::exchange::{Pending, Refusal, Unsent};
-use thistle_request::key::{ClaimKey, KeyAge, fingerprint, judge_age};
-use thistle_request::router::{Ask, Avoid, Decision, PoolKey};
+use thistle_request::key::{ClaimKey, KeyAge, classify_age, fingerprint};
+use thistle_request::router::{Decision, FailedVms, PoolKey, RouteRequest};
 use tokio::sync::oneshot;
 
 use crate::backend::Answer;
 use crate::claimant::Claimant;
-use crate::context::{Context, InFlight, Woken};
+use crate::context::{Context, InFlight, WaitResult};
 use crate::parse::CallerRequest;
 use crate::reply::{self, Reply};
-use crate::sending::Sent;
+use crate::sending::SendOutcome;
 use crate::{decision_log, stats};
 
-/// After this a caller whose outcome is unknown is told to come back.
+/// The default retry delay reported with a refusal.
 pub const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A request under way.
+/// A request that is being processed.
 pub struct Forward {
-    /// What the entry's tasks share.
+    /// The state shared by the entry's tasks.
     pub cx: Arc<Context>,
-    /// The id under which the logs know it.
+    /// The request ID, as shown in logs.
     pub id: String,
-    /// What the caller sent.
+    /// The caller's request.
     pub req: Arc<CallerRequest>,
-    /// The service that it asks for.
+    /// The requested service.
     pub service: Service,
-    /// What the router knows of it.
-    pub ask: Ask,
+    /// The routing properties of the request.
+    pub route_request: RouteRequest,
     claimant: Option<Claimant>,
 }
 
 /// Serves a request and returns the answer or the refusal.
 ///
-/// A request that may not be repeated runs in a task of its own, so that a caller that goes away
-/// cuts nothing short; any other is dropped with its caller.
+/// A request that is not repeatable runs in its own task, so that it completes even if the caller
+/// disconnects. A repeatable request is dropped when its caller disconnects.
 pub async fn serve(cx: Arc<Context>, req: CallerRequest) -> Reply {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let ticket = cx.next_ticket();
     let id = cx.request_id(ticket);
     let req = Arc::new(req);
-    let result = match prepare(&cx, &id, req.clone(), ticket, began) {
-        Ok(forward) if forward.ask.repeatable => forward.run().await,
-        Ok(forward) => run_apart(forward).await,
+    let result = match prepare(&cx, &id, req.clone(), ticket, started_at) {
+        Ok(forward) if forward.route_request.repeatable => forward.run().await,
+        Ok(forward) => run_detached(forward).await,
         Err(refusal) => Err(refusal),
     };
     match result {
         Ok(reply) => {
-            stats::answered(&req.workspace, Instant::now().since(began));
+            stats::answered(&req.workspace, Instant::now().since(started_at));
             reply
         }
         Err(refusal) => {
@@ -68,16 +68,16 @@
     }
 }
 
-async fn run_apart(forward: Forward) -> Result<Reply, Refusal> {
+async fn run_detached(forward: Forward) -> Result<Reply, Refusal> {
     let ended = tokio::spawn(forward.run()).await;
     ended.unwrap_or_else(|_| {
-        // The task panicked: where it stood is not known.
-        let sent = Pending::Unsent(Unsent::new()).hand_over();
+        // The task panicked, so whether the request was sent is unknown.
+        let sent = Pending::Unsent(Unsent::new()).start_send();
         Err(sent.refuse(RefusalReason::Broken, RETRY_AFTER))
     })
 }
 
-/// Finds the service and the deadline of a request.
+/// Resolves the service, deadline and claim of a request.
 fn prepare(
     cx: &Arc<Context>,
     id: &str,
@@ -95,13 +95,14 @@
         }
         return Err(unsent.refuse(RefusalReason::NoSuchService, RETRY_AFTER));
     };
-    let longest = Duration::from_millis(u64::from(service.deadline_ms));
-    let deadline = now + req.deadline.unwrap_or(longest);
+    let default_deadline = Duration::from_millis(u64::from(service.deadline_ms));
+    let deadline = now + req.deadline.unwrap_or(default_deadline);
     let repeatable = is_repeatable(&req, &service);
     let tier = service.tier.unwrap_or(tier);
-    let ask = Ask { ticket, pool, tier, deadline, repeatable, avoid: Avoid::default() };
-    let claimant = claimant(cx, &req, repeatable, unsent)?;
-    Ok(Forward { cx: cx.clone(), id: id.to_owned(), req, service, ask, claimant })
+    let route_request =
+        RouteRequest { ticket, pool, tier, deadline, repeatable, failed_vms: FailedVms::default() };
+    let claimant = new_claimant(cx, &req, repeatable, unsent)?;
+    Ok(Forward { cx: cx.clone(), id: id.to_owned(), req, service, route_request, claimant })
 }
 
 fn find_service(cx: &Context, req: &CallerRequest) -> Option<(PoolKey, Tier, Service)> {
@@ -112,18 +113,19 @@
     Some((key, pool.tier, service))
 }
 
-/// Returns whether a request may be run twice: as the caller says, else by the service's setting,
-/// else by the rules of its method (RFC 9110, section 9.2.2).
+/// Returns whether a request may be run twice, as set by the caller, else by the service, else by
+/// whether the method is idempotent (RFC 9110, section 9.2.2).
 fn is_repeatable(req: &CallerRequest, service: &Service) -> bool {
-    let by_method = matches!(
+    let idempotent_method = matches!(
         req.method,
         Method::GET | Method::HEAD | Method::OPTIONS | Method::PUT | Method::DELETE
     );
-    req.repeatable.unwrap_or(service.repeatable || by_method)
+    req.repeatable.unwrap_or(service.repeatable || idempotent_method)
 }
 
-/// Returns the claim that a request needs, if any; refuses keys that are too old to be sure.
-fn claimant(
+/// Creates the claim that a request needs, if any; refuses keys so old that their claim may have
+/// expired.
+fn new_claimant(
     cx: &Arc<Context>,
     req: &CallerRequest,
     repeatable: bool,
@@ -133,88 +135,91 @@
         return Ok(None);
     };
     let claims_from = cx.link().voters.claims_from_ms;
-    match judge_age(key, wall_ms(), cx.settings.claim_keep.0, claims_from) {
+    match classify_age(key, wall_ms(), cx.settings.claim_keep.0, claims_from) {
         KeyAge::Fresh => {}
         KeyAge::TooOld => return Err(unsent.refuse_held(RefusalReason::KeyTooOld, RETRY_AFTER)),
-        KeyAge::Ahead => {
+        KeyAge::InFuture => {
             let mut refusal = unsent.refuse(RefusalReason::BadRequest, RETRY_AFTER);
             refusal.detail =
                 "the time in the Idempotency-Key lies ahead: set your clock".to_owned();
             return Err(refusal);
         }
     }
-    let print = fingerprint(req.method.as_str(), &req.target, &req.body);
+    let request_hash = fingerprint(req.method.as_str(), &req.target, &req.body);
     let key = ClaimKey::new(&req.workspace, &req.service, key);
-    Ok(Some(Claimant::new(cx.clone(), key, print)))
+    Ok(Some(Claimant::new(cx.clone(), key, request_hash)))
 }
 
-/// How a request's claim ended, when it was not refused.
-enum Claimed {
-    /// The request may be sent, or needs no claim.
+/// The result of claiming the key of a request that is not refused.
+enum ClaimResult {
+    /// The request may be sent, as it holds the claim or needs none.
     Won(Pending),
-    /// The first attempt's answer.
+    /// An earlier attempt already has this answer.
     Replay(Reply),
 }
 
 impl Forward {
     async fn run(mut self) -> Result<Reply, Refusal> {
         let pending = Pending::Unsent(Unsent::new());
-        let (decision, waiter) = self.decide(|router, ask, now| Some(router.submit(ask, now)));
-        let (pending, mut in_flight) = self.placed(pending, decision, waiter).await?;
+        let (decision, waiter) =
+            self.decide(|router, request, now| Some(router.submit(request, now)));
+        let (pending, mut in_flight) = self.wait_for_vm(pending, decision, waiter).await?;
         let mut pending = match self.claim(pending).await? {
-            Claimed::Won(pending) => pending,
-            Claimed::Replay(reply) => return Ok(reply),
+            ClaimResult::Won(pending) => pending,
+            ClaimResult::Replay(reply) => return Ok(reply),
         };
         loop {
             let vm = in_flight.vm();
-            let (back, last) = match self.send(pending, in_flight).await {
-                Sent::Answered(answer) => return Ok(self.answered(answer)),
-                Sent::Refused(refusal) => return Err(refusal),
-                Sent::ServerError(answer, sent) => (sent.repeat(), Ok(answer)),
-                Sent::Again(back, reason, detail) => (back, Err((reason, detail))),
+            let (restored, last) = match self.send(pending, in_flight).await {
+                SendOutcome::Answered(answer) => return Ok(self.answered(answer)),
+                SendOutcome::Refused(refusal) => return Err(refusal),
+                SendOutcome::ServerError(answer, sent) => (sent.into_repeated(), Ok(answer)),
+                SendOutcome::Retry(restored, reason, detail) => (restored, Err((reason, detail))),
             };
-            self.ask.avoid.add(vm);
+            self.route_request.failed_vms.add(vm);
             let (decision, waiter) =
-                self.decide(|router, ask, now| router.resubmit(ask, &back, now));
+                self.decide(|router, request, now| router.resubmit(request, &restored, now));
             if decision.is_none() {
                 return match last {
                     Ok(answer) => Ok(self.answered(answer)),
-                    Err((reason, detail)) => Err(self.give_up(back, reason, RETRY_AFTER, detail)),
+                    Err((reason, detail)) => {
+                        Err(self.abandon(restored, reason, RETRY_AFTER, detail))
+                    }
                 };
             }
             stats::retried();
-            (pending, in_flight) = self.placed(back, decision, waiter).await?;
+            (pending, in_flight) = self.wait_for_vm(restored, decision, waiter).await?;
         }
     }
 
-    /// Asks the router; a request that waits gets its waiter under the same lock, so that no wake
-    /// is missed.
+    /// Gets the router's decision. A request that must wait is registered under the same lock, so
+    /// that no wake is missed.
     fn decide(
         &self,
-        decide: impl FnOnce(&mut Router, Ask, Instant) -> Option<Decision>,
-    ) -> (Option<Decision>, Option<oneshot::Receiver<Woken>>) {
+        decide: impl FnOnce(&mut Router, RouteRequest, Instant) -> Option<Decision>,
+    ) -> (Option<Decision>, Option<oneshot::Receiver<WaitResult>>) {
         let mut router = self.cx.router();
-        let decision = decide(&mut router, self.ask, Instant::now());
+        let decision = decide(&mut router, self.route_request, Instant::now());
         let waits = decision == Some(Decision::Wait);
-        let waiter = waits.then(|| self.cx.waiter(self.ask.ticket));
+        let waiter = waits.then(|| self.cx.register_waiter(self.route_request.ticket));
         (decision, waiter)
     }
 
-    /// Waits until the request has a VM, or refuses it.
-    async fn placed(
+    /// Waits until the request is assigned a VM or refused.
+    async fn wait_for_vm(
         &self,
         pending: Pending,
         decision: Option<Decision>,
-        waiter: Option<oneshot::Receiver<Woken>>,
+        waiter: Option<oneshot::Receiver<WaitResult>>,
     ) -> Result<(Pending, InFlight), Refusal> {
         match (decision, waiter) {
             (Some(Decision::Send(vm)), _) => Ok((pending, InFlight::new(self.cx.clone(), vm))),
             (Some(Decision::Refuse(reason, after)), _) => {
-                Err(self.give_up(pending, reason, after, String::new()))
+                Err(self.abandon(pending, reason, after, String::new()))
             }
             (_, Some(waiter)) => self.wait(pending, waiter).await,
             (_, None) => {
-                Err(self.give_up(pending, RefusalReason::Overload, RETRY_AFTER, String::new()))
+                Err(self.abandon(pending, RefusalReason::Overload, RETRY_AFTER, String::new()))
             }
         }
     }
@@ -222,50 +227,50 @@
     async fn wait(
         &self,
         pending: Pending,
-        waiter: oneshot::Receiver<Woken>,
+        waiter: oneshot::Receiver<WaitResult>,
     ) -> Result<(Pending, InFlight), Refusal> {
-        self.cx.slots_now.notify_one();
-        let left = self.ask.deadline.since(Instant::now());
-        match tokio::time::timeout(left, waiter).await {
-            Ok(Ok(Woken::Send(in_flight))) => Ok((pending, in_flight)),
-            Ok(Ok(Woken::Refuse(reason, after))) => {
-                Err(self.give_up(pending, reason, after, String::new()))
+        self.cx.renew_slots_now.notify_one();
+        let remaining = self.route_request.deadline.since(Instant::now());
+        match tokio::time::timeout(remaining, waiter).await {
+            Ok(Ok(WaitResult::Send(in_flight))) => Ok((pending, in_flight)),
+            Ok(Ok(WaitResult::Refuse(reason, after))) => {
+                Err(self.abandon(pending, reason, after, String::new()))
             }
             Ok(Err(_)) | Err(_) => {
-                self.cx.router().cancel(self.ask.ticket);
-                self.cx.forget_waiter(self.ask.ticket);
-                Err(self.give_up(pending, RefusalReason::Deadline, RETRY_AFTER, String::new()))
+                self.cx.router().cancel(self.route_request.ticket);
+                self.cx.unregister_waiter(self.route_request.ticket);
+                Err(self.abandon(pending, RefusalReason::Deadline, RETRY_AFTER, String::new()))
             }
         }
     }
 
-    /// Claims the key if there is one; returns the first attempt's answer when it is known.
-    async fn claim(&self, pending: Pending) -> Result<Claimed, Refusal> {
+    /// Claims the idempotency key, if any; returns the answer of an earlier attempt if known.
+    async fn claim(&self, pending: Pending) -> Result<ClaimResult, Refusal> {
         let Some(claimant) = &self.claimant else {
-            return Ok(Claimed::Won(pending));
+            return Ok(ClaimResult::Won(pending));
         };
-        match claimant.ask(self.ask.deadline).await {
-            Standing::Won => Ok(Claimed::Won(pending)),
-            Standing::Held(held) => {
+        match claimant.acquire(self.route_request.deadline).await {
+            ClaimState::Won => Ok(ClaimResult::Won(pending)),
+            ClaimState::Held(held) => {
                 claimant.release();
-                self.replay(&held).map(Claimed::Replay)
+                self.replay(&held).map(ClaimResult::Replay)
             }
-            Standing::Pending | Standing::Lost => {
+            ClaimState::Pending | ClaimState::NoQuorum => {
                 let detail = "this sending did not run; an earlier one with the same key may have";
                 let detail = detail.to_owned();
-                Err(self.give_up(pending, RefusalReason::NoClaim, RETRY_AFTER, detail))
+                Err(self.abandon(pending, RefusalReason::NoClaim, RETRY_AFTER, detail))
             }
         }
     }
 
     fn replay(&self, held: &Claim) -> Result<Reply, Refusal> {
         let unsent = Unsent::new();
-        let print = fingerprint(self.req.method.as_str(), &self.req.target, &self.req.body);
-        if held.fingerprint != print {
+        let request_hash = fingerprint(self.req.method.as_str(), &self.req.target, &self.req.body);
+        if held.fingerprint != request_hash {
             return Err(unsent.refuse(RefusalReason::KeyReused, RETRY_AFTER));
         }
         match &held.answer {
-            Some(answer) => Ok(reply::kept(answer, &self.id)),
+            Some(answer) => Ok(reply::replayed(answer, &self.id)),
             None => Err(unsent.refuse_held(RefusalReason::HeldElsewhere, RETRY_AFTER)),
         }
     }
@@ -273,7 +278,7 @@
     fn answered(&self, answer: Answer) -> Reply {
         if let Some(claimant) = &self.claimant {
             let kind = answer.parts.headers.get(CONTENT_TYPE).and_then(|v| v.to_str().ok());
-            claimant.settle(&KeptAnswer {
+            claimant.store_answer(&KeptAnswer {
                 status: answer.parts.status.as_u16(),
                 content_type: kind.unwrap_or_default().to_owned(),
                 body: answer.body.to_vec(),
@@ -282,8 +287,8 @@
         reply::answer(answer, &self.id)
     }
 
-    /// Refuses the request; a claim on which nothing was sent is released.
-    pub fn give_up(
+    /// Refuses the request; releases its claim if nothing was sent.
+    pub fn abandon(
         &self,
         pending: Pending,
         reason: RefusalReason,
--- a/crates/entry/src/slots.rs
+++ b/crates/entry/src/slots.rs
@@ -1,4 +1,4 @@
-//! Keeping slots leased from the homes of VMs.
+//! Renewal of slot leases at the homes of VMs.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,48 +15,51 @@
 
 use crate::context::Context;
 
-/// How often leases are renewed without need.
-const RENEW_EVERY: Duration = Duration::from_millis(500);
-/// How often leases are asked for while requests wait.
-const SHORT_PAUSE: Duration = Duration::from_millis(5);
-/// How long a home may take to answer.
+/// The renewal interval while no requests wait.
+const RENEW_INTERVAL: Duration = Duration::from_millis(500);
+/// The renewal interval while requests wait.
+const SHORT_RENEW_INTERVAL: Duration = Duration::from_millis(5);
+/// The timeout of a call to a home.
 const HOME_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a home that did not answer is left alone.
-const HOME_PAUSE: Duration = Duration::from_secs(1);
+/// The time during which a home that did not reply is skipped.
+const UNRESPONSIVE_HOME_DELAY: Duration = Duration::from_secs(1);
 
-/// Keeps slots leased until the process ends.
+/// Renews slot leases until the process ends.
 pub async fn run(cx: Arc<Context>) {
-    let mut silent: HashMap<SocketAddr, Instant> = HashMap::new();
+    let mut unresponsive: HashMap<SocketAddr, Instant> = HashMap::new();
     loop {
-        let short = cx.router().is_short_of_slots();
-        let pause = if short { SHORT_PAUSE } else { RENEW_EVERY };
-        // The pause ends early when requests begin to wait.
-        let _ = tokio::time::timeout(pause, cx.slots_now.notified()).await;
-        round(&cx, &mut silent).await;
+        let is_short = cx.router().is_short_of_slots();
+        let interval = if is_short { SHORT_RENEW_INTERVAL } else { RENEW_INTERVAL };
+        // The wait ends early when a request starts to wait.
+        let _ = tokio::time::timeout(interval, cx.renew_slots_now.notified()).await;
+        renew_all(&cx, &mut unresponsive).await;
     }
 }
 
-/// Asks each home once, all at the same time.
-async fn round(cx: &Arc<Context>, silent: &mut HashMap<SocketAddr, Instant>) {
+/// Sends one request to each home, all concurrently.
+async fn renew_all(cx: &Arc<Context>, unresponsive: &mut HashMap<SocketAddr, Instant>) {
     let now = Instant::now();
-    silent.retain(|_, since| now.since(*since) < HOME_PAUSE);
+    unresponsive.retain(|_, since| now.since(*since) < UNRESPONSIVE_HOME_DELAY);
     let wants = cx.router().slot_wants(now);
     let (member, members) = {
         let link = cx.link();
         (link.member, link.members.clone())
     };
-    let by_home = group(wants, &members);
-    let asked = by_home.into_iter().filter(|(addr, _)| !silent.contains_key(addr));
-    let calls = asked.map(|(addr, wants)| ask(cx, addr, member, wants));
+    let by_home = group_by_home(wants, &members);
+    let requests = by_home.into_iter().filter(|(addr, _)| !unresponsive.contains_key(addr));
+    let calls = requests.map(|(addr, wants)| request_slots(cx, addr, member, wants));
     for (addr, answered) in join_all(calls).await {
         if !answered {
-            silent.insert(addr, now);
+            unresponsive.insert(addr, now);
         }
     }
 }
 
-/// Groups what is wanted by the home of each VM.
-fn group(wants: Vec<SlotWant>, members: &[ViewVoter]) -> HashMap<SocketAddr, Vec<SlotWant>> {
+/// Groups slot requests by the home of their VM.
+fn group_by_home(
+    wants: Vec<SlotWant>,
+    members: &[ViewVoter],
+) -> HashMap<SocketAddr, Vec<SlotWant>> {
     let mut by_home: HashMap<SocketAddr, Vec<SlotWant>> = HashMap::new();
     for want in wants {
         let key = want.vm.as_str().as_bytes();
@@ -68,14 +71,14 @@
     by_home
 }
 
-async fn ask(
+async fn request_slots(
     cx: &Arc<Context>,
     addr: SocketAddr,
     member: MemberId,
     wants: Vec<SlotWant>,
 ) -> (SocketAddr, bool) {
-    let line = cx.line(addr);
-    let asked = Instant::now();
+    let line = cx.peer_line(addr);
+    let requested_at = Instant::now();
     let Ok(client) = line.client().await else {
         return (addr, false);
     };
@@ -89,7 +92,7 @@
     };
     let mut router = cx.router();
     for grant in &grants {
-        router.apply_grant(grant, asked);
+        router.apply_grant(grant, requested_at);
     }
     let wakes = router.poll(Instant::now());
     drop(router);
--- a/crates/plan/src/progress.rs
+++ b/crates/plan/src/progress.rs
@@ -1,4 +1,4 @@
-//! The step after a drain: reboot, or the new pool.
+//! Proposes the step that follows a drain: a reboot or the assignment to the new pool.
 
 use thistle_fold::{Stage, Vm};
 use thistle_model::{Change, DrainReason};
--- a/crates/replay/src/fleet/mod.rs
+++ b/crates/replay/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The planner and the fold over a fake fleet: drains, reboots and failures, event by event.
+//! A discrete-event simulation of the planner and the fold over a fake fleet with drains, reboots and failures.
 
 mod layout;
 
@@ -14,48 +14,48 @@
 
 pub use layout::{Layout, PoolPlan};
 
-/// Shortest and longest time in which a drained VM's requests end, in seconds.
+/// The shortest and longest time in which the requests of a draining VM end, in seconds.
 const DRAIN_SECONDS: (u64, u64) = (2, 30);
-/// Shortest and longest time of a reboot, in seconds.
+/// The shortest and longest duration of a reboot, in seconds.
 const REBOOT_SECONDS: (u64, u64) = (120, 300);
-/// Time after which the list shows a failure, in seconds.
+/// The time after which the list shows a failure, in seconds.
 const LIST_LAG_SECONDS: u64 = 30;
-/// The minute of the day that the planner is told: windows are left out of these runs.
+/// The minute of the day that is passed to the planner; these runs have no maintenance windows.
 const MINUTE: u16 = 0;
-/// The one member whose entry acknowledges.
+/// The only member, whose entry acknowledges drains.
 const MEMBER: MemberId = MemberId(1);
 
-/// Something that fails.
+/// A failure of VMs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// One VM, which comes back as a new one after this many seconds.
+    /// One VM fails and is replaced by a new one after this many seconds.
     Vm(usize, u64),
-    /// All VMs of a rack, which come back after this many seconds.
+    /// All VMs of a rack fail and are replaced after this many seconds.
     Rack(usize, u64),
 }
 
-/// What a run measured.
+/// The results of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FleetReport {
-    /// Time from the wave's start to its end, in seconds.
+    /// The duration of the wave, in seconds.
     pub wave_seconds: u64,
-    /// VMs assigned to a workspace's pool after the first fill.
+    /// The number of VMs assigned to pools of workspaces after the first fill.
     pub moves: u64,
-    /// VMs of workspaces' pools that failed, when the list shows it.
+    /// The number of VMs that were in pools of workspaces when the list showed their failure.
     pub failed_in_pools: u64,
-    /// Spare VMs times hours.
+    /// The spare capacity held in reserve, in VM-hours.
     pub buffer_vm_hours: f64,
-    /// Records accepted.
+    /// The number of accepted records.
     pub accepted: u64,
-    /// Proposals of the planner that the fold rejected.
+    /// The number of proposals of the planner that the fold rejected.
     pub rejected: u64,
-    /// Bytes appended.
+    /// The number of bytes appended to the log.
     pub bytes: u64,
-    /// Planning steps.
+    /// The number of planning steps.
     pub plans: u64,
-    /// The longest planning step, in microseconds.
+    /// The duration of the longest planning step, in microseconds.
     pub longest_plan_us: u64,
-    /// VM-seconds for which pools were below their floor after failures.
+    /// The shortfall of pools below their floor after failures, in VM-seconds.
     pub below_floor_seconds: u64,
 }
 
@@ -67,26 +67,26 @@
     Back(Vec<usize>),
 }
 
-/// A fleet under way.
+/// A simulated fleet.
 pub struct Fleet {
     layout: Layout,
     cfg: PlanConfig,
     /// The agreed state.
     pub state: State,
-    /// What was measured so far.
+    /// The results so far.
     pub report: FleetReport,
-    agenda: BinaryHeap<Reverse<(u64, u64)>>,
+    queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
     next_event: u64,
     seq: u64,
     offset: u64,
     now: u64,
     rng: SmallRng,
-    lives: Vec<u32>,
+    incarnations: Vec<u32>,
 }
 
 impl Fleet {
-    /// Makes a fleet with its pools filled.
+    /// Returns a fleet whose pools are filled.
     pub fn new(layout: Layout, cfg: PlanConfig, seed: u64) -> Self {
         let vms = layout.vms;
         let mut fleet = Self {
@@ -94,34 +94,34 @@
             cfg,
             state: State::new(),
             report: FleetReport::default(),
-            agenda: BinaryHeap::new(),
+            queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             next_event: 0,
             seq: 0,
             offset: 0,
             now: 0,
             rng: SmallRng::seed_from_u64(seed),
-            lives: vec![0; vms],
+            incarnations: vec![0; vms],
         };
-        let changes = fleet.layout.set_up(MEMBER);
+        let changes = fleet.layout.initial_changes(MEMBER);
         fleet.append(changes);
-        fleet.settle();
+        fleet.plan_until_stable();
         fleet.report = FleetReport::default();
         fleet
     }
 
-    /// Starts a wave and runs until it is done and no event is left.
+    /// Starts a wave and runs until no event is left.
     pub fn run_wave(&mut self, failures: &[(u64, Failure)]) -> FleetReport {
         for (at, failure) in failures {
             self.schedule(*at, Event::Fail(failure.clone()));
         }
         self.append(vec![Change::WaveStart { base: self.state.wave.revision }]);
-        self.settle();
-        while let Some(Reverse((at, id))) = self.agenda.pop() {
+        self.plan_until_stable();
+        while let Some(Reverse((at, id))) = self.queue.pop() {
             let Some(event) = self.events.remove(&id) else { continue };
-            self.pass_time(at);
+            self.advance_to(at);
             self.handle(event);
-            self.settle();
+            self.plan_until_stable();
             if self.state.wave_left() == 0 && self.report.wave_seconds == 0 {
                 self.report.wave_seconds = at;
             }
@@ -130,7 +130,7 @@
         self.report
     }
 
-    fn pass_time(&mut self, at: u64) {
+    fn advance_to(&mut self, at: u64) {
         let span = at - self.now;
         let spare = self.state.pools[self.state.reserve].available;
         self.report.buffer_vm_hours += f64::from(spare) * span as f64 / 3_600.0;
@@ -143,23 +143,23 @@
         match event {
             Event::Acked(vm) => {
                 let acks = vec![MEMBER];
-                self.with_vm(&vm, |vm, base| vec![Change::Drained { vm, base, acks }]);
+                self.append_for_vm(&vm, |vm, base| vec![Change::Drained { vm, base, acks }]);
             }
             Event::Rebooted(vm) => {
-                self.with_vm(&vm, |vm, base| vec![Change::MaintenanceDone { vm, base }]);
+                self.append_for_vm(&vm, |vm, base| vec![Change::MaintenanceDone { vm, base }]);
             }
             Event::Fail(failure) => self.fail(&failure),
             Event::Listed(gone) => {
                 for vm in gone {
-                    self.count_failed(&vm);
-                    self.with_vm(&vm, |vm, base| vec![Change::VmGone { vm, base }]);
+                    self.record_failure(&vm);
+                    self.append_for_vm(&vm, |vm, base| vec![Change::VmGone { vm, base }]);
                 }
             }
             Event::Back(vms) => {
                 let seen = vms.iter().map(|&i| {
-                    self.lives[i] += 1;
+                    self.incarnations[i] += 1;
                     Change::VmSeen {
-                        vm: self.layout.vm_name(i, self.lives[i]),
+                        vm: self.layout.vm_name(i, self.incarnations[i]),
                         facts: self.layout.facts(i),
                         status: PlatformStatus::Live,
                     }
@@ -173,20 +173,21 @@
     fn fail(&mut self, failure: &Failure) {
         let (vms, back) = match failure {
             Failure::Vm(i, back) => (vec![*i], *back),
-            Failure::Rack(r, back) => (self.layout.of_rack(*r), *back),
+            Failure::Rack(r, back) => (self.layout.vms_of_rack(*r), *back),
         };
-        let names: Vec<_> = vms.iter().map(|&i| self.layout.vm_name(i, self.lives[i])).collect();
+        let names: Vec<_> =
+            vms.iter().map(|&i| self.layout.vm_name(i, self.incarnations[i])).collect();
         self.schedule(self.now + LIST_LAG_SECONDS, Event::Listed(names));
         self.schedule(self.now + LIST_LAG_SECONDS + back, Event::Back(vms));
     }
 
-    fn count_failed(&mut self, name: &VmName) {
+    fn record_failure(&mut self, name: &VmName) {
         let Ok(key) = self.state.vm_key(name) else { return };
         let in_pool = self.state.vms[key].pool != self.state.reserve;
         self.report.failed_in_pools += u64::from(in_pool);
     }
 
-    fn with_vm(
+    fn append_for_vm(
         &mut self,
         name: &VmName,
         changes: impl FnOnce(VmName, thistle_model::Revision) -> Vec<Change>,
@@ -197,8 +198,8 @@
         }
     }
 
-    /// Plans and appends until nothing more is proposed.
-    fn settle(&mut self) {
+    /// Plans and appends until the planner proposes nothing more.
+    fn plan_until_stable(&mut self) {
         loop {
             let began = std::time::Instant::now();
             let proposals = plan(&self.state, &self.cfg, MINUTE);
@@ -253,18 +254,18 @@
     fn schedule(&mut self, at: u64, event: Event) {
         self.next_event += 1;
         self.events.insert(self.next_event, event);
-        self.agenda.push(Reverse((at, self.next_event)));
+        self.queue.push(Reverse((at, self.next_event)));
     }
 
-    /// Returns whether a pool is short of VMs while the reserve has fit ones.
+    /// Returns whether a pool is short of VMs although the reserve has available ones.
     pub fn is_short_with_spares(&self) -> bool {
         let spares = self.state.pools[self.state.reserve].available;
         let short = self.state.pools.values().any(|p| p.size < p.target());
         short && spares > 0
     }
 
-    /// Returns, for each pool, its most VMs in any one rack: the buffer that it needs by itself to
-    /// make up for the loss of a rack.
+    /// Returns the sum over all pools of the largest number of VMs that a pool has in one rack: the
+    /// buffer that is needed when each pool covers the loss of a rack by itself.
     pub fn buffers_by_pool(&self) -> u32 {
         let mut counts: BTreeMap<_, u32> = BTreeMap::new();
         for vm in self.state.vms.values().filter(|vm| vm.pool != self.state.reserve) {
@@ -278,8 +279,8 @@
         most.values().sum()
     }
 
-    /// Returns the most VMs that all pools together have in any one rack: the shared reserve that
-    /// makes up for its loss.
+    /// Returns the largest number of VMs that all pools together have in one rack: the shared reserve
+    /// that covers the loss of any rack.
     pub fn shared_buffer(&self) -> u32 {
         let mut counts: BTreeMap<_, u32> = BTreeMap::new();
         for vm in self.state.vms.values().filter(|vm| vm.pool != self.state.reserve) {
@@ -289,7 +290,7 @@
     }
 
     /// Returns whether every VM is in service.
-    pub fn is_at_rest(&self) -> bool {
+    pub fn all_in_service(&self) -> bool {
         self.state.vms.values().all(|vm| vm.stage == Stage::InService)
     }
 }
--- a/crates/replay/src/worker.rs
+++ b/crates/replay/src/worker.rs
@@ -1,44 +1,48 @@
-//! A fake worker: slots, a queue behind them, connections, faults.
+//! A fake worker with slots, a queue for them, a connection limit and faults.
 
 use std::collections::VecDeque;
 
 use thistle_model::vm::{DEFAULT_CONNECTIONS, DEFAULT_SLOTS};
 
-use crate::event::Send;
+use crate::event::Attempt;
 
-/// How a worker behaves.
+/// The health of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Health {
-    Well,
-    Off,
+    Healthy,
+    /// Connections time out.
+    SwitchedOff,
+    /// Connections are refused.
     Stopped,
+    /// Every request fails immediately.
     Failing,
-    Mute,
+    /// Requests run, but their responses are lost.
+    LosingResponses,
 }
 
-/// What a worker does with a send that reaches it.
+/// What a worker does with an attempt that reaches it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Taken {
-    /// It runs from now on.
+pub(crate) enum Admission {
+    /// It starts to run.
     Runs,
-    /// It waits behind the slots.
+    /// It waits for a slot.
     Waits,
     /// The connection is refused.
     Refused,
-    /// Nothing answers.
-    Nothing,
-    /// It fails at once.
+    /// The connection attempt gets no answer.
+    NoResponse,
+    /// It fails immediately.
     Fails,
 }
 
-/// One worker.
+/// A worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
     pub health: Health,
-    /// Raised when the machine goes off, so that what ran before is lost.
-    pub life: u64,
+    /// The incarnation; increased when the worker stops, so that its earlier runs are lost.
+    pub incarnation: u64,
     running: usize,
-    waiting: VecDeque<Send>,
+    waiting: VecDeque<Attempt>,
     pub peak: usize,
     pub busy_us: u64,
 }
@@ -46,8 +50,8 @@
 impl Worker {
     pub fn new() -> Self {
         Self {
-            health: Health::Well,
-            life: 0,
+            health: Health::Healthy,
+            incarnation: 0,
             running: 0,
             waiting: VecDeque::new(),
             peak: 0,
@@ -55,29 +59,29 @@
         }
     }
 
-    /// Takes a send.
-    pub fn take(&mut self, send: Send) -> Taken {
+    /// Accepts or rejects an attempt.
+    pub fn admit(&mut self, attempt: Attempt) -> Admission {
         match self.health {
-            Health::Off => return Taken::Nothing,
-            Health::Stopped => return Taken::Refused,
-            Health::Failing => return Taken::Fails,
-            Health::Well | Health::Mute => {}
+            Health::SwitchedOff => return Admission::NoResponse,
+            Health::Stopped => return Admission::Refused,
+            Health::Failing => return Admission::Fails,
+            Health::Healthy | Health::LosingResponses => {}
         }
         let in_flight = self.running + self.waiting.len();
         if in_flight >= usize::from(DEFAULT_CONNECTIONS) {
-            return Taken::Refused;
+            return Admission::Refused;
         }
         self.peak = self.peak.max(in_flight + 1);
         if self.running >= usize::from(DEFAULT_SLOTS) {
-            self.waiting.push_back(send);
-            return Taken::Waits;
+            self.waiting.push_back(attempt);
+            return Admission::Waits;
         }
         self.running += 1;
-        Taken::Runs
+        Admission::Runs
     }
 
-    /// Ends a run and returns the send that runs next.
-    pub fn done(&mut self, busy_us: u64) -> Option<Send> {
+    /// Ends a run and returns the attempt that runs next.
+    pub fn done(&mut self, busy_us: u64) -> Option<Attempt> {
         self.busy_us += busy_us;
         let next = self.waiting.pop_front();
         if next.is_none() {
@@ -86,9 +90,9 @@
         next
     }
 
-    /// Loses all that runs and waits; returns what waited.
-    pub fn lose_all(&mut self) -> Vec<Send> {
-        self.life += 1;
+    /// Drops all running and waiting attempts; returns those that waited.
+    pub fn drop_all(&mut self) -> Vec<Attempt> {
+        self.incarnation += 1;
         self.running = 0;
         self.waiting.drain(..).collect()
     }
--- a/crates/request/src/claim.rs
+++ b/crates/request/src/claim.rs
@@ -1,8 +1,9 @@
-//! Claims on idempotency keys: which one attempt may send a request that may not be repeated.
+//! Claims on idempotency keys, which let at most one attempt send a request that is not repeatable.
 //!
-//! Voters hold claims. An attempt may send only after a quorum of the voters of one revision has
-//! accepted it; quorums of successive revisions meet (see the fold's voters), and a new set takes
-//! over the claims of a quorum of the old one before it is committed.
+//! Voters hold the claims. An attempt may send only after a quorum of the voters of one revision
+//! has accepted its claim. Quorums of successive revisions intersect (see the voters in the fold),
+//! and a new set of voters copies the claims of a quorum of the old set before the new set is
+//! committed.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -15,38 +16,38 @@
 
 use crate::key::ClaimKey;
 
-/// The largest answer that is kept for later attempts, in bytes of its body.
+/// The maximum body size of an answer that is kept for later attempts, in bytes.
 pub const MAX_KEPT_BODY: usize = 4 * 1024;
-/// Claims in one page of a take-over.
-pub const PAGE_CLAIMS: usize = 512;
+/// The number of keys whose claims one page of a transfer between voters holds.
+pub const PAGE_KEYS: usize = 512;
 
-/// An attempt's number, drawn at random by its entry.
+/// The identifier of an attempt, generated at random by its entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AttemptId(pub u64);
 
-/// An answer kept for later attempts with the same key.
+/// An answer that is kept for later attempts with the same key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptAnswer {
-    /// Its HTTP status.
+    /// The HTTP status.
     pub status: u16,
-    /// Its content type, empty when it had none.
+    /// The content type; empty if the response had none.
     pub content_type: String,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
 }
 
 /// A claim on a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The attempt that holds it.
+    /// The attempt that holds the claim.
     pub attempt: AttemptId,
-    /// The fingerprint of its request.
+    /// The fingerprint of the attempt's request.
     pub fingerprint: u64,
-    /// The answer, once it is known; boxed, as most claims have none.
+    /// The answer, once known; boxed, as most claims have none.
     pub answer: Option<Box<KeptAnswer>>,
 }
 
-/// A claim with its key, as it is handed over.
+/// A claim with its key, as transferred between voters.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyedClaim {
     /// The key.
@@ -55,44 +56,44 @@
     pub claim: Claim,
 }
 
-/// A holder's reply to an attempt.
+/// A voter's reply to a claim request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimReply {
-    /// The attempt holds the key here, under this revision of the voters.
+    /// The attempt holds the key at this voter, under this revision of the voters.
     Accepted(Revision),
-    /// Another attempt holds the key here.
+    /// Another attempt holds the key at this voter.
     Held(Claim),
-    /// The holder is at another revision of the voters.
+    /// The voter is at a different revision of the voters.
     WrongRevision(Revision),
-    /// The holder has no room for another claim.
+    /// The voter has no room for another claim.
     Full,
 }
 
-/// The claims on one key: more than one only where a take-over brought together the claim of an
-/// attempt that won and those of attempts that did not.
+/// The claims on one key. There is more than one only after a transfer between voters that merged
+/// the claim of a successful attempt with those of unsuccessful attempts.
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldClaims {
     claims: SmallVec<[Claim; 1]>,
-    since: Instant,
+    claimed_at: Instant,
 }
 
-impl Held {
-    /// Returns another attempt's claim, one with an answer if there is one.
-    fn other_than(&self, attempt: AttemptId) -> Option<&Claim> {
+impl HeldClaims {
+    /// Returns the claim of another attempt, preferably one with an answer.
+    fn claim_of_other(&self, attempt: AttemptId) -> Option<&Claim> {
         let others = self.claims.iter().filter(|c| c.attempt != attempt);
         others.max_by_key(|c| c.answer.is_some())
     }
 
-    fn of(&mut self, attempt: AttemptId) -> Option<&mut Claim> {
+    fn claim_of(&mut self, attempt: AttemptId) -> Option<&mut Claim> {
         self.claims.iter_mut().find(|c| c.attempt == attempt)
     }
 }
 
-/// The claims that one voter holds.
+/// The claims held by one voter.
 #[derive(Clone, Debug)]
 pub struct ClaimTable {
-    claims: BTreeMap<ClaimKey, Held>,
-    ages: VecDeque<(Instant, ClaimKey)>,
+    claims: BTreeMap<ClaimKey, HeldClaims>,
+    by_age: VecDeque<(Instant, ClaimKey)>,
     keep: Duration,
     max: usize,
     body_bytes: usize,
@@ -100,12 +101,12 @@
 }
 
 impl ClaimTable {
-    /// Makes a table that keeps claims for `keep` and at most `max` of them, with kept answers of
-    /// at most `max_body_bytes` altogether.
+    /// Creates a table that keeps at most `max` keys, each for `keep`, with answer bodies of at
+    /// most `max_body_bytes` in total.
     pub fn new(keep: Duration, max: usize, max_body_bytes: usize) -> Self {
         Self {
             claims: BTreeMap::new(),
-            ages: VecDeque::new(),
+            by_age: VecDeque::new(),
             keep,
             max,
             body_bytes: 0,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Returns the number of claims held.
+    /// Returns the number of keys with claims.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
@@ -123,31 +124,32 @@
         self.claims.is_empty()
     }
 
-    /// Answers an attempt; `present` is the holder's revision of the voters, `asked` the attempt's.
+    /// Handles a claim request. It is accepted only if the attempt and this voter are at the same
+    /// revision of the voters.
     pub fn claim(
         &mut self,
         key: ClaimKey,
         wanted: &Claim,
-        asked: Revision,
-        present: Revision,
+        attempt_revision: Revision,
+        voter_revision: Revision,
         now: Instant,
     ) -> ClaimReply {
         self.expire(now);
         let known = self.claims.get(&key);
-        if let Some(other) = known.and_then(|held| held.other_than(wanted.attempt)) {
+        if let Some(other) = known.and_then(|held| held.claim_of_other(wanted.attempt)) {
             return ClaimReply::Held(other.clone());
         }
-        if asked != present {
-            return ClaimReply::WrongRevision(present);
+        if attempt_revision != voter_revision {
+            return ClaimReply::WrongRevision(voter_revision);
         }
         if known.is_none() && self.claims.len() >= self.max {
             return ClaimReply::Full;
         }
         self.insert(key, wanted.clone(), now);
-        ClaimReply::Accepted(present)
+        ClaimReply::Accepted(voter_revision)
     }
 
-    /// Gives a key up for an attempt that did not send.
+    /// Releases the claim of an attempt that did not send its request.
     pub fn release(&mut self, key: ClaimKey, attempt: AttemptId) {
         let Some(held) = self.claims.get_mut(&key) else {
             return;
@@ -158,31 +160,31 @@
         }
     }
 
-    /// Keeps the answer of an attempt that holds the key.
+    /// Stores the answer of an attempt that holds the key, if the size limits allow.
     pub fn settle(&mut self, key: ClaimKey, attempt: AttemptId, answer: KeptAnswer) {
         let room = self.max_body_bytes.saturating_sub(self.body_bytes);
         let fits = answer.body.len() <= MAX_KEPT_BODY.min(room);
-        let claim = self.claims.get_mut(&key).and_then(|held| held.of(attempt));
+        let claim = self.claims.get_mut(&key).and_then(|held| held.claim_of(attempt));
         if let Some(claim) = claim.filter(|c| c.answer.is_none() && fits) {
             self.body_bytes += answer.body.len();
             claim.answer = Some(Box::new(answer));
         }
     }
 
-    /// Returns the claims on the keys after `after` in the order of keys, for a take-over.
+    /// Returns a page of claims, ordered by key, that starts after the key `after`.
     pub fn page(&self, after: Option<ClaimKey>) -> Vec<KeyedClaim> {
         let from = after.map_or(std::ops::Bound::Unbounded, std::ops::Bound::Excluded);
-        let rest = self.claims.range((from, std::ops::Bound::Unbounded)).take(PAGE_CLAIMS);
-        let keyed = |(&key, held): (&ClaimKey, &Held)| {
+        let rest = self.claims.range((from, std::ops::Bound::Unbounded)).take(PAGE_KEYS);
+        let keyed = |(&key, held): (&ClaimKey, &HeldClaims)| {
             let claims = held.claims.clone().into_iter();
             claims.map(move |claim| KeyedClaim { key, claim })
         };
         rest.flat_map(keyed).collect()
     }
 
-    /// Takes over claims from another voter, beside those that are held here.
+    /// Merges claims from another voter into this table.
     ///
-    /// Of two attempts on a key either may be the one that won, so both are kept.
+    /// If two attempts claimed a key, either may have succeeded, so both claims are kept.
     pub fn merge(&mut self, page: Vec<KeyedClaim>, now: Instant) {
         for KeyedClaim { key, mut claim } in page {
             let (attempt, answer) = (claim.attempt, claim.answer.take());
@@ -194,12 +196,12 @@
     }
 
     fn insert(&mut self, key: ClaimKey, claim: Claim, now: Instant) {
-        let ages = &mut self.ages;
+        let ages = &mut self.by_age;
         let held = self.claims.entry(key).or_insert_with(|| {
             ages.push_back((now, key));
-            Held { claims: SmallVec::new(), since: now }
+            HeldClaims { claims: SmallVec::new(), claimed_at: now }
         });
-        if held.of(claim.attempt).is_none() {
+        if held.claim_of(claim.attempt).is_none() {
             held.claims.push(claim);
         }
     }
@@ -210,34 +212,35 @@
         self.body_bytes -= answers.map(|a| a.body.len()).sum::<usize>();
     }
 
-    /// Forgets claims older than `keep`; a key released and claimed anew counts from the new claim.
+    /// Removes claims older than `keep`; the age of a key that was released and claimed again
+    /// counts from the later claim.
     fn expire(&mut self, now: Instant) {
-        while let Some(&(since, key)) = self.ages.front() {
+        while let Some(&(since, key)) = self.by_age.front() {
             if now.since(since) < self.keep {
                 return;
             }
-            self.ages.pop_front();
-            if self.claims.get(&key).is_some_and(|h| h.since == since) {
+            self.by_age.pop_front();
+            if self.claims.get(&key).is_some_and(|h| h.claimed_at == since) {
                 self.remove(key);
             }
         }
     }
 }
 
-/// How an attempt's claim stands.
+/// The state of an attempt's claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ClaimState {
     /// More replies are needed.
     Pending,
-    /// The attempt may send.
+    /// The claim is granted; the attempt may send.
     Won,
-    /// Another attempt holds the key, with its answer if it is known.
+    /// Another attempt holds the key; its claim includes the answer if known.
     Held(Claim),
-    /// No quorum can be had.
-    Lost,
+    /// No quorum can be reached.
+    NoQuorum,
 }
 
-/// Counts the replies to one attempt under one revision of the voters.
+/// Counts the voters' replies to one attempt under one revision of the voters.
 #[derive(Clone, Debug)]
 pub struct Tally {
     voters: Voters,
@@ -247,13 +250,13 @@
 }
 
 impl Tally {
-    /// Makes an empty tally.
+    /// Creates an empty tally.
     pub fn new(voters: Voters) -> Self {
         Self { voters, accepted: Vec::new(), refused: Vec::new(), held: None }
     }
 
-    /// Notes a voter's reply, `None` when there was none.
-    pub fn on_reply(&mut self, from: MemberId, reply: Option<ClaimReply>) {
+    /// Records a voter's reply; `None` means that the voter did not reply.
+    pub fn record_reply(&mut self, from: MemberId, reply: Option<ClaimReply>) {
         match reply {
             Some(ClaimReply::Accepted(revision)) if revision == self.voters.revision => {
                 self.accepted.push(from);
@@ -269,22 +272,22 @@
         }
     }
 
-    /// Returns how the claim stands.
-    pub fn standing(&self) -> Standing {
+    /// Returns the state of the claim.
+    pub fn claim_state(&self) -> ClaimState {
         if !self.voters.current.is_empty() && self.voters.is_quorum(&self.accepted) {
-            return Standing::Won;
+            return ClaimState::Won;
         }
         if let Some(held) = self.held.as_ref().filter(|h| h.answer.is_some()) {
-            return Standing::Held(held.clone());
+            return ClaimState::Held(held.clone());
         }
         let refused = |id: &MemberId| self.refused.contains(id);
         let possible: Vec<_> = self.voters.all().into_iter().filter(|id| !refused(id)).collect();
         if !self.voters.current.is_empty() && self.voters.is_quorum(&possible) {
-            return Standing::Pending;
+            return ClaimState::Pending;
         }
         match &self.held {
-            Some(held) => Standing::Held(held.clone()),
-            None => Standing::Lost,
+            Some(held) => ClaimState::Held(held.clone()),
+            None => ClaimState::NoQuorum,
         }
     }
 }
--- a/crates/request/src/router/choose.rs
+++ b/crates/request/src/router/choose.rs
@@ -1,54 +1,54 @@
-//! The choice of a VM, and which failing VMs are set aside.
+//! The choice of a VM for a request, and the limits on excluding failing VMs.
 
 use rand::Rng;
 use thistle_model::clock::Instant;
 
-use super::{Ask, ChoicePolicy, PoolKey, Router, VmKey, VmLoad};
-use crate::breaker::{SendResult, Standing};
+use super::{ChoicePolicy, PoolKey, RouteRequest, Router, VmKey, VmLoad};
+use crate::breaker::{Availability, SendResult};
 
-/// Mean share of failures in the rest of a pool from which no VM is set aside: the requests fail,
-/// not the VM.
-const POOL_FAILS: f64 = 0.3;
-/// The most VMs of a pool that are set aside because they cannot be connected to, in percent.
+/// The mean failure share of a pool's other VMs from which no VM is excluded: at that level the
+/// requests are at fault, not the VM.
+const MAX_POOL_FAILURE_SHARE: f64 = 0.3;
+/// The maximum share of a pool's VMs that connection failures may exclude, in percent.
 const MAX_UNREACHABLE_PERCENT: u32 = 60;
 
 impl Router {
-    /// Returns the VM for a request, or `None` when none may take it now.
-    pub(super) fn choose(&mut self, ask: &Ask, now: Instant) -> Option<VmKey> {
-        let pool = self.pools.get(ask.pool)?;
+    /// Returns the VM for a request, or `None` if no VM can accept it now.
+    pub(super) fn choose(&mut self, request: &RouteRequest, now: Instant) -> Option<VmKey> {
+        let pool = self.pools.get(request.pool)?;
         if self.cfg.choice == ChoicePolicy::Random {
-            return self.choose_random(ask.pool);
+            return self.choose_random(request.pool);
         }
         let mut trial = None;
         let mut first: Option<VmKey> = None;
         let mut second: Option<VmKey> = None;
         let mut seen = 0u32;
-        // Where all others are taken, a VM that failed before is better than none.
-        let mut avoided = None;
+        // If no other VM has room, a VM on which the request failed before is better than none.
+        let mut failed_before = None;
         for &key in &pool.vms {
             let vm = &self.vms[key];
             if !self.has_room(vm, now) {
                 continue;
             }
-            match vm.breaker.standing(now) {
-                Standing::Aside => continue,
-                Standing::Trial => {
+            match vm.breaker.availability(now) {
+                Availability::Excluded => continue,
+                Availability::Trial => {
                     trial = trial.or(Some(key));
                     continue;
                 }
-                Standing::Good => {}
+                Availability::Available => {}
             }
-            if ask.avoid.contains(key) {
-                avoided = Some(key);
+            if request.failed_vms.contains(key) {
+                failed_before = Some(key);
                 continue;
             }
             seen += 1;
             sample_two(&mut self.rng, seen, key, &mut first, &mut second);
         }
-        if ask.repeatable && trial.is_some() {
+        if request.repeatable && trial.is_some() {
             return trial;
         }
-        less_loaded(&self.vms, first, second).or(avoided)
+        less_loaded(&self.vms, first, second).or(failed_before)
     }
 
     fn choose_random(&mut self, pool: PoolKey) -> Option<VmKey> {
@@ -73,13 +73,13 @@
             }
     }
 
-    /// Returns whether the pool has a VM that may be sent work at all.
-    pub(super) fn has_vm(&self, key: PoolKey) -> bool {
+    /// Returns whether the pool has a VM that accepts new requests, with or without room.
+    pub(super) fn has_sendable_vm(&self, key: PoolKey) -> bool {
         let pool = self.pools.get(key);
         pool.is_some_and(|p| p.vms.iter().any(|&k| self.vms[k].is_sendable()))
     }
 
-    /// Returns the slots that serve a pool's queue at this entry.
+    /// Returns the number of slots that serve a pool's queue at this entry.
     pub(super) fn slots_for(&self, key: PoolKey, now: Instant) -> u32 {
         let Some(pool) = self.pools.get(key) else {
             return 0;
@@ -92,32 +92,33 @@
         pool.vms.iter().map(|&k| slots(&self.vms[k])).sum()
     }
 
-    /// Returns whether one more VM of this VM's pool may be set aside.
-    pub(super) fn may_set_aside(&self, key: VmKey, result: SendResult) -> bool {
+    /// Returns whether this VM may be excluded, given the other VMs of its pool.
+    pub(super) fn may_exclude(&self, key: VmKey, result: SendResult) -> bool {
         let Some(pool) = self.pools.get(self.vms[key].pool) else {
             return false;
         };
         let total = u32::try_from(pool.vms.len()).unwrap_or(u32::MAX);
         let others = || pool.vms.iter().filter(|&&k| k != key).map(|&k| &self.vms[k].breaker);
-        let aside = u32::try_from(others().filter(|b| b.is_aside()).count()).unwrap_or(u32::MAX);
+        let excluded =
+            u32::try_from(others().filter(|b| b.is_excluded()).count()).unwrap_or(u32::MAX);
         let percent = match result {
-            SendResult::NoConnect => MAX_UNREACHABLE_PERCENT,
-            _ => self.cfg.max_aside_percent,
+            SendResult::ConnectFailed => MAX_UNREACHABLE_PERCENT,
+            _ => self.cfg.max_excluded_percent,
         };
         let bound = (total * percent / 100).max(1).min(total.saturating_sub(1));
-        if aside >= bound {
+        if excluded >= bound {
             return false;
         }
-        if result == SendResult::NoConnect {
+        if result == SendResult::ConnectFailed {
             return true;
         }
-        let serving = others().filter(|b| !b.is_aside());
-        let (sum, n) = serving.fold((0.0, 0u32), |(s, n), b| (s + b.bad_share(), n + 1));
-        n > 0 && sum / f64::from(n) < POOL_FAILS
+        let serving = others().filter(|b| !b.is_excluded());
+        let (sum, n) = serving.fold((0.0, 0u32), |(s, n), b| (s + b.failure_share(), n + 1));
+        n > 0 && sum / f64::from(n) < MAX_POOL_FAILURE_SHARE
     }
 }
 
-/// Keeps two random VMs of those seen so far (reservoir sampling).
+/// Keeps a random sample of two of the VMs seen so far (reservoir sampling).
 fn sample_two(
     rng: &mut impl Rng,
     seen: u32,
--- a/crates/request/src/router/view.rs
+++ b/crates/request/src/router/view.rs
@@ -1,4 +1,4 @@
-//! Taking over a view of the agreed state, and acknowledging drains.
+//! Applying the view of the agreed state, and acknowledging drains.
 
 use std::collections::HashSet;
 
@@ -8,7 +8,8 @@
 use super::{PoolKey, PoolLoad, Router, VmKey, VmLoad};
 use crate::admit::Queue;
 
-/// A drain that this entry acknowledges: it sends nothing there and has nothing in flight there.
+/// An acknowledgement of a drain: this entry sends no requests to the VM and has none in flight
+/// there.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct DrainAck {
     /// The VM.
@@ -18,17 +19,17 @@
 }
 
 impl Router {
-    /// Takes over what changed in the view.
+    /// Applies an update of the view.
     pub fn apply_view(&mut self, update: &ViewUpdate) {
         for pool in &update.pools {
             self.apply_pool(pool);
         }
         self.set_leaving(&update.leaving);
-        let idle: Vec<_> = self.vms.keys().collect();
-        idle.into_iter().for_each(|key| self.forget_idle(key));
+        let all_vms: Vec<_> = self.vms.keys().collect();
+        all_vms.into_iter().for_each(|key| self.remove_unused(key));
     }
 
-    /// Sets which VMs are known to be leaving before the log says so.
+    /// Sets the VMs that are known to be leaving before the log records it.
     pub fn set_leaving(&mut self, leaving: &[VmName]) {
         let leaving: HashSet<_> = leaving.iter().collect();
         for vm in self.vms.values_mut() {
@@ -44,17 +45,17 @@
     }
 
     fn apply_pool(&mut self, view: &ViewPool) {
-        let key = self.pool_for(view);
+        let key = self.upsert_pool(view);
         self.clear_pool(key);
         for vm in &view.vms {
-            self.put_vm(key, vm);
+            self.upsert_vm(key, vm);
         }
         for drain in &view.drains {
-            self.put_drain(key, &drain.name, drain.revision);
+            self.record_drain(key, &drain.name, drain.revision);
         }
     }
 
-    fn pool_for(&mut self, view: &ViewPool) -> PoolKey {
+    fn upsert_pool(&mut self, view: &ViewPool) -> PoolKey {
         if let Some(&key) = self.pool_keys.get(&view.name) {
             let pool = &mut self.pools[key];
             pool.tier = view.tier;
@@ -67,13 +68,13 @@
             template: view.template.clone(),
             vms: Vec::new(),
             queue: Queue::new(self.cfg.admit, self.cfg.max_queue),
-            displaced: Vec::new(),
+            evicted: Vec::new(),
         });
         self.pool_keys.insert(view.name.clone(), key);
         key
     }
 
-    /// Takes all VMs out of a pool; those with requests in flight stay known.
+    /// Removes all VMs from a pool; VMs with requests in flight remain known to the router.
     fn clear_pool(&mut self, key: PoolKey) {
         for vm_key in std::mem::take(&mut self.pools[key].vms) {
             let vm = &mut self.vms[vm_key];
@@ -84,7 +85,7 @@
         }
     }
 
-    fn put_vm(&mut self, pool: PoolKey, view: &ViewVm) {
+    fn upsert_vm(&mut self, pool: PoolKey, view: &ViewVm) {
         let key = match self.vm_keys.get(&view.name) {
             Some(&key) => key,
             None => self.insert_vm(VmLoad::new(view.name.clone(), view.facts.clone(), pool)),
@@ -100,12 +101,13 @@
         self.pools[pool].vms.push(key);
     }
 
-    /// Notes a drain, also of a VM that this entry never knew: it has nothing in flight there.
-    fn put_drain(&mut self, pool: PoolKey, name: &VmName, revision: Revision) {
+    /// Records a drain. A VM that this entry never knew is added, as its drain can be acknowledged
+    /// too: no requests are in flight there.
+    fn record_drain(&mut self, pool: PoolKey, name: &VmName, revision: Revision) {
         let key = match self.vm_keys.get(name) {
             Some(&key) => key,
             None => {
-                let facts = unknown_facts();
+                let facts = placeholder_facts();
                 self.insert_vm(VmLoad::new(name.clone(), facts, pool))
             }
         };
@@ -123,8 +125,8 @@
         key
     }
 
-    /// Forgets a VM that is in no view and has nothing in flight.
-    pub(super) fn forget_idle(&mut self, key: VmKey) {
+    /// Removes a VM that is in no pool and has no requests in flight.
+    pub(super) fn remove_unused(&mut self, key: VmKey) {
         let Some(vm) = self.vms.get(key) else { return };
         let listed = self.pools.get(vm.pool).is_some_and(|p| p.vms.contains(&key));
         if vm.in_flight > 0 || listed {
@@ -136,8 +138,8 @@
     }
 }
 
-/// Facts of a VM of which this entry knows only that it is drained; nothing is sent there.
-fn unknown_facts() -> thistle_model::VmFacts {
+/// Returns placeholder facts for a VM known only from its drain; no requests are sent to the VM.
+fn placeholder_facts() -> thistle_model::VmFacts {
     let hall = thistle_model::HallName::new("unknown").expect("a constant name is valid");
     let rack = thistle_model::RackName::new("unknown").expect("a constant name is valid");
     let addr = std::net::SocketAddr::from(([0, 0, 0, 0], 0));
--- a/crates/request/tests/slots.rs
+++ b/crates/request/tests/slots.rs
@@ -1,4 +1,4 @@
-//! All entries together never hold more slots of a worker than there are.
+//! All entries together never hold more slots of a VM than it has.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 const SLOTS: u16 = 8;
 const ENTRIES: usize = 9;
 
-/// What one entry believes to hold, and until when.
+/// The slots that one entry holds according to its last grant, and when its lease expires.
 #[derive(Clone, Copy, Debug, Default)]
 struct Holding {
     slots: u16,
@@ -26,7 +26,7 @@
     })]
 
     #[test]
-    fn entries_never_hold_more_slots_than_there_are(
+    fn entries_never_hold_more_slots_than_the_vm_has(
         steps in prop::collection::vec((0..ENTRIES, 0..12u16, 0..900u64, any::<bool>()), 1..300),
     ) {
         let vm = VmName::new("vm").unwrap();
@@ -36,7 +36,7 @@
         let mut now = Instant::from_micros(1);
         for (e, want, wait_ms, lost) in steps {
             now = now + Duration::from_millis(wait_ms);
-            let asked = now;
+            let requested_at = now;
             let unexpired = if now < held[e].until { held[e].slots } else { 0 };
             held[e].slots = unexpired.min(want);
             let want = SlotWant { vm: vm.clone(), held: held[e].slots, want };
@@ -44,7 +44,7 @@
             if !lost {
                 held[e] = Holding {
                     slots: grant.share.min(grant.slots),
-                    until: asked + SLOT_LEASE,
+                    until: requested_at + SLOT_LEASE,
                 };
             }
             let all: u16 = held.iter().filter(|h| now < h.until).map(|h| h.slots).sum();
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn new_home_renews_and_grants_nothing_before_the_old_leases_lapse() {
+fn new_home_only_renews_before_the_old_leases_expire() {
     let vm = VmName::new("vm").unwrap();
     let mut home = SlotHome::new();
     let open = Instant::from_micros(1_000);
--- a/crates/schedule/src/lib.rs
+++ b/crates/schedule/src/lib.rs
@@ -1,11 +1,11 @@
-//! The job scheduler as a library: no sockets and no clock, so that the daemon, tests and random
-//! runs drive the same code. Times are passed in as milliseconds of a steady clock.
+//! The job scheduler as a library. It opens no sockets and reads no clock, so that the daemon, the tests and the
+//! randomized tests drive the same code. Callers pass in times as milliseconds of a monotonic clock.
 
 pub mod admission;
 pub mod catalog;
+pub mod crash_history;
 pub mod fleet;
 pub mod halls;
-pub mod harm;
 pub mod id;
 pub mod job_log;
 pub mod lease;
@@ -19,9 +19,9 @@
 pub mod workspace;
 
 pub use catalog::{Catalog, Limits, PoolConfig, Queue};
+pub use crash_history::{CrashHistory, Verdict};
 pub use halls::{Evacuation, Halls};
-pub use harm::{Harm, Verdict};
-pub use id::{JobId, RunId, TaskId, VmLife};
+pub use id::{JobId, RunId, TaskId, VmIncarnation};
 pub use job_log::{JobLog, LogChange};
 pub use lease::TaskLease;
 pub use policy::Policy;
@@ -31,5 +31,5 @@
 pub use vm::{EndKind, Room, RunEnd, RunRow, VmFacts, VmLoss, VmReport};
 pub use workspace::{Caller, KeySecret, Workspace, WorkspaceConfig, Workspaces};
 
-/// Milliseconds of a steady clock.
+/// Milliseconds of a monotonic clock.
 pub type Ms = u64;
--- a/crates/schedule/src/pool/gang.rs
+++ b/crates/schedule/src/pool/gang.rs
@@ -1,28 +1,30 @@
-//! Placing gangs: tasks that work only together.
+//! Placement of gangs, whose tasks work only together.
 
 use super::place::ReadyStep;
-use super::suspects::Care;
+use super::suspects::Isolation;
 use super::{Now, Pool};
 use crate::Ms;
-use crate::harm::Verdict;
+use crate::crash_history::Verdict;
 use crate::id::RunId;
 use crate::spec::Step;
 
 impl Pool {
-    /// Places all tasks of a gang or none, on one rack if they are slow when spread.
-    pub(super) fn place_gang(&mut self, ready: ReadyStep, shape: &Step, now: Now) {
+    /// Places all tasks of a gang or none. A rack-local gang is placed on one rack if possible.
+    pub(super) fn place_gang(&mut self, ready: ReadyStep, step_spec: &Step, now: Now) {
         let waiting = self.waiting_tasks(ready);
-        let all = self.jobs[ready.job].times[&ready.time].steps[ready.step].tasks.len();
+        let all = self.jobs[ready.job].repetitions[&ready.time].steps[ready.step].tasks.len();
         if waiting.len() < all {
             return;
         }
-        let whole = shape.demand.times(shape.count);
+        let whole = step_spec.demand.times(step_spec.count);
         if !self.quota.may_start(self.jobs[ready.job].workspace, whole) {
             return;
         }
-        let Some(care) = self.care_of_gang(ready, shape, &waiting, now.steady) else { return };
+        let Some(isolation) = self.gang_isolation(ready, step_spec, &waiting, now.steady) else {
+            return;
+        };
         let mut racks: Vec<Option<std::sync::Arc<str>>> = Vec::new();
-        if shape.rack_local {
+        if step_spec.rack_local {
             for vm in self.vms.values().filter_map(|vm| vm.facts.as_ref()) {
                 if !racks.iter().flatten().any(|r| *r == vm.rack) {
                     racks.push(Some(vm.rack.clone()));
@@ -35,12 +37,12 @@
             let mut placed = Vec::new();
             for &index in &waiting {
                 let Some(vm) =
-                    self.choose_vm(ready, shape, index, rack.as_deref(), care, now.steady)
+                    self.choose_vm(ready, step_spec, index, rack.as_deref(), isolation, now.steady)
                 else {
                     break;
                 };
                 let before = self.next_attempt(ready, index) - 1;
-                self.reserve(ready, shape, index, attempt, vm, now);
+                self.reserve(ready, step_spec, index, attempt, vm, now);
                 placed.push((index, vm, before));
             }
             if placed.len() == waiting.len() {
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Gives all members of a gang one checkpoint: any member's is good, but all bring the same.
+    /// Gives all members of a gang the same checkpoint. Any member's checkpoint is valid, but all must start from the same one.
     fn share_checkpoint(&mut self, ready: ReadyStep) {
         let job = &mut self.jobs[ready.job];
         let Some((step, _)) = job.step_mut(ready.task(0)) else { return };
@@ -68,18 +70,20 @@
         }
     }
 
-    /// Returns with what a gang may share VMs, or none while it is not to be started: it is as suspect as the most
-    /// suspect of its members.
-    pub(super) fn care_of_gang(
+    /// Returns the isolation of a gang, or `None` while it may not be started. A gang with a suspect member is treated as a
+    /// suspect.
+    pub(super) fn gang_isolation(
         &self,
         ready: ReadyStep,
-        shape: &Step,
+        step_spec: &Step,
         members: &[usize],
         now: Ms,
-    ) -> Option<Care> {
+    ) -> Option<Isolation> {
         let suspect = |&&i: &&usize| self.verdict(ready.task(i)) != Verdict::Clear;
-        let Some(&suspect) = members.iter().find(suspect) else { return Some(Care::Usual) };
-        let care = self.care(ready, suspect, now)?;
-        self.may_hold_one_more(shape, care, now).then_some(care)
+        let Some(&suspect) = members.iter().find(suspect) else {
+            return Some(Isolation::FromSuspects);
+        };
+        let isolation = self.isolation(ready, suspect, now)?;
+        self.may_occupy_one_more(step_spec, isolation, now).then_some(isolation)
     }
 }
--- a/crates/schedule/src/pool/incarnation.rs
+++ b/crates/schedule/src/pool/incarnation.rs
@@ -1,81 +1,82 @@
-//! One incarnation of a VM within a pool's schedule: what is known of it, and what it runs or may run.
+//! The state of one VM incarnation within a pool's schedule, and the runs that it has or may have.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
 use super::run::Run;
 use crate::Ms;
-use crate::id::{JobId, RunId, TaskId, VmLife};
+use crate::id::{JobId, RunId, TaskId, VmIncarnation};
 use crate::vm::{Room, VmFacts};
 
-/// Failures of different jobs in a row after which a VM is set aside. One job that can never be
-/// done fails anywhere; two may meet by chance at today's share of such jobs (3%).
-const STRIKES: usize = 3;
-/// How long a VM that fails its tasks gets no new ones, in milliseconds: about the length of the
-/// trouble that the users' sites describe.
-const ASIDE_MS: Ms = 5_000;
-/// How long a VM that turned a start away gets no new ones, in milliseconds.
-const ASIDE_BRIEFLY_MS: Ms = 500;
-/// How often that time doubles at most while it turns one away after the other for want of room: each costs a call and
-/// a record. At 8 s one that has room again is used soon, and what it says of its room counts at once.
-const MOST_ASIDE_DOUBLINGS: u32 = 4;
+/// The number of different jobs that fail in a row before a VM is excluded. One job that can never succeed fails on any VM, and
+/// two such jobs may meet on a VM by chance, as 3% of jobs are of this kind.
+const FAILED_JOBS_TO_EXCLUDE: usize = 3;
+/// How long a VM that fails its tasks receives no new ones, in milliseconds. This is about as long as such faults
+/// last on the sites.
+const EXCLUSION_MS: Ms = 5_000;
+/// How long a VM that rejected a start receives no new tasks, in milliseconds.
+const BRIEF_EXCLUSION_MS: Ms = 500;
+/// The maximum number of doublings of that time while a VM rejects starts for lack of room, each of which costs a call and a
+/// record. The maximum of 8 s still lets a VM that has room again be used soon; a listed change of its room ends the
+/// exclusion at once.
+const MAX_EXCLUSION_DOUBLINGS: u32 = 4;
 /// One incarnation of a VM.
 #[derive(Clone, Debug)]
 pub(super) struct Vm {
-    pub id: VmLife,
-    /// What the platform lists; none for a VM known from records only.
+    pub id: VmIncarnation,
+    /// The platform's listing of the VM, or `None` if it is known from records only.
     pub facts: Option<Arc<VmFacts>>,
-    /// The platform lists it now.
+    /// Whether the platform lists the VM now.
     pub listed: bool,
-    /// It has answered under this owner's token, so that no older order can start anything there.
-    pub held: bool,
-    /// Its last call was answered.
+    /// Whether the VM has answered under this owner's token, after which no older order can start a run there.
+    pub token_confirmed: bool,
+    /// Whether the last call to the VM was answered.
     pub reachable: bool,
-    /// Since when it has not answered.
-    pub silent_since: Option<Ms>,
-    /// When it first answered although the platform did not list it: a question from before that may have been answered
-    /// before it was gone.
+    /// When the VM became unresponsive, if it is.
+    pub unresponsive_since: Option<Ms>,
+    /// When the VM was first seen to answer while the platform did not list it. An answer to a query sent before this time may
+    /// come from before the VM left the listing.
     pub answered_unlisted: Option<Ms>,
-    /// It answered what it was asked when the platform did not list it any more: it is leaving without a word.
-    pub left_the_list: bool,
-    /// Its room has shrunk since starts were last looked at.
+    /// Whether the VM answered a query that was sent after it left the listing: it is leaving without an announcement.
+    pub leaving_unannounced: bool,
+    /// Whether the VM's room has shrunk since unanswered starts were last checked.
     pub shrunk: bool,
     pub cordoned: bool,
-    /// Its data hall is evacuated.
+    /// Whether the VM's data hall is evacuated.
     pub evacuated: bool,
     pub used: Room,
     pub runs: BTreeMap<TaskId, Run>,
-    /// Runs that are not ours, with when they were last told to stop; nothing is started beside them, since their
-    /// room is unknown.
-    pub strays: HashMap<RunId, Ms>,
-    /// The highest number of an end that was taken in.
-    pub ends_taken: u64,
-    strikes: Vec<JobId>,
-    pub aside_until: Ms,
-    /// Starts in a row that it turned away for want of room.
-    pub without_room: u32,
+    /// Reported runs that are not in the schedule, with the time of the last stop order. The VM receives no new tasks meanwhile,
+    /// because their demand is unknown.
+    pub unknown_runs: HashMap<RunId, Ms>,
+    /// The highest sequence number of an applied run end.
+    pub last_end_sequence: u64,
+    failed_jobs: Vec<JobId>,
+    pub excluded_until: Ms,
+    /// The number of consecutive starts rejected for lack of room.
+    pub room_rejections: u32,
 }
 impl Vm {
-    pub fn new(id: VmLife) -> Self {
+    pub fn new(id: VmIncarnation) -> Self {
         Self {
             id,
             facts: None,
             listed: false,
-            held: false,
+            token_confirmed: false,
             reachable: true,
-            silent_since: None,
+            unresponsive_since: None,
             answered_unlisted: None,
-            left_the_list: false,
+            leaving_unannounced: false,
             shrunk: false,
             cordoned: false,
             evacuated: false,
             used: Room::default(),
             runs: BTreeMap::new(),
-            strays: HashMap::new(),
-            ends_taken: 0,
-            strikes: Vec::new(),
-            aside_until: 0,
-            without_room: 0,
+            unknown_runs: HashMap::new(),
+            last_end_sequence: 0,
+            failed_jobs: Vec::new(),
+            excluded_until: 0,
+            room_rejections: 0,
         }
     }
 
@@ -91,9 +92,10 @@
         self.facts.as_ref().is_some_and(|f| f.draining)
     }
 
-    /// Returns whether new tasks may be ordered to run there, room aside.
-    pub fn takes_work(&self) -> bool {
-        let fit = self.listed && self.held && self.reachable && self.strays.is_empty();
+    /// Returns whether new tasks may be placed on the VM, regardless of its free room.
+    pub fn accepts_work(&self) -> bool {
+        let fit =
+            self.listed && self.token_confirmed && self.reachable && self.unknown_runs.is_empty();
         let readable = self.facts.as_ref().is_some_and(|f| !f.unreadable);
         fit && readable && !self.cordoned && !self.evacuated && !self.draining()
     }
@@ -102,12 +104,12 @@
         self.room().minus(self.used)
     }
 
-    /// Counts the lasting tasks that it runs.
+    /// Returns the number of lasting tasks on the VM.
     pub fn lasting_runs(&self) -> usize {
         self.runs.values().filter(|run| run.lasting).count()
     }
 
-    /// Adds a run and returns the one in whose place it comes, if there was one.
+    /// Adds a run and returns the run of the same task that it replaces, if any.
     pub fn add_run(&mut self, task: TaskId, run: Run) -> Option<Run> {
         self.used = self.used.plus(run.demand);
         let old = self.runs.insert(task, run)?;
@@ -115,12 +117,12 @@
         Some(old)
     }
 
-    /// Returns whether a run counts as being there.
+    /// Returns whether a run is assigned to the VM.
     pub fn has_run(&self, run: RunId) -> bool {
         self.runs.get(&run.task).is_some_and(|r| r.attempt == run.attempt)
     }
 
-    /// Removes a run and returns it, if it was there.
+    /// Removes a run and returns it if it was assigned to the VM.
     pub fn remove_run(&mut self, run: RunId) -> Option<Run> {
         self.runs.get(&run.task).filter(|r| r.attempt == run.attempt)?;
         let old = self.runs.remove(&run.task)?;
@@ -128,12 +130,12 @@
         Some(old)
     }
 
-    /// Marks runs that it has not answered as told to stop, until the others fit, and returns them.
-    pub fn stop_what_does_not_fit(&mut self, now: Ms) -> Vec<(TaskId, u32)> {
+    /// Marks unconfirmed runs as stopping until the others fit, and returns the marked runs.
+    pub fn stop_runs_beyond_room(&mut self, now: Ms) -> Vec<(TaskId, u32)> {
         let (room, mut used) = (self.room(), self.used);
         let mut stopped = Vec::new();
         for (&task, run) in self.runs.iter_mut().rev() {
-            if room.holds(used) {
+            if room.fits(used) {
                 break;
             }
             if run.confirmed.is_none() && !run.stopping {
@@ -145,43 +147,43 @@
         stopped
     }
 
-    /// Takes in that it answered a question.
-    pub fn note_answer(&mut self, asked_at: Ms, listing_is_sound: bool, now: Ms) {
+    /// Records an answer to a query sent at `requested_at`.
+    pub fn record_answer(&mut self, requested_at: Ms, listing_is_complete: bool, now: Ms) {
         self.reachable = true;
-        self.silent_since = None;
-        if self.listed || !listing_is_sound {
+        self.unresponsive_since = None;
+        if self.listed || !listing_is_complete {
             return;
         }
         let first = *self.answered_unlisted.get_or_insert(now);
-        self.left_the_list |= asked_at >= first;
+        self.leaving_unannounced |= requested_at >= first;
     }
 
-    pub fn note_success(&mut self) {
-        self.strikes.clear();
+    pub fn record_success(&mut self) {
+        self.failed_jobs.clear();
     }
 
-    /// Notes a failed run; returns whether the VM is set aside for it.
-    pub fn note_failure(&mut self, job: JobId, now: Ms) -> bool {
-        if !self.strikes.contains(&job) {
-            self.strikes.push(job);
+    /// Records a failed run. Returns whether the VM is excluded because of it.
+    pub fn record_failure(&mut self, job: JobId, now: Ms) -> bool {
+        if !self.failed_jobs.contains(&job) {
+            self.failed_jobs.push(job);
         }
-        if self.strikes.len() < STRIKES {
+        if self.failed_jobs.len() < FAILED_JOBS_TO_EXCLUDE {
             return false;
         }
-        // One more failure after the pause sets it aside again.
-        self.strikes.remove(0);
-        self.aside_until = now + ASIDE_MS;
+        // One more failure after the exclusion excludes the VM again.
+        self.failed_jobs.remove(0);
+        self.excluded_until = now + EXCLUSION_MS;
         true
     }
 
-    pub fn set_aside_briefly(&mut self, now: Ms) {
-        self.aside_until = self.aside_until.max(now + ASIDE_BRIEFLY_MS);
+    pub fn exclude_briefly(&mut self, now: Ms) {
+        self.excluded_until = self.excluded_until.max(now + BRIEF_EXCLUSION_MS);
     }
 
-    /// Sets it aside as it turned a start away for want of room, for longer each time in a row.
-    pub fn set_aside_for_room(&mut self, now: Ms) {
-        let pause = ASIDE_BRIEFLY_MS << self.without_room.min(MOST_ASIDE_DOUBLINGS);
-        self.without_room += 1;
-        self.aside_until = self.aside_until.max(now + pause);
+    /// Excludes the VM after it rejected a start for lack of room, for longer after each consecutive rejection.
+    pub fn exclude_for_room(&mut self, now: Ms) {
+        let pause = BRIEF_EXCLUSION_MS << self.room_rejections.min(MAX_EXCLUSION_DOUBLINGS);
+        self.room_rejections += 1;
+        self.excluded_until = self.excluded_until.max(now + pause);
     }
 }
--- a/crates/schedule/src/pool/job.rs
+++ b/crates/schedule/src/pool/job.rs
@@ -1,57 +1,58 @@
-//! A job within a pool's schedule.
+//! The state of one job within a pool's schedule.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
 
 use super::{Now, VmKey};
 use crate::Ms;
-use crate::harm::{Harm, HarmRecord};
-use crate::id::{JobId, TaskId, VmLife};
-use crate::progress::{Phase, Place, Progress, TaskRecord};
+use crate::crash_history::{CrashHistory, CrashHistoryRecord};
+use crate::id::{JobId, TaskId, VmIncarnation};
+use crate::progress::{Phase, Progress, TaskPlacement, TaskRecord};
 use crate::quota::WorkspaceKey;
 use crate::spec::JobSpec;
 
-/// Repetitions of a job that are open at once: as many as were ever due at once under the users' loads, several times
-/// over. More wait for these, so that a job that is due for a long time already takes a bounded part of
-/// an owner's memory (20,000 repetitions took 65 s to plan, in a test build).
-const MOST_OPEN_TIMES: usize = 64;
+/// The maximum number of open repetitions of a job, several times as many as are due at once under the expected load.
+/// Further repetitions wait for these, so that a job that is long overdue uses a bounded part of the owner's memory and
+/// time: planning 20,000 repetitions takes 65 s in a test build.
+const MAX_OPEN_REPETITIONS: usize = 64;
 
-/// Where a task stands.
+/// The state of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) enum Spot {
+pub(super) enum TaskState {
     #[default]
     Waiting,
-    On(VmKey),
+    Assigned(VmKey),
     Done,
 }
 
+/// A task with its state and its past attempts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Task {
-    pub spot: Spot,
+    pub state: TaskState,
     pub attempt: u32,
     pub failures: u32,
     pub checkpoint: String,
-    /// The VM on which it failed last, or which turned it away.
+    /// The VM on which the last run failed or was lost, or which rejected the start.
     pub avoid: Option<VmKey>,
-    /// A lasting task that has started and does its work.
-    pub at_work: bool,
-    /// Failures in a row right after its start, of a lasting task.
-    pub quick_failures: u32,
-    /// It is not started again before this.
+    /// Whether a lasting task has completed its start and is working.
+    pub working: bool,
+    /// The number of consecutive failures of a lasting task soon after its start.
+    pub early_failures: u32,
+    /// The earliest time of the next start.
     pub not_before: Ms,
 }
 
-/// One step of one repetition.
+/// The state of one step of one repetition.
 #[derive(Clone, Debug)]
-pub(super) struct StepRun {
+pub(super) struct StepState {
     pub tasks: Vec<Task>,
     pub done: usize,
     pub waiting: u32,
-    /// The last attempt of a gang that failed; its members fail together.
+    /// The last failed attempt of a gang, whose members fail together.
     pub failed_attempt: u32,
 }
 
-impl StepRun {
+impl StepState {
     fn new(count: u32) -> Self {
         let tasks = vec![Task::default(); usize::try_from(count).unwrap_or(0)];
         Self { tasks, done: 0, waiting: count, failed_attempt: 0 }
@@ -61,73 +62,74 @@
         self.done == self.tasks.len()
     }
 
-    /// Counts the waiting tasks that have a checkpoint to resume from.
-    pub fn to_resume(&self) -> u32 {
-        let resumes = |t: &&Task| t.spot == Spot::Waiting && !t.checkpoint.is_empty();
+    /// Returns the number of waiting tasks that resume from a checkpoint.
+    pub fn waiting_to_resume(&self) -> u32 {
+        let resumes = |t: &&Task| t.state == TaskState::Waiting && !t.checkpoint.is_empty();
         u32::try_from(self.tasks.iter().filter(resumes).count()).unwrap_or(u32::MAX)
     }
 
-    /// Counts the attempts of the whole gang that failed: the failures of its members, of which
-    /// one is counted an attempt.
+    /// Returns the number of failed attempts of the whole gang. Only one member's failure is counted per attempt.
     pub fn gang_failures(&self) -> u32 {
         self.tasks.iter().map(|t| t.failures).sum()
     }
 
-    /// Moves a task to another spot and keeps the counts.
-    pub fn set(&mut self, index: usize, spot: Spot) {
+    /// Sets the state of a task and updates the counts.
+    pub fn set(&mut self, index: usize, new_state: TaskState) {
         let task = &mut self.tasks[index];
-        let was = task.spot;
-        task.spot = spot;
-        if spot != was {
-            task.at_work = false;
+        let old_state = task.state;
+        task.state = new_state;
+        if new_state != old_state {
+            task.working = false;
         }
-        self.waiting -= u32::from(was == Spot::Waiting);
-        self.waiting += u32::from(spot == Spot::Waiting);
-        self.done -= usize::from(was == Spot::Done);
-        self.done += usize::from(spot == Spot::Done);
+        self.waiting -= u32::from(old_state == TaskState::Waiting);
+        self.waiting += u32::from(new_state == TaskState::Waiting);
+        self.done -= usize::from(old_state == TaskState::Done);
+        self.done += usize::from(new_state == TaskState::Done);
     }
 }
 
+/// The state of one open repetition.
 #[derive(Clone, Debug)]
-pub(super) struct TimeRun {
-    pub steps: Vec<StepRun>,
+pub(super) struct RepetitionState {
+    pub steps: Vec<StepState>,
 }
 
-impl TimeRun {
+impl RepetitionState {
     fn new(spec: &JobSpec) -> Self {
-        Self { steps: spec.steps.iter().map(|s| StepRun::new(s.count)).collect() }
+        Self { steps: spec.steps.iter().map(|s| StepState::new(s.count)).collect() }
     }
 
     fn is_done(&self) -> bool {
-        self.steps.iter().all(StepRun::is_done)
+        self.steps.iter().all(StepState::is_done)
     }
 }
 
+/// A job with the state of its open repetitions.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     pub id: JobId,
     pub spec: Arc<JobSpec>,
-    /// Whose it is, if it is a workspace's.
+    /// The workspace that submitted the job, if any.
     pub workspace: Option<WorkspaceKey>,
-    /// Its workspace had sent more than its share when it came.
+    /// Whether the workspace had exceeded its share when the job was submitted.
     pub beyond_share: bool,
-    /// The longest chain of estimated work from each step to the end, in milliseconds.
-    pub chains: Vec<u64>,
+    /// The estimated length of the critical path from each step to the end of the job, in milliseconds.
+    pub critical_paths: Vec<u64>,
     pub phase: Phase,
-    pub begun: bool,
+    pub has_started: bool,
     pub settled_ms: u64,
-    /// Repetitions that have fallen due and are not done.
-    pub times: BTreeMap<u32, TimeRun>,
-    /// The first repetition that has not fallen due.
-    pub next_time: u32,
-    pub done_times: Vec<u32>,
-    /// When it was accepted, by the steady clock of this process.
+    /// Open repetitions: those that are due and not done.
+    pub repetitions: BTreeMap<u32, RepetitionState>,
+    /// The next repetition to open.
+    pub next_repetition: u32,
+    pub done_repetitions: Vec<u32>,
+    /// When the job was accepted, on the monotonic clock of this process.
     pub accepted: Ms,
     pub dirty: bool,
-    /// What speaks against its tasks: few tasks have any.
-    pub harm: BTreeMap<TaskId, Harm>,
-    /// When that changed last, by the steady clock.
-    pub harm_at: Ms,
+    /// The crash histories of its tasks. Most tasks have none.
+    pub crash_histories: BTreeMap<TaskId, CrashHistory>,
+    /// When a crash history last changed, on the monotonic clock.
+    pub crash_history_changed_at: Ms,
 }
 
 impl Job {
@@ -137,144 +139,152 @@
             id,
             workspace: None,
             beyond_share: false,
-            chains: spec.chains(),
+            critical_paths: spec.critical_paths(),
             phase: Phase::Open,
-            begun: false,
+            has_started: false,
             settled_ms: 0,
-            times: BTreeMap::new(),
-            next_time: 0,
-            done_times: Vec::new(),
+            repetitions: BTreeMap::new(),
+            next_repetition: 0,
+            done_repetitions: Vec::new(),
             accepted: now.steady.saturating_sub(age),
             dirty: false,
-            harm: BTreeMap::new(),
-            harm_at: now.steady,
+            crash_histories: BTreeMap::new(),
+            crash_history_changed_at: now.steady,
             spec,
         }
     }
 
-    /// Opens the repetitions that have fallen due.
-    pub fn begin_due(&mut self, now: Now) {
-        while self.times.len() < MOST_OPEN_TIMES
-            && self.next_time < self.spec.times()
-            && self.spec.due_ms(self.next_time) <= now.wall
+    /// Opens the repetitions that are due, up to [`MAX_OPEN_REPETITIONS`].
+    pub fn open_due_repetitions(&mut self, now: Now) {
+        while self.repetitions.len() < MAX_OPEN_REPETITIONS
+            && self.next_repetition < self.spec.repetitions()
+            && self.spec.due_ms(self.next_repetition) <= now.wall
         {
-            self.open_time(self.next_time);
-            self.next_time += 1;
+            self.open_repetition(self.next_repetition);
+            self.next_repetition += 1;
         }
     }
 
-    /// Opens a repetition unless it is done or open.
-    pub fn open_time(&mut self, time: u32) {
-        if !self.done_times.contains(&time) {
+    /// Opens a repetition unless it is done or already open.
+    pub fn open_repetition(&mut self, time: u32) {
+        if !self.done_repetitions.contains(&time) {
             let spec = &self.spec;
-            self.times.entry(time).or_insert_with(|| TimeRun::new(spec));
+            self.repetitions.entry(time).or_insert_with(|| RepetitionState::new(spec));
         }
     }
 
-    /// Opens all repetitions up to one that are not done.
-    pub fn open_times_up_to(&mut self, last: u32) {
-        let done: HashSet<u32> = self.done_times.iter().copied().collect();
-        for time in (self.next_time..=last).filter(|time| !done.contains(time)) {
+    /// Opens all repetitions up to and including `last` that are not done.
+    pub fn open_repetitions_up_to(&mut self, last: u32) {
+        let done: HashSet<u32> = self.done_repetitions.iter().copied().collect();
+        for time in (self.next_repetition..=last).filter(|time| !done.contains(time)) {
             let spec = &self.spec;
-            self.times.entry(time).or_insert_with(|| TimeRun::new(spec));
+            self.repetitions.entry(time).or_insert_with(|| RepetitionState::new(spec));
         }
-        self.next_time = self.next_time.max(last + 1);
+        self.next_repetition = self.next_repetition.max(last + 1);
     }
 
     pub fn next_due(&self, now: Now) -> Option<Ms> {
-        let waits_for_others = self.times.len() >= MOST_OPEN_TIMES;
-        if self.phase != Phase::Open || self.next_time >= self.spec.times() || waits_for_others {
+        let waits_for_others = self.repetitions.len() >= MAX_OPEN_REPETITIONS;
+        if self.phase != Phase::Open
+            || self.next_repetition >= self.spec.repetitions()
+            || waits_for_others
+        {
             return None;
         }
-        let wait = self.spec.due_ms(self.next_time).saturating_sub(now.wall);
+        let wait = self.spec.due_ms(self.next_repetition).saturating_sub(now.wall);
         Some(now.steady + wait)
     }
 
     pub fn task(&self, id: TaskId) -> Option<&Task> {
-        let step = self.times.get(&id.time)?.steps.get(usize::from(id.step))?;
+        let step = self.repetitions.get(&id.time)?.steps.get(usize::from(id.step))?;
         step.tasks.get(usize::try_from(id.index).ok()?)
     }
 
-    /// Returns a task with its step.
-    pub fn step_mut(&mut self, id: TaskId) -> Option<(&mut StepRun, usize)> {
-        let step = self.times.get_mut(&id.time)?.steps.get_mut(usize::from(id.step))?;
+    /// Returns the step of a task and the task's index in it.
+    pub fn step_mut(&mut self, id: TaskId) -> Option<(&mut StepState, usize)> {
+        let step = self.repetitions.get_mut(&id.time)?.steps.get_mut(usize::from(id.step))?;
         let index = usize::try_from(id.index).ok().filter(|&i| i < step.tasks.len())?;
         Some((step, index))
     }
 
-    /// Returns how many VMs its lasting tasks need, which may not share one.
+    /// Returns the number of VMs required by its lasting tasks, given how many of them may share a VM.
     pub fn spread(&self) -> u32 {
         let lasting = self.spec.steps.iter().filter(|s| s.lasting && s.anti_affinity > 0);
         lasting.map(|s| s.count.div_ceil(s.anti_affinity)).max().unwrap_or(0)
     }
 
-    /// Returns the steps whose turn has come and that have waiting tasks: repetition, step, count.
+    /// Returns the repetition, step and number of waiting tasks of each step that is ready to start.
     pub fn ready_steps(&self) -> impl Iterator<Item = (u32, usize, u32)> {
-        self.times.iter().flat_map(move |(&time, run)| {
-            let ready = move |&(i, step): &(usize, &StepRun)| {
+        self.repetitions.iter().flat_map(move |(&time, repetition)| {
+            let ready = move |&(i, step): &(usize, &StepState)| {
                 let before = &self.spec.steps[i].depends_on;
-                step.waiting > 0 && before.iter().all(|&on| run.steps[usize::from(on)].is_done())
+                step.waiting > 0
+                    && before.iter().all(|&on| repetition.steps[usize::from(on)].is_done())
             };
-            run.steps.iter().enumerate().filter(ready).map(move |(i, s)| (time, i, s.waiting))
+            repetition
+                .steps
+                .iter()
+                .enumerate()
+                .filter(ready)
+                .map(move |(i, s)| (time, i, s.waiting))
         })
     }
 
-    /// Closes a repetition whose tasks are all done; returns whether the whole job is done.
-    pub fn close_done_time(&mut self, time: u32) -> bool {
-        if self.times.get(&time).is_some_and(TimeRun::is_done) {
-            self.times.remove(&time);
-            self.done_times.push(time);
+    /// Closes a repetition if all its tasks are done. Returns whether the whole job is done.
+    pub fn close_repetition_if_done(&mut self, time: u32) -> bool {
+        if self.repetitions.get(&time).is_some_and(RepetitionState::is_done) {
+            self.repetitions.remove(&time);
+            self.done_repetitions.push(time);
         }
-        self.times.is_empty() && self.next_time >= self.spec.times()
+        self.repetitions.is_empty() && self.next_repetition >= self.spec.repetitions()
     }
 
-    /// Returns the record of how far the job is.
-    pub fn progress(&self, vm_id: impl Fn(VmKey) -> Option<VmLife>) -> Progress {
-        let harm = |(task, harm): (&TaskId, &Harm)| HarmRecord {
+    /// Returns the progress record of the job.
+    pub fn progress(&self, vm_id: impl Fn(VmKey) -> Option<VmIncarnation>) -> Progress {
+        let crash_history = |(task, crash_history): (&TaskId, &CrashHistory)| CrashHistoryRecord {
             time: task.time,
             step: task.step,
             index: task.index,
-            harm: harm.clone(),
+            crash_history: crash_history.clone(),
         };
         let mut progress = Progress {
             phase: self.phase,
-            begun: self.begun,
+            begun: self.has_started,
             settled_ms: self.settled_ms,
-            harms: self.harm.iter().map(harm).collect(),
+            crash_histories: self.crash_histories.iter().map(crash_history).collect(),
             ..Progress::default()
         };
         let open = self.phase == Phase::Open;
         if open {
-            progress.done_times.clone_from(&self.done_times);
+            progress.done_times.clone_from(&self.done_repetitions);
         }
-        for (&time, run) in &self.times {
-            for (step, step_run) in (0..).zip(&run.steps) {
-                let tasks = (0..).zip(&step_run.tasks);
-                // Of a settled job only what may still run is of interest: the next owner counts it and stops it.
-                let counts = |t: &Task| match t.spot {
-                    Spot::On(_) => true,
-                    Spot::Done => open,
-                    Spot::Waiting => open && t.attempt > 0,
+        for (&time, repetition) in &self.repetitions {
+            for (step, step_state) in (0..).zip(&repetition.steps) {
+                let tasks = (0..).zip(&step_state.tasks);
+                // A settled job's record lists only tasks that may still run: the next owner accounts for and stops them.
+                let counts = |t: &Task| match t.state {
+                    TaskState::Assigned(_) => true,
+                    TaskState::Done => open,
+                    TaskState::Waiting => open && t.attempt > 0,
                 };
                 for (index, task) in tasks.filter(|(_, t)| counts(t)) {
-                    let place = match task.spot {
-                        Spot::Waiting => Place::Waiting,
-                        Spot::Done => Place::Done,
-                        Spot::On(vm) => {
-                            vm_id(vm).map_or(Place::Waiting, |id| Place::On(id.to_string()))
-                        }
+                    let placement = match task.state {
+                        TaskState::Waiting => TaskPlacement::Waiting,
+                        TaskState::Done => TaskPlacement::Done,
+                        TaskState::Assigned(vm) => vm_id(vm)
+                            .map_or(TaskPlacement::Waiting, |id| TaskPlacement::On(id.to_string())),
                     };
                     let (attempt, failures) = (task.attempt, task.failures);
-                    // Only a task that waits resumes from it; while it runs, the VM has a newer one.
-                    let checkpoint = match task.spot {
-                        Spot::Waiting => task.checkpoint.clone(),
-                        Spot::On(_) | Spot::Done => String::new(),
+                    // Only a waiting task resumes from the recorded checkpoint; during a run, the VM has a newer one.
+                    let checkpoint = match task.state {
+                        TaskState::Waiting => task.checkpoint.clone(),
+                        TaskState::Assigned(_) | TaskState::Done => String::new(),
                     };
                     progress.tasks.push(TaskRecord {
                         time,
                         step,
                         index,
-                        place,
+                        placement,
                         attempt,
                         failures,
                         checkpoint,
--- a/crates/schedule/src/pool/place.rs
+++ b/crates/schedule/src/pool/place.rs
@@ -1,12 +1,12 @@
-//! Which waiting task runs on which VM.
+//! Placement of waiting tasks on VMs.
 
 use super::incarnation::Vm;
-use super::job::Spot;
+use super::job::TaskState;
 use super::run::Run;
-use super::suspects::Care;
+use super::suspects::Isolation;
 use super::{JobKey, Now, Order, Pool, StartOrder, StepId, VmKey};
 use crate::Ms;
-use crate::harm::Verdict;
+use crate::crash_history::Verdict;
 use crate::id::{JobId, RunId, TaskId};
 use crate::progress::Phase;
 use crate::spec::Step;
@@ -22,7 +22,7 @@
 }
 
 impl ReadyStep {
-    /// Returns the step's name.
+    /// Returns the step's ID.
     pub fn id(&self) -> StepId {
         let step = u16::try_from(self.step).unwrap_or(u16::MAX);
         StepId { job: self.id, time: self.time, step }
@@ -39,21 +39,21 @@
 }
 
 impl Pool {
-    pub(super) fn begin_due_times(&mut self, now: Now) {
+    pub(super) fn open_due_repetitions(&mut self, now: Now) {
         for job in self.jobs.values_mut().filter(|j| j.phase == Phase::Open) {
-            job.begin_due(now);
+            job.open_due_repetitions(now);
         }
     }
 
-    /// Places waiting tasks, best job first, for as long as there is room.
+    /// Places waiting tasks while there is room. Jobs are ordered by the crashes under their suspects, then by rank.
     pub(super) fn place_waiting(&mut self, now: Now) {
-        if !self.vms.values().any(|vm| vm.takes_work() && vm.aside_until <= now.steady) {
+        if !self.vms.values().any(|vm| vm.accepts_work() && vm.excluded_until <= now.steady) {
             return;
         }
         let mut ranked = Vec::new();
         for (key, job) in self.jobs.iter().filter(|(_, j)| j.phase == Phase::Open) {
             if job.ready_steps().next().is_some() {
-                let crashes = self.worst_crashes(key);
+                let crashes = self.max_crashes(key);
                 ranked.push((crashes, self.rank(job, now.steady), job.accepted, key));
             }
         }
@@ -64,9 +64,9 @@
         }
     }
 
-    /// Returns the most of each kind that is free on any VM: a task that asks for more fits nowhere.
+    /// Returns, for each resource, the largest free amount on any VM. A task that needs more fits nowhere.
     fn most_free(&self, now: Ms) -> Room {
-        let takes = |vm: &&Vm| vm.takes_work() && vm.aside_until <= now;
+        let takes = |vm: &&Vm| vm.accepts_work() && vm.excluded_until <= now;
         self.vms.values().filter(takes).map(Vm::free).fold(Room::default(), Room::greater_of_each)
     }
 
@@ -79,61 +79,63 @@
             .collect();
         for step in ready {
             let spec = self.jobs[key].spec.clone();
-            let shape = &spec.steps[step.step];
-            // Placing only takes room away, so that this may be too much, and never too little.
-            if !most_free.holds(shape.room()) {
-                // The VMs are not looked through.
-            } else if shape.gang {
-                self.place_gang(step, shape, now);
-            } else if !self.place_step(step, shape, now) {
+            let step_spec = &spec.steps[step.step];
+            // Placement only reduces free room, so `most_free` may be too large but never too small.
+            if !most_free.fits(step_spec.room()) {
+                // No VM has enough room, so the search is skipped.
+            } else if step_spec.gang {
+                self.place_gang(step, step_spec, now);
+            } else if !self.place_step(step, step_spec, now) {
                 *most_free = self.most_free(now.steady);
             }
             let waits = !self.waiting_tasks(step).is_empty();
             if let Some(policy) = spec.advice.filter(|_| waits) {
-                self.ask(step, shape, policy, now);
+                self.request_advice(step, step_spec, policy, now);
             }
         }
     }
 
-    /// Places the waiting tasks of a step; returns whether there was a VM for each.
-    fn place_step(&mut self, ready: ReadyStep, shape: &Step, now: Now) -> bool {
+    /// Places the waiting tasks of a step. Returns `false` if no VM was found for a task that is not a suspect.
+    fn place_step(&mut self, ready: ReadyStep, step_spec: &Step, now: Now) -> bool {
         for index in self.waiting_tasks(ready) {
-            if self.is_put_off(ready, index, now.steady) {
+            if self.is_deferred(ready, index, now.steady) {
                 continue;
             }
-            if !self.quota.may_start(self.jobs[ready.job].workspace, shape.demand) {
+            if !self.quota.may_start(self.jobs[ready.job].workspace, step_spec.demand) {
                 return true;
             }
-            let Some(mut care) = self.care(ready, index, now.steady) else { continue };
+            let Some(mut isolation) = self.isolation(ready, index, now.steady) else { continue };
             let suspect = self.verdict(ready.task(index)) == Verdict::Suspect;
-            if suspect && !self.may_hold_one_more(shape, care, now.steady) {
-                care = Care::BesideOwn;
+            if suspect && !self.may_occupy_one_more(step_spec, isolation, now.steady) {
+                isolation = Isolation::WithOwnSuspect;
             }
-            // Tasks of a step are alike but for suspects: the VM that each avoids is only its last choice.
-            let Some(vm) = self.choose_vm(ready, shape, index, None, care, now.steady) else {
+            // Apart from suspects, all tasks of a step fit on the same VMs: a VM to avoid is still used as a last resort. If one
+            // task finds no VM, the others find none either.
+            let Some(vm) = self.choose_vm(ready, step_spec, index, None, isolation, now.steady)
+            else {
                 if suspect {
                     continue;
                 }
                 return false;
             };
             let attempt = self.next_attempt(ready, index);
-            self.start(ready, shape, index, attempt, vm, now);
+            self.start(ready, step_spec, index, attempt, vm, now);
         }
         true
     }
 
     pub(super) fn waiting_tasks(&self, ready: ReadyStep) -> Vec<usize> {
-        let step = &self.jobs[ready.job].times[&ready.time].steps[ready.step];
-        let waits = |&i: &usize| step.tasks[i].spot == Spot::Waiting;
+        let step = &self.jobs[ready.job].repetitions[&ready.time].steps[ready.step];
+        let waits = |&i: &usize| step.tasks[i].state == TaskState::Waiting;
         (0..step.tasks.len()).filter(waits).collect()
     }
 
-    /// Returns whether a task that failed right after its start is not to be started yet.
-    fn is_put_off(&self, ready: ReadyStep, index: usize, now: Ms) -> bool {
+    /// Returns whether the next start of a task is still deferred after a failure soon after the last start.
+    fn is_deferred(&self, ready: ReadyStep, index: usize, now: Ms) -> bool {
         self.jobs[ready.job].task(ready.task(index)).is_some_and(|t| now < t.not_before)
     }
 
-    fn avoids(&self, ready: ReadyStep, index: usize) -> Option<VmKey> {
+    fn avoided_vm(&self, ready: ReadyStep, index: usize) -> Option<VmKey> {
         self.jobs[ready.job].task(ready.task(index)).and_then(|t| t.avoid)
     }
 
@@ -141,54 +143,55 @@
         self.jobs[ready.job].task(ready.task(index)).map_or(1, |t| t.attempt + 1)
     }
 
-    /// Picks the VM on which a task runs best: near its data if there is room, and packed.
+    /// Returns the best VM for a task, or `None` if no VM fits.
     pub(super) fn choose_vm(
         &self,
         ready: ReadyStep,
-        shape: &Step,
+        step_spec: &Step,
         index: usize,
         rack: Option<&str>,
-        care: Care,
+        isolation: Isolation,
         now: Ms,
     ) -> Option<VmKey> {
-        let avoid = self.avoids(ready, index);
+        let avoid = self.avoided_vm(ready, index);
         let needs_ticket = self.jobs[ready.job].spec.advice.is_some();
-        let crash_prone = self.is_crash_prone(now);
+        let crash_prone = self.has_recent_crash(now);
         let fits = |vm: &Vm| {
-            vm.takes_work()
-                && vm.aside_until <= now
-                && vm.free().holds(shape.room())
-                && vm.may_share(ready.id, care, now)
+            vm.accepts_work()
+                && vm.excluded_until <= now
+                && vm.free().fits(step_spec.room())
+                && vm.may_share(ready.id, isolation, now)
                 && rack.is_none_or(|r| vm.facts.as_ref().is_some_and(|f| &*f.rack == r))
-                && has_labels(vm, shape)
-                && below_spread(vm, ready, shape)
+                && has_labels(vm, step_spec)
+                && within_anti_affinity(vm, ready, step_spec)
                 && (!needs_ticket || self.ticket(ready.id(), &vm.id, now).is_some())
         };
+        // VMs are compared by these criteria in order. A VM on which the task failed is only a last resort.
         let score = |(key, vm): &(VmKey, &Vm)| {
-            let near = shape.affinity.as_deref().is_some_and(|a| has_label(vm, a));
-            // A task goes back to where it failed only if there is no other place.
-            // A lasting task would have to move again where maintenance is due.
-            let stays = !shape.lasting || !vm.name().is_some_and(|n| self.due.contains(n));
-            // What is lost with a crash is least where nothing lasts.
-            let spares = shape.lasting || !crash_prone || vm.lasting_runs() == 0;
-            // Lasting tasks share few VMs, so that others can be taken away when load is low.
-            let packed = if shape.lasting { vm.lasting_runs() } else { 0 };
-            // Those of one step are spread all the same: a VM that goes takes few of them.
-            let spread = if shape.lasting {
-                std::cmp::Reverse(of_step(vm, ready))
+            let near = step_spec.affinity.as_deref().is_some_and(|a| has_label(vm, a));
+            // On a VM due for maintenance, a lasting task would have to move again.
+            let not_due = !step_spec.lasting
+                || !vm.name().is_some_and(|n| self.due_for_maintenance.contains(n));
+            // A crash costs least on a VM without lasting tasks.
+            let avoids_lasting = step_spec.lasting || !crash_prone || vm.lasting_runs() == 0;
+            // Lasting tasks are packed on few VMs so that the others can be removed when load is low.
+            let packed = if step_spec.lasting { vm.lasting_runs() } else { 0 };
+            // Lasting tasks of the same step are still spread, so that the loss of a VM affects few of them.
+            let spread = if step_spec.lasting {
+                std::cmp::Reverse(count_tasks_of_step(vm, ready))
             } else {
                 std::cmp::Reverse(0)
             };
-            // The fullest VM that fits: the others become empty and can serve other pools.
+            // The fullest VM that fits is preferred, so that the others become empty and can serve other pools.
             let fullness = std::cmp::Reverse(vm.free().cpu);
-            // A hall that is taken back comes with all of its VMs cold: what fits on warm ones is done sooner there.
+            // When a data hall returns to service, all of its VMs are cold; tasks finish sooner on warm VMs.
             let warm = vm.facts.as_ref().is_some_and(|f| !f.cold);
             (
                 Some(*key) != avoid,
                 warm,
-                !disturbs(vm, shape),
-                stays,
-                spares,
+                !interferes(vm, step_spec),
+                not_due,
+                avoids_lasting,
                 near,
                 spread,
                 packed,
@@ -201,21 +204,21 @@
     fn start(
         &mut self,
         ready: ReadyStep,
-        shape: &Step,
+        step_spec: &Step,
         index: usize,
         attempt: u32,
         vm: VmKey,
         now: Now,
     ) {
-        self.reserve(ready, shape, index, attempt, vm, now);
+        self.reserve(ready, step_spec, index, attempt, vm, now);
         self.order_start(ready, index, attempt, vm, now.steady);
     }
 
-    /// Takes the room of a run and moves its task there.
+    /// Reserves room on a VM for a run and assigns its task to the VM.
     pub(super) fn reserve(
         &mut self,
         ready: ReadyStep,
-        shape: &Step,
+        step_spec: &Step,
         index: usize,
         attempt: u32,
         vm: VmKey,
@@ -224,21 +227,21 @@
         let task = self.jobs[ready.job].task(ready.task(index));
         let from_start = task.is_some_and(|t| t.checkpoint.is_empty());
         let unproven_for = self.unproven_for(ready.task(index));
-        let run = Run::new(attempt, shape, now.steady);
+        let run = Run::new(attempt, step_spec, now.steady);
         let run = Run { ordered_at: Some(now.steady), from_start, unproven_for, ..run };
         self.add_run(vm, ready.task(index), run);
         if let Some((step, index)) = self.jobs[ready.job].step_mut(ready.task(index)) {
-            step.set(index, Spot::On(vm));
+            step.set(index, TaskState::Assigned(vm));
             step.tasks[index].attempt = attempt;
         }
     }
 
-    /// Undoes [`Pool::reserve`]; `before` is the attempt that the task was at.
+    /// Reverts [`Pool::reserve`]; `before` is the attempt number before it.
     pub(super) fn unreserve(&mut self, ready: ReadyStep, vm: VmKey, run: RunId, before: u32) {
-        // Nobody was told of it.
+        // No order was issued for the run.
         let _ = self.remove_run(vm, run);
         if let Some((step, index)) = self.jobs[ready.job].step_mut(run.task) {
-            step.set(index, Spot::Waiting);
+            step.set(index, TaskState::Waiting);
             step.tasks[index].attempt = before;
         }
     }
@@ -254,7 +257,7 @@
         let task = ready.task(index);
         let ticket = self.ticket(ready.id(), &self.vms[vm].id, now);
         let job = &mut self.jobs[ready.job];
-        job.begun = true;
+        job.has_started = true;
         let order = StartOrder {
             vm: self.vms[vm].id.clone(),
             run: RunId { task, attempt },
@@ -264,7 +267,7 @@
             free_cpu: self.vms[vm].free().cpu,
         };
         self.orders.push(Order::Start(order));
-        self.touch(ready.job);
+        self.mark_changed(ready.job);
     }
 }
 
@@ -272,30 +275,30 @@
     vm.facts.as_ref().is_some_and(|f| f.labels.iter().any(|l| &**l == label))
 }
 
-fn has_labels(vm: &Vm, shape: &Step) -> bool {
-    shape.constraints.iter().all(|label| has_label(vm, label))
+fn has_labels(vm: &Vm, step_spec: &Step) -> bool {
+    step_spec.constraints.iter().all(|label| has_label(vm, label))
 }
 
-/// Counts the tasks of a step that a VM runs.
-fn of_step(vm: &Vm, ready: ReadyStep) -> usize {
+/// Returns the number of tasks of a step on a VM.
+fn count_tasks_of_step(vm: &Vm, ready: ReadyStep) -> usize {
     let of_step = |t: &&TaskId| {
         t.job == ready.id && t.time == ready.time && usize::from(t.step) == ready.step
     };
     vm.runs.keys().filter(of_step).count()
 }
 
-/// Returns whether one more task of the step may run on the VM.
-fn below_spread(vm: &Vm, ready: ReadyStep, shape: &Step) -> bool {
-    if shape.anti_affinity == 0 {
+/// Returns whether the step's anti-affinity limit allows one more task on the VM.
+fn within_anti_affinity(vm: &Vm, ready: ReadyStep, step_spec: &Step) -> bool {
+    if step_spec.anti_affinity == 0 {
         return true;
     }
-    of_step(vm, ready) < usize::try_from(shape.anti_affinity).unwrap_or(usize::MAX)
+    count_tasks_of_step(vm, ready) < usize::try_from(step_spec.anti_affinity).unwrap_or(usize::MAX)
 }
 
-/// Returns whether the task would fill beside a serving task, or serve beside a filling one.
-fn disturbs(vm: &Vm, shape: &Step) -> bool {
-    if shape.fills {
+/// Returns whether the placement would put a filling task and a serving task on the same VM.
+fn interferes(vm: &Vm, step_spec: &Step) -> bool {
+    if step_spec.fills {
         return vm.runs.values().any(|r| r.tail_target_ms > 0);
     }
-    shape.tail_target_ms > 0 && vm.runs.values().any(|r| r.fills)
+    step_spec.tail_target_ms > 0 && vm.runs.values().any(|r| r.fills)
 }
--- a/crates/schedule/src/pool/report.rs
+++ b/crates/schedule/src/pool/report.rs
@@ -1,45 +1,50 @@
-//! Taking in what a VM says of its runs.
+//! Processing of VM reports on their runs.
 
 use std::collections::HashSet;
 
-use super::job::Spot;
+use super::job::TaskState;
 use super::run::Run;
 use super::{JobKey, Now, Pool, VmKey};
 use crate::Ms;
-use crate::id::{RunId, TaskId, VmLife};
+use crate::id::{RunId, TaskId, VmIncarnation};
 use crate::vm::{RunEnd, RunRow, VmReport};
 
-/// Ends listed at once at most; a longer list comes in parts, and a run that is not in one part
-/// may be in the next.
+/// The maximum number of run ends in one report. A longer list comes in parts, so a run that is missing from one part may be
+/// in the next.
 const MAX_ENDS: usize = 500;
-/// Pause before a run that is still listed is told to stop again, in milliseconds: longer than the
-/// users' VMs take to stop one (900 ms).
-const STOP_AGAIN_MS: Ms = 1_000;
-/// A lasting task whose start is done, in percent, is at work.
-const STARTED: u32 = 100;
+/// The delay before the stop order for a run that is still listed is repeated, in milliseconds. It is longer than the 900 ms that
+/// a VM takes at most to stop a run.
+const STOP_RETRY_MS: Ms = 1_000;
+/// The progress, in percent, at which a lasting task has completed its start and is working.
+const WORKING_PERCENT: u32 = 100;
 
-/// What a report tells that is out of the ordinary.
+/// Unexpected changes found in a report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ReportNews {
-    /// Runs that were released as the report does not list them.
+pub struct ReportChanges {
+    /// Runs that were released because the report does not list them.
     pub not_listed: Vec<RunId>,
-    /// Ends, heard for the first time, of runs that were given up before: the work was done in vain, or twice.
-    pub of_given_up: Vec<RunEnd>,
+    /// Ends, reported for the first time, of runs that were already abandoned: their work was wasted or done twice.
+    pub of_abandoned: Vec<RunEnd>,
 }
 
 impl Pool {
-    /// Takes in a VM's report, asked for under this owner's token.
-    pub fn report(&mut self, vm: &VmLife, report: &VmReport, now: Now) -> ReportNews {
-        self.resolve_silence(vm, false, now);
-        self.end_former_lives(vm, now);
+    /// Applies a VM's report that was requested under this owner's token.
+    pub fn apply_report(
+        &mut self,
+        vm: &VmIncarnation,
+        report: &VmReport,
+        now: Now,
+    ) -> ReportChanges {
+        self.resolve_unclear_loss(vm, false, now);
+        self.end_previous_incarnations(vm, now);
         let key = self.vm_key(vm);
-        let mut news = ReportNews::default();
+        let mut changes = ReportChanges::default();
         for end in &report.ended {
             let vm = &self.vms[key];
-            let is_news = end.sequence > vm.ends_taken && !vm.has_run(end.run);
-            self.take_end(key, end, now);
-            if is_news && self.is_of_given_up(end) {
-                news.of_given_up.push(end.clone());
+            let is_new = end.sequence > vm.last_end_sequence && !vm.has_run(end.run);
+            self.apply_end(key, end, now);
+            if is_new && self.is_of_abandoned_run(end) {
+                changes.of_abandoned.push(end.clone());
             }
         }
         if let Some(last) = report.ended.iter().map(|e| e.sequence).max() {
@@ -48,77 +53,76 @@
         let complete = report.ended.len() < MAX_ENDS;
         let listed: HashSet<RunId> = report.running.iter().map(|r| r.run).collect();
         for row in &report.running {
-            self.take_row(key, row, report.asked_at, now);
+            self.apply_run_row(key, row, report.requested_at, now);
         }
         if complete {
-            news.not_listed = self.drop_missing(key, report, &listed, now);
+            changes.not_listed = self.release_missing(key, report, &listed, now);
         }
-        self.pace(key, now);
-        let listing_is_sound = self.listing_is_sound;
+        self.throttle(key, now);
+        let listing_is_complete = self.listing_is_complete;
         let vm = &mut self.vms[key];
-        vm.note_answer(report.asked_at, listing_is_sound, now.steady);
-        vm.held |= complete;
-        vm.strays.retain(|run, _| listed.contains(run));
-        self.forget_vm_if_empty(key);
-        news
+        vm.record_answer(report.requested_at, listing_is_complete, now.steady);
+        vm.token_confirmed |= complete;
+        vm.unknown_runs.retain(|run, _| listed.contains(run));
+        self.remove_vm_if_unused(key);
+        changes
     }
 
-    /// Returns whether an end that was not expected is of a run that was given up, and its task was not done by it.
-    fn is_of_given_up(&self, end: &RunEnd) -> bool {
+    /// Returns whether an unexpected end belongs to an abandoned run that did not complete its task.
+    fn is_of_abandoned_run(&self, end: &RunEnd) -> bool {
         let job = self.job_key(end.run.task).and_then(|key| self.jobs.get(key));
         let Some(task) = job.and_then(|job| job.task(end.run.task)) else { return false };
-        task.attempt != end.run.attempt || task.spot != Spot::Done
+        task.attempt != end.run.attempt || task.state != TaskState::Done
     }
 
-    fn take_row(&mut self, key: VmKey, row: &RunRow, asked_at: Ms, now: Now) {
+    fn apply_run_row(&mut self, key: VmKey, row: &RunRow, requested_at: Ms, now: Now) {
         let vm = &mut self.vms[key];
         let task = row.run.task;
         if let Some(run) = vm.runs.get_mut(&task).filter(|r| r.attempt == row.run.attempt) {
-            run.figure = row.figure;
+            run.metric = row.metric;
             (run.progress, run.progress_at) = (row.percent, now.steady);
-            // What is listed is there, also if this owner has not ordered it and never had an
-            // answer about it.
-            run.confirmed.get_or_insert(asked_at);
+            // A listed run exists, even if this owner did not order it and never received an answer about it.
+            run.confirmed.get_or_insert(requested_at);
             (run.listed, run.unclear) = (true, false);
             if !row.checkpoint.is_empty() {
                 run.checkpoint.clone_from(&row.checkpoint);
             }
-            // One that was told to stop is as good as gone, though it still works.
+            // A run that is being stopped no longer counts as working.
             if !run.stopping {
                 let (lasting, started) = (run.lasting, run.started);
-                self.note_at_work(row);
+                self.update_working(row);
                 if lasting
-                    && row.percent >= STARTED
+                    && row.percent >= WORKING_PERCENT
                     && self.is_cleared_by_work(task, started, now.steady)
                 {
-                    self.clear(task);
+                    self.clear_crash_history(task);
                 }
-            } else if now.steady >= run.stop_ordered + STOP_AGAIN_MS {
-                // The order may have been given when there was no link to the VM.
+            } else if now.steady >= run.stop_ordered + STOP_RETRY_MS {
+                // The stop order may have been issued while there was no connection to the VM.
                 run.stop_ordered = now.steady;
                 self.order_stop(key, task, row.run.attempt);
             }
             return;
         }
-        let told_at = vm.strays.entry(row.run).or_insert(0);
-        if *told_at == 0 || now.steady >= *told_at + STOP_AGAIN_MS {
-            *told_at = now.steady;
+        let last_stop = vm.unknown_runs.entry(row.run).or_insert(0);
+        if *last_stop == 0 || now.steady >= *last_stop + STOP_RETRY_MS {
+            *last_stop = now.steady;
             self.order_stop(key, task, row.run.attempt);
         }
     }
 
-    fn note_at_work(&mut self, row: &RunRow) {
+    fn update_working(&mut self, row: &RunRow) {
         let Some(job) = self.job_mut(row.run.task) else { return };
         let lasting = job.spec.steps.get(usize::from(row.run.task.step)).is_some_and(|s| s.lasting);
         let Some((step, index)) = job.step_mut(row.run.task) else { return };
         if lasting {
-            step.tasks[index].at_work = row.percent >= STARTED;
+            step.tasks[index].working = row.percent >= WORKING_PERCENT;
         }
     }
 
-    /// Drops the runs that a complete report would list if they were there. It tells nothing of a copy of a start that is yet to
-    /// come: only a stop bars that, and the run counts until it is answered.
-    fn drop_missing(
+    /// Releases the runs that a complete report would list if they existed, and returns them. A report does not show whether a
+    /// copy of a start is still to arrive: only a stop prevents that, so such a run counts until its stop is answered.
+    fn release_missing(
         &mut self,
         key: VmKey,
         report: &VmReport,
@@ -126,17 +130,17 @@
         now: Now,
     ) -> Vec<RunId> {
         let vm = &self.vms[key];
-        let first = !vm.held;
+        let is_first_report = !vm.token_confirmed;
         let missing = |(&task, run): (&TaskId, &Run)| {
             let id = RunId { task, attempt: run.attempt };
-            let answered_before = run.confirmed.is_some_and(|at| report.asked_at > at);
-            ((first || answered_before) && !listed.contains(&id)).then_some(id)
+            let confirmed_before = run.confirmed.is_some_and(|at| report.requested_at > at);
+            ((is_first_report || confirmed_before) && !listed.contains(&id)).then_some(id)
         };
         let missing: Vec<RunId> = vm.runs.iter().filter_map(missing).collect();
         let (unclear, gone): (Vec<RunId>, Vec<RunId>) =
-            missing.into_iter().partition(|run| !first && vm.runs[&run.task].unclear);
+            missing.into_iter().partition(|run| !is_first_report && vm.runs[&run.task].unclear);
         for run in unclear {
-            self.bar(key, run, now);
+            self.block_start(key, run, now);
         }
         for &run in &gone {
             self.release(key, run, now);
@@ -144,8 +148,8 @@
         gone
     }
 
-    /// Has a run stopped that is not there, so that no copy of its start begins it any more.
-    fn bar(&mut self, vm: VmKey, id: RunId, now: Now) {
+    /// Orders the stop of a run that does not exist, so that no late copy of its start can begin it.
+    fn block_start(&mut self, vm: VmKey, id: RunId, now: Now) {
         let Some(run) = self.vms[vm].runs.get_mut(&id.task) else { return };
         (run.unclear, run.confirmed) = (false, None);
         (run.stopping, run.stop_ordered) = (true, now.steady);
--- a/crates/schedule/src/pool/takeover.rs
+++ b/crates/schedule/src/pool/takeover.rs
@@ -1,28 +1,28 @@
-//! Taking over a pool from its records.
+//! Takeover of a pool from its records by a new owner.
 
 use std::sync::Arc;
 
-use super::job::Spot;
+use super::job::TaskState;
 use super::run::Run;
 use super::{Ms, Now, Pool};
-use crate::harm::HarmRecord;
-use crate::id::{JobId, TaskId, VmLife};
+use crate::crash_history::CrashHistoryRecord;
+use crate::id::{JobId, TaskId, VmIncarnation};
 use crate::job_log::JobEntry;
-use crate::progress::{Phase, Place, Progress, TaskRecord};
+use crate::progress::{Phase, Progress, TaskPlacement, TaskRecord};
 use crate::spec::JobSpec;
 
-/// A job that is read within this time of its acceptance counts for the rate at which jobs come, in
-/// milliseconds; a new owner reads older ones all at once.
+/// The maximum age, in milliseconds, at which a job read from the records counts towards the arrival rate. Older jobs are read
+/// all at once by a new owner.
 const JUST_ACCEPTED_MS: Ms = 1_000;
 
 impl Pool {
-    /// Takes in that this owner has just taken over.
-    pub fn taken_over(&mut self, now: Now) {
-        self.moves_from = now.steady + self.policy.tasks.pause_after_takeover_ms;
+    /// Records that this owner has just taken over the pool.
+    pub fn record_takeover(&mut self, now: Now) {
+        self.moves_allowed_from = now.steady + self.policy.tasks.pause_after_takeover_ms;
     }
 
-    /// Takes in a job as its records tell. Tasks ordered to run somewhere count as running there
-    /// until that VM has answered under this owner's token, or its lease is over.
+    /// Adds a job from its records. Tasks that were ordered to run on a VM count as running there until the VM has answered under
+    /// this owner's token or its lease is over.
     pub fn adopt(&mut self, id: JobId, entry: &JobEntry, now: Now) {
         let Some(spec) = &entry.spec else { return };
         if self.job_keys.contains_key(&id) {
@@ -34,22 +34,24 @@
         }
         let mut job = self.new_job(id, spec.clone(), now);
         if now.steady.saturating_sub(job.accepted) < JUST_ACCEPTED_MS {
-            self.note_arrival(spec, now.steady);
+            self.record_arrival(spec, now.steady);
         }
-        job.begun = entry.progress.begun;
-        job.done_times.clone_from(&entry.progress.done_times);
-        job.begin_due(now);
+        job.has_started = entry.progress.begun;
+        job.done_repetitions.clone_from(&entry.progress.done_times);
+        job.open_due_repetitions(now);
         if let Some(last) = entry.progress.tasks.iter().map(|record| record.time).max() {
-            // Those before one that has begun were due as well, whatever this node's clock says.
-            job.open_times_up_to(last);
+            // All repetitions before a recorded one are due as well, whatever this node's clock says.
+            job.open_repetitions_up_to(last);
         }
-        for HarmRecord { time, step, index, harm } in &entry.progress.harms {
+        for CrashHistoryRecord { time, step, index, crash_history } in
+            &entry.progress.crash_histories
+        {
             let task = TaskId { job: id, time: *time, step: *step, index: *index };
-            job.harm.insert(task, harm.clone());
+            job.crash_histories.insert(task, crash_history.clone());
         }
         let key = self.jobs.insert(job);
         self.job_keys.insert(id, key);
-        self.note_harmed(key);
+        self.update_affected(key);
         for record in &entry.progress.tasks {
             self.adopt_task(id, record, now);
         }
@@ -58,22 +60,22 @@
         }
     }
 
-    /// Takes in what a settled job may still have running, which counts and is to be stopped.
+    /// Adds a settled job whose tasks may still be running. They count as running and are to be stopped.
     fn adopt_settled(&mut self, id: JobId, spec: &Arc<JobSpec>, progress: &Progress, now: Now) {
         if progress.tasks.is_empty() {
             return;
         }
         let mut job = self.new_job(id, spec.clone(), now);
-        (job.phase, job.settled_ms, job.begun) = (progress.phase, progress.settled_ms, true);
+        (job.phase, job.settled_ms, job.has_started) = (progress.phase, progress.settled_ms, true);
         for record in &progress.tasks {
-            job.open_time(record.time);
+            job.open_repetition(record.time);
         }
         let key = self.jobs.insert(job);
         self.job_keys.insert(id, key);
         for record in &progress.tasks {
             self.adopt_task(id, record, now);
         }
-        // They are told to stop as their VMs list them.
+        // Each stop is ordered when the VM lists the run.
         for vm in self.vms.values_mut() {
             let of_job = vm.runs.iter_mut().filter(|(task, _)| task.job == id);
             of_job.for_each(|(_, run)| run.stopping = true);
@@ -82,28 +84,34 @@
 
     fn adopt_task(&mut self, job_id: JobId, record: &TaskRecord, now: Now) {
         let id = TaskId { job: job_id, time: record.time, step: record.step, index: record.index };
-        let spot = match &record.place {
-            Place::Waiting => Spot::Waiting,
-            Place::Done => Spot::Done,
-            Place::On(vm) => Spot::On(self.vm_key(&VmLife::from(vm.as_str()))),
+        let state = match &record.placement {
+            TaskPlacement::Waiting => TaskState::Waiting,
+            TaskPlacement::Done => TaskState::Done,
+            TaskPlacement::On(vm) => {
+                TaskState::Assigned(self.vm_key(&VmIncarnation::from(vm.as_str())))
+            }
         };
         let Some(job) = self.job_mut(id) else { return };
-        let shape = job.spec.steps.get(usize::from(id.step)).cloned();
+        let step_spec = job.spec.steps.get(usize::from(id.step)).cloned();
         let Some((step, index)) = job.step_mut(id) else { return };
-        step.set(index, spot);
+        step.set(index, state);
         let task = &mut step.tasks[index];
         task.attempt = record.attempt;
         task.failures = record.failures;
         task.checkpoint.clone_from(&record.checkpoint);
-        let Spot::On(vm) = spot else { return };
-        let Some(shape) = shape else { return };
+        let TaskState::Assigned(vm) = state else { return };
+        let Some(step_spec) = step_spec else { return };
         let unproven_for = self.unproven_for(id);
-        let run = Run { pace: None, unproven_for, ..Run::new(record.attempt, &shape, now.steady) };
+        let run = Run {
+            speed_percent: None,
+            unproven_for,
+            ..Run::new(record.attempt, &step_spec, now.steady)
+        };
         self.add_run(vm, id, run);
     }
 
-    /// Returns the incarnations that have runs, each with its listing if there is one.
-    pub fn vms_with_runs(&self) -> Vec<(VmLife, Option<Arc<crate::vm::VmFacts>>)> {
+    /// Returns the VM incarnations that have runs, each with the platform's listing if there is one.
+    pub fn vms_with_runs(&self) -> Vec<(VmIncarnation, Option<Arc<crate::vm::VmFacts>>)> {
         let busy = |vm: &&super::Vm| !vm.runs.is_empty();
         self.vms.values().filter(busy).map(|vm| (vm.id.clone(), vm.facts.clone())).collect()
     }
--- a/crates/schedule/tests/common/mod.rs
+++ b/crates/schedule/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the scheduler share: short ways to make jobs, VMs and reports.
+//! Helpers shared by the scheduler tests: they build jobs, VMs and reports, and filter orders.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use thistle_schedule::pool::{Now, Order, StartOrder, StartResult};
 use thistle_schedule::{
     EndKind, JobId, JobSpec, Ms, Objective, Pool, Room, RunEnd, RunId, RunRow, Step, VmFacts,
-    VmLife, VmReport,
+    VmIncarnation, VmReport,
 };
 
 pub const WALL: u64 = 1_700_000_000_000;
@@ -37,10 +37,10 @@
     })
 }
 
-pub fn vm(name: &str, life: u32) -> Arc<VmFacts> {
+pub fn vm(name: &str, incarnation: u32) -> Arc<VmFacts> {
     let room = Room { cpu: 4_000, mem_mb: 10_000, gpu: 0 };
     Arc::new(VmFacts {
-        id: VmLife::new(format!("i-{name}-{life}"), None),
+        id: VmIncarnation::new(format!("i-{name}-{incarnation}"), None),
         name: name.into(),
         pool: "desk".into(),
         addr: ([127, 0, 0, 1], 1).into(),
@@ -54,13 +54,13 @@
     })
 }
 
-/// Lists VMs and has each answer once, so that they take work.
+/// Returns a pool with the named VMs listed and one report of each applied, so that tasks may start on them.
 pub fn pool_with(names: &[&str]) -> Pool {
     let mut pool = Pool::new();
     for name in names {
         let facts = vm(name, 1);
         pool.list_vm(facts.clone());
-        pool.report(&facts.id, &VmReport::default(), at(0));
+        pool.apply_report(&facts.id, &VmReport::default(), at(0));
     }
     pool
 }
@@ -68,7 +68,7 @@
 pub fn starts(orders: &[Order]) -> Vec<StartOrder> {
     let start = |order: &Order| match order {
         Order::Start(start) => Some(start.clone()),
-        Order::Stop { .. } | Order::Pace { .. } | Order::Ask(_) => None,
+        Order::Stop { .. } | Order::Throttle { .. } | Order::RequestAdvice(_) => None,
     };
     orders.iter().filter_map(start).collect()
 }
@@ -76,23 +76,23 @@
 pub fn stops(orders: &[Order]) -> Vec<RunId> {
     let stop = |order: &Order| match order {
         Order::Stop { run, .. } => Some(*run),
-        Order::Start(_) | Order::Pace { .. } | Order::Ask(_) => None,
+        Order::Start(_) | Order::Throttle { .. } | Order::RequestAdvice(_) => None,
     };
     orders.iter().filter_map(stop).collect()
 }
 
-/// Returns the start that is the only one.
+/// Returns the only start.
 pub fn start_of_only(starts: &[StartOrder]) -> StartOrder {
     assert_eq!(starts.len(), 1, "{starts:?}");
     starts[0].clone()
 }
 
-/// Plans and confirms every start.
+/// Plans and applies the result `Started` to every start.
 pub fn plan_and_start(pool: &mut Pool, now: Ms) -> Vec<StartOrder> {
     let started = starts(&pool.plan(at(now)));
     pool.take_records();
     for start in &started {
-        pool.start_result(&start.vm, start.run, StartResult::Started, at(now));
+        pool.apply_start_result(&start.vm, start.run, StartResult::Started, at(now));
     }
     started
 }
@@ -102,24 +102,24 @@
 }
 
 pub fn row(run: RunId, percent: u32) -> RunRow {
-    RunRow { run, checkpoint: String::new(), percent, figure: None }
+    RunRow { run, checkpoint: String::new(), percent, metric: None }
 }
 
-pub fn report(asked_at: Ms, running: Vec<RunRow>, ended: Vec<RunEnd>) -> VmReport {
-    VmReport { asked_at, running, ended }
+pub fn report(requested_at: Ms, running: Vec<RunRow>, ended: Vec<RunEnd>) -> VmReport {
+    VmReport { requested_at, running, ended }
 }
 
-/// Ends a run in a report of its VM that lists nothing else as running.
+/// Ends a run through a report of its VM that lists no other run.
 pub fn end_run(pool: &mut Pool, start: &StartOrder, kind: EndKind, now: Ms) {
     let ended = vec![end(now, start.run, kind)];
-    pool.report(&start.vm, &report(0, Vec::new(), ended), at(now));
+    pool.apply_report(&start.vm, &report(0, Vec::new(), ended), at(now));
 }
 
-/// Reports every lasting run of a VM as at work.
+/// Reports the given runs as running at full speed, each VM with all of its own.
 pub fn all_at_work(pool: &mut Pool, started: &[StartOrder], now: Ms) {
     for start in started {
         let rows = started.iter().filter(|s| s.vm == start.vm).map(|s| row(s.run, 100)).collect();
-        pool.report(&start.vm, &report(now, rows, Vec::new()), at(now));
+        pool.apply_report(&start.vm, &report(now, rows, Vec::new()), at(now));
     }
 }
 
--- a/crates/schedule/tests/emptying.rs
+++ b/crates/schedule/tests/emptying.rs
@@ -1,4 +1,4 @@
-//! Emptying VMs for a pool that needs them now.
+//! Emptying VMs for another pool that needs them urgently.
 
 mod common;
 
@@ -10,33 +10,32 @@
 use thistle_schedule::pool::StartOrder;
 use thistle_schedule::{EndKind, JobId, Pool, RunEnd, Step};
 
-fn saving(count: u32, cpu: u32) -> Step {
+fn checkpointing_step(count: u32, cpu: u32) -> Step {
     Step { checkpointing: true, estimated_ms: 4_000, ..step(count, cpu) }
 }
 
-/// Starts one task that saves its progress on VM a, which is then to be emptied in a hurry; VM b
-/// has room.
-fn hurried(shape: Step) -> (Pool, StartOrder) {
+/// Starts one task on VM a, which is then to be emptied urgently. VM b has room.
+fn urgent_drain(shape: Step) -> (Pool, StartOrder) {
     let mut pool = pool_with(&["a"]);
     pool.submit(JOB, job(vec![shape]), at(0));
     let started = plan_and_start(&mut pool, 10).remove(0);
     let b = common::vm("b", 1);
     pool.list_vm(b.clone());
-    pool.report(&b.id, &report(0, vec![], vec![]), at(20));
+    pool.apply_report(&b.id, &report(0, vec![], vec![]), at(20));
     let names: HashSet<Arc<str>> = [Arc::from("a")].into();
     pool.set_cordoned(names.clone());
-    pool.set_hurried(names);
+    pool.set_urgent(names);
     (pool, started)
 }
 
 #[gtest]
-fn what_can_be_resumed_is_stopped_on_a_vm_that_another_pool_needs_and_resumes_elsewhere() {
-    let (mut pool, started) = hurried(saving(1, 1_000));
-    pool.report(&started.vm, &report(500, vec![row(started.run, 10)], vec![]), at(510));
+fn a_resumable_run_on_a_vm_that_another_pool_needs_is_stopped_and_resumed_elsewhere() {
+    let (mut pool, started) = urgent_drain(checkpointing_step(1, 1_000));
+    pool.apply_report(&started.vm, &report(500, vec![row(started.run, 10)], vec![]), at(510));
     expect_that!(stops(&pool.plan(at(520))), eq(&vec![started.run]));
-    expect_that!(stops(&pool.plan(at(530))), is_empty(), "told once");
+    expect_that!(stops(&pool.plan(at(530))), is_empty(), "ordered once");
     let stopped = RunEnd { checkpoint: "half".into(), ..end(1, started.run, EndKind::Stopped) };
-    pool.report(&started.vm, &report(600, vec![], vec![stopped]), at(610));
+    pool.apply_report(&started.vm, &report(600, vec![], vec![stopped]), at(610));
     let again = starts(&pool.plan(at(620)));
     expect_that!(again, len(eq(1)));
     expect_that!(again[0].vm, eq(&common::vm("b", 1).id));
@@ -45,81 +44,84 @@
 
 #[gtest]
 fn a_run_that_is_nearly_done_or_would_lose_its_work_is_left_to_end() {
-    let (mut pool, started) = hurried(saving(1, 1_000));
-    pool.report(&started.vm, &report(3_000, vec![row(started.run, 90)], vec![]), at(3_010));
+    let (mut pool, started) = urgent_drain(checkpointing_step(1, 1_000));
+    pool.apply_report(&started.vm, &report(3_000, vec![row(started.run, 90)], vec![]), at(3_010));
     expect_that!(stops(&pool.plan(at(3_020))), is_empty(), "a tenth of 3.3 s is left");
-    for shape in [step(1, 1_000), Step { gang: true, ..saving(1, 1_000) }] {
-        let (mut pool, started) = hurried(shape);
-        pool.report(&started.vm, &report(100, vec![row(started.run, 1)], vec![]), at(110));
+    for shape in [step(1, 1_000), Step { gang: true, ..checkpointing_step(1, 1_000) }] {
+        let (mut pool, started) = urgent_drain(shape);
+        pool.apply_report(&started.vm, &report(100, vec![row(started.run, 1)], vec![]), at(110));
         expect_that!(stops(&pool.plan(at(120))), is_empty());
     }
 }
 
 #[gtest]
 fn a_vm_that_is_emptied_for_maintenance_lets_its_tasks_end() {
-    let (mut pool, started) = hurried(saving(1, 1_000));
-    pool.set_hurried(HashSet::new());
-    pool.report(&started.vm, &report(100, vec![row(started.run, 1)], vec![]), at(110));
+    let (mut pool, started) = urgent_drain(checkpointing_step(1, 1_000));
+    pool.set_urgent(HashSet::new());
+    pool.apply_report(&started.vm, &report(100, vec![row(started.run, 1)], vec![]), at(110));
     expect_that!(stops(&pool.plan(at(120))), is_empty());
 }
 
 #[gtest]
 fn vms_that_can_be_empty_soonest_are_offered_first() {
     let mut pool = pool_with(&["a", "b"]);
-    // The fuller VM is nearly done, the other has just begun.
+    // The run on the fuller VM is nearly done, the other run has just started.
     pool.submit(JOB, job(vec![step(1, 4_000)]), at(0));
     let long = plan_and_start(&mut pool, 10).remove(0);
     pool.submit(JobId(2), job(vec![step(1, 1_000)]), at(0));
     let short = plan_and_start(&mut pool, 10).remove(0);
-    pool.report(&long.vm, &report(900, vec![row(long.run, 90)], vec![]), at(910));
-    pool.report(&short.vm, &report(900, vec![row(short.run, 20)], vec![]), at(910));
+    pool.apply_report(&long.vm, &report(900, vec![row(long.run, 90)], vec![]), at(910));
+    pool.apply_report(&short.vm, &report(900, vec![row(short.run, 20)], vec![]), at(910));
     let names = [long.vm, short.vm].map(|vm| vm.id().split('-').nth(1).map(Arc::from));
-    expect_that!(pool.light(at(910)), eq(&names.into_iter().flatten().collect::<Vec<Arc<str>>>()));
+    expect_that!(
+        pool.without_lasting_tasks(at(910)),
+        eq(&names.into_iter().flatten().collect::<Vec<Arc<str>>>())
+    );
 }
 
 #[gtest]
 fn tasks_to_be_resumed_count_like_running_ones_in_their_pools_need() {
-    let (mut pool, started) = hurried(saving(1, 1_000));
+    let (mut pool, started) = urgent_drain(checkpointing_step(1, 1_000));
     let stopped = RunEnd { checkpoint: "half".into(), ..end(1, started.run, EndKind::Stopped) };
-    pool.report(&started.vm, &report(600, vec![], vec![stopped]), at(610));
+    pool.apply_report(&started.vm, &report(600, vec![], vec![stopped]), at(610));
     let load = pool.load(at(620));
     expect_that!((load.waiting_cpu, load.used_cpu), eq((0, 1_000)));
 }
 
 #[gtest]
-fn lasting_tasks_leave_a_vm_that_has_left_the_list_unless_the_list_may_not_be_whole() {
+fn lasting_tasks_leave_an_unlisted_vm_unless_the_list_may_be_incomplete() {
     let mut pool = pool_with(&["a"]);
     pool.submit(JOB, job(vec![common::lasting(1, 1)]), at(0));
     let started = plan_and_start(&mut pool, 10).remove(0);
     let b = common::vm("b", 1);
     pool.list_vm(b.clone());
-    pool.report(&b.id, &report(0, vec![], vec![]), at(20));
-    pool.report(&started.vm, &report(20, vec![row(started.run, 100)], vec![]), at(30));
+    pool.apply_report(&b.id, &report(0, vec![], vec![]), at(20));
+    pool.apply_report(&started.vm, &report(20, vec![row(started.run, 100)], vec![]), at(30));
     pool.unlist_vm(&started.vm);
-    pool.set_listing_is_sound(false);
+    pool.set_listing_is_complete(false);
     expect_that!(stops(&pool.plan(at(40))), is_empty());
-    pool.set_listing_is_sound(true);
+    pool.set_listing_is_complete(true);
     expect_that!(stops(&pool.plan(at(50))), eq(&vec![started.run]));
 }
 
-/// Trasteo Listo, hunt seed 65012137343 (AVAIL): in one step a task was moved off a sound VM and, after
-/// it, another of its step off one that drained, whose stop came first.
+/// A lasting task was moved off a healthy VM and then another task of its step off a draining VM, whose stop came
+/// first, so that more tasks of the step were missing than allowed.
 #[gtest]
-fn what_must_leave_a_draining_vm_goes_before_what_may_wait() {
+fn a_lasting_task_on_a_draining_vm_is_moved_before_one_on_a_healthy_vm() {
     let mut pool = pool_with(&["a", "b"]);
     pool.submit(JOB, job(vec![common::lasting(2, 1)]), at(0));
     let started = plan_and_start(&mut pool, 10);
     common::all_at_work(&mut pool, &started, 100);
     for name in ["c", "d"] {
         pool.list_vm(common::vm(name, 1));
-        pool.report(&common::vm(name, 1).id, &report(0, vec![], vec![]), at(20));
+        pool.apply_report(&common::vm(name, 1).id, &report(0, vec![], vec![]), at(20));
     }
     for draining in ["b", "a"] {
         let mut pool = pool.clone();
-        let sound = if draining == "a" { "b" } else { "a" };
+        let healthy = if draining == "a" { "b" } else { "a" };
         let facts = common::vm(draining, 1);
         pool.list_vm(thistle_schedule::VmFacts { draining: true, ..(*facts).clone() }.into());
-        pool.set_cordoned([Arc::from(sound)].into());
+        pool.set_cordoned([Arc::from(healthy)].into());
         let leaving = started.iter().find(|s| s.vm == facts.id).expect("one runs there").run;
         expect_that!(stops(&pool.plan(at(200))), eq(&vec![leaving]), "{draining} drains");
     }
--- a/crates/schedule/tests/fleet_common/mod.rs
+++ b/crates/schedule/tests/fleet_common/mod.rs
@@ -1,17 +1,17 @@
-//! What the tests of the fleet share: short ways to make VMs, reports, waves and fleets.
+//! Helpers shared by the fleet tests: they build VMs, pool reports, waves and fleets.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use thistle_schedule::fleet::{
     Fleet, FleetOrder, FleetRecord, FleetVm, HoldOff, PoolReport, VmState, WaveRequest,
 };
 
-pub fn vm(name: &str, pool: &str, life: u32, state: VmState) -> FleetVm {
-    let incarnation = Some(format!("{name}-{life}").into());
+pub fn vm(name: &str, pool: &str, incarnation_number: u32, state: VmState) -> FleetVm {
+    let incarnation = Some(format!("{name}-{incarnation_number}").into());
     let (hall, rack) = ("hall-a".into(), "r1".into());
     FleetVm { name: name.into(), pool: pool.into(), state, hall, rack, incarnation }
 }
 
-pub fn up(names: &[&str]) -> Vec<FleetVm> {
+pub fn up_vms(names: &[&str]) -> Vec<FleetVm> {
     names.iter().map(|n| vm(n, "desk", 1, VmState::Up)).collect()
 }
 
@@ -22,13 +22,13 @@
 
 pub fn wave(names: &[&str], cap: usize) -> WaveRequest {
     let vms = names.iter().map(|n| (*n).to_owned()).collect();
-    WaveRequest { wave: 1, vms, duration_ms: 25_000, cap, asked_at: None }
+    WaveRequest { wave: 1, vms, duration_ms: 25_000, cap, requested_at: None }
 }
 
 pub fn fleet(names: &[&str], cap: usize) -> Fleet {
     let mut fleet = Fleet::new(FleetRecord::default(), HoldOff::default());
     fleet.set_pools(["desk".into()].into(), None);
-    fleet.set_vms(up(&["a", "b", "c", "d", "e", "f"]), 0);
+    fleet.set_vms(up_vms(&["a", "b", "c", "d", "e", "f"]), 0);
     fleet.set_wave(wave(names, cap));
     fleet
 }
@@ -50,7 +50,7 @@
     fleet
 }
 
-/// A pool whose work goes on as it is while as much again comes to what waits, twice over.
+/// Returns the report of a pool whose running work stays the same while its waiting work triples.
 pub fn busy(waiting: u64, used: u64, idle: &[&str]) -> PoolReport {
     PoolReport {
         waiting_cpu: waiting,
--- a/crates/schedule/tests/histories/machine.rs
+++ b/crates/schedule/tests/histories/machine.rs
@@ -1,4 +1,4 @@
-//! A VM of the random histories.
+//! A simulated VM of the random histories.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,15 +7,15 @@
 
 use crate::common::{row, vm};
 
-/// How long the lease of what runs there is, in milliseconds.
+/// The lease of a VM's runs, in milliseconds.
 const LEASE: Ms = 6_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     Up,
-    /// It is down until then.
+    /// The VM is down until this time.
     Down(Ms),
-    /// It says that it leaves, and is down from then on.
+    /// The VM reports that it leaves, and is down from this time on.
     Leaving(Ms),
 }
 
@@ -33,15 +33,15 @@
 pub struct Machine {
     name: String,
     rack: usize,
-    life: u32,
+    incarnation: u32,
     pub state: State,
     pub cut_until: Ms,
-    /// It went down without closing its connections.
-    pub dark: bool,
-    /// When it last answered its owner, or that owner took over.
-    pub heard: Ms,
-    /// Its owner has given up what ran there.
-    pub given_up: bool,
+    /// The VM went down without closing its connections.
+    pub unresponsive: bool,
+    /// When the VM last answered its owner, or when that owner took over.
+    pub last_contact: Ms,
+    /// The VM was reported as lost to the pool.
+    pub is_lost: bool,
     pub crashed_by_task: bool,
     runs: BTreeMap<TaskId, Run>,
     pub ended: Vec<Ended>,
@@ -53,12 +53,12 @@
         Self {
             name: format!("m{number}"),
             rack,
-            life: 1,
+            incarnation: 1,
             state: State::Up,
             cut_until: 0,
-            dark: false,
-            heard: 0,
-            given_up: false,
+            unresponsive: false,
+            last_contact: 0,
+            is_lost: false,
             crashed_by_task: false,
             runs: BTreeMap::new(),
             ended: Vec::new(),
@@ -70,22 +70,27 @@
         let room = Room { cpu: 16_000, mem_mb: 32_000, gpu: 0 };
         let draining = matches!(self.state, State::Leaving(_));
         let rack = format!("r{}", self.rack).into();
-        Arc::new(VmFacts { room, draining, rack, ..vm(&self.name, self.life).as_ref().clone() })
+        Arc::new(VmFacts {
+            room,
+            draining,
+            rack,
+            ..vm(&self.name, self.incarnation).as_ref().clone()
+        })
     }
 
-    /// Returns whether its entry stands, also for a while after it has gone.
+    /// Returns whether the VM is listed, which it stays for a while after it is gone.
     pub fn is_listed(&self, now: Ms) -> bool {
-        self.state == State::Up || now < self.heard + 4_500
+        self.state == State::Up || now < self.last_contact + 4_500
     }
 
     pub fn answers(&self, now: Ms) -> bool {
         !matches!(self.state, State::Down(_)) && now >= self.cut_until
     }
 
-    pub fn crash(&mut self, now: Ms, away: Ms, dark: bool) {
+    pub fn crash(&mut self, now: Ms, downtime: Ms, unresponsive: bool) {
         if !matches!(self.state, State::Down(_)) {
-            self.state = State::Down(now + away);
-            self.dark = dark;
+            self.state = State::Down(now + downtime);
+            self.unresponsive = unresponsive;
             self.runs.clear();
             self.ended.clear();
         }
@@ -97,17 +102,17 @@
         }
     }
 
-    /// Comes up as another incarnation if it is time to.
-    pub fn come_back(&mut self, now: Ms) -> bool {
+    /// Restarts the VM as another incarnation if that is due, and returns whether it did.
+    pub fn restart_if_due(&mut self, now: Ms) -> bool {
         if matches!(self.state, State::Leaving(until) if now >= until) {
             self.crash(now, 1_500, false);
         }
         if !matches!(self.state, State::Down(until) if now >= until) {
             return false;
         }
-        self.life += 1;
-        (self.state, self.heard, self.given_up) = (State::Up, now, false);
-        (self.crashed_by_task, self.dark, self.sequence) = (false, false, 0);
+        self.incarnation += 1;
+        (self.state, self.last_contact, self.is_lost) = (State::Up, now, false);
+        (self.crashed_by_task, self.unresponsive, self.sequence) = (false, false, 0);
         true
     }
 
@@ -118,15 +123,15 @@
         assert!(used <= self.facts().room.cpu, "{} is over its room at {now}", self.name);
     }
 
-    /// Ends what is done, and everything once the lease is over.
+    /// Ends the runs that are done, and all runs once the lease has expired.
     pub fn end_runs(&mut self, now: Ms) {
-        if self.cut_until > now && now >= self.heard + LEASE {
+        if self.cut_until > now && now >= self.last_contact + LEASE {
             let lapsed: Vec<TaskId> = self.runs.keys().copied().collect();
             lapsed.into_iter().for_each(|task| self.end(task, EndKind::Lapsed));
         }
-        let over = self.runs.iter().filter(|(_, run)| run.ends_at <= now);
-        let over: Vec<TaskId> = over.map(|(&task, _)| task).collect();
-        over.into_iter().for_each(|task| self.end(task, EndKind::Done));
+        let finished = self.runs.iter().filter(|(_, run)| run.ends_at <= now);
+        let finished: Vec<TaskId> = finished.map(|(&task, _)| task).collect();
+        finished.into_iter().for_each(|task| self.end(task, EndKind::Done));
     }
 
     pub fn end(&mut self, task: TaskId, kind: EndKind) {
@@ -142,10 +147,10 @@
             row(RunId { task, attempt: run.attempt }, 100)
         };
         let running = self.runs.iter().map(row).collect();
-        VmReport { asked_at: now, running, ended: self.ended.clone() }
+        VmReport { requested_at: now, running, ended: self.ended.clone() }
     }
 
-    /// Returns the core-milliseconds that other jobs' tasks have worked there.
+    /// Returns the core-milliseconds that tasks of other jobs have run on the VM.
     pub fn work_of_others(&self, task: TaskId, now: Ms) -> u64 {
         let others = self.runs.iter().filter(|(other, _)| other.job != task.job);
         others.map(|(_, run)| (now - run.started) * u64::from(run.cpu) / 1_000).sum()
--- a/crates/schedule/tests/link_world/mod.rs
+++ b/crates/schedule/tests/link_world/mod.rs
@@ -1,10 +1,10 @@
-//! A pool's schedule, links and VMs with calls that take their time: each call is sent, arrives, is carried out and
-//! answered on its own, and the owner takes in what it is told, decides, writes and orders one after the other.
+//! A pool's schedule, links and VMs with calls that take time: each call is sent, delivered, carried out and answered
+//! separately, and the owner applies events, plans, writes records and sends orders one after the other.
 
+mod faults;
 mod link;
 mod machines;
 mod owner;
-mod trouble;
 #[path = "../world/twice.rs"]
 mod twice;
 mod vm;
@@ -17,108 +17,109 @@
 use thistle_schedule::job_log::{
     Version, cancel_key, encode, encode_progress, progress_key, submit_key,
 };
-use thistle_schedule::ownership::{Claim, NodeLife, Ownership};
+use thistle_schedule::ownership::{Claim, NodeIncarnation, Ownership};
 use thistle_schedule::pool::{Order, StartOrder, StartResult};
 use thistle_schedule::{
     EndKind, JobId, JobLog, Ms, Phase, Pool, Progress, Repeats, Room, RunEnd, RunId, Step, TaskId,
-    VmFacts, VmLife, VmLoss, VmReport,
+    VmFacts, VmIncarnation, VmLoss, VmReport,
 };
 
 use self::link::Link;
-use self::twice::{Given, Runs};
-use self::vm::{Answer, Call, Run, SimVm, Way};
+use self::twice::{OrderSource, Runs};
+use self::vm::{Answer, Call, PathState, Run, SimVm};
 use crate::common::{WALL, at, job, step, vm as vm_facts};
 
 const TICK: Ms = 10;
 const LEASE: Ms = 6_000;
-/// Runs on VMs to which there is no link are surely over after this.
-const ORPHANS_OVER: Ms = LEASE * 103 / 100 + 200;
-/// An owner looks at its schedule at least so often.
-const LOOK_EVERY: Ms = 50;
+/// The time after which all runs on a VM without a link have ended for certain.
+const ORPHAN_TIMEOUT: Ms = LEASE * 103 / 100 + 200;
+/// The longest time between two plans of an owner.
+const PLAN_INTERVAL: Ms = 50;
 
-/// What happens beside cuts, crashes, lost answers and changes of owner.
+/// Faults that are injected in addition to cuts, crashes, lost answers and changes of owner.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Troubles {
-    /// VMs reject what does not fit, and have less for a while than they tell.
-    pub room_is_guarded: bool,
+pub struct Faults {
+    /// VMs reject starts that do not fit, and for a while have less room than they report.
+    pub room_is_enforced: bool,
     /// Calls without an answer are carried out up to 12 s later.
     pub late_copies: bool,
-    /// The store takes up to 12 s: what the owner is told waits, and what it decided goes out, so late.
+    /// The store takes up to 12 s, which delays the owner's events and decisions by as much.
     pub slow_store: bool,
-    /// Owners end by themselves and are begun again by their nodes.
-    pub owners_end: bool,
+    /// Owners end on their own and are restarted by their nodes.
+    pub owners_restart: bool,
     /// VMs are unlisted for a while and listed again.
-    pub listing_lapses: bool,
-    /// The room that VMs tell shrinks and grows.
+    pub vms_are_unlisted: bool,
+    /// The room that VMs report shrinks and grows.
     pub rooms_shrink: bool,
-    /// VMs that crash start again under their IDs, a moment or seconds later, at times with a clock that has been set back.
+    /// VMs that crash restart under their IDs, a moment or seconds later, at times with a clock that was set back.
     pub ids_are_kept: bool,
 }
 
-/// What the owner is told.
+/// An event that the owner applies.
 #[derive(Clone, Debug)]
 pub enum Event {
-    Report(VmLife, VmReport),
-    Started(VmLife, RunId, StartResult),
-    Stopped(VmLife, RunId),
-    Reachable(VmLife, bool),
-    Lost(VmLife, VmLoss),
-    Restarted(VmLife, VmLife),
+    Report(VmIncarnation, VmReport),
+    Started(VmIncarnation, RunId, StartResult),
+    Stopped(VmIncarnation, RunId),
+    Reachable(VmIncarnation, bool),
+    Lost(VmIncarnation, VmLoss),
+    Restarted(VmIncarnation, VmIncarnation),
 }
 
-/// A call on its way to a VM, or waiting there for an end.
+/// A call in flight to a VM, or held there until a run ends.
 #[derive(Clone, Debug)]
 struct Message {
     id: u64,
     arrives: Ms,
     sent: Ms,
-    vm: VmLife,
+    vm: VmIncarnation,
     token: u64,
     call: Call,
+    /// Whether the answer reaches the owner.
     answered: bool,
-    /// It has arrived and waits for an end until then.
+    /// The call has arrived and is held until a run ends, at most until this time.
     waits_until: Option<Ms>,
-    /// The VM has it and carries it out late, unless it crashes before.
-    at_vm: bool,
+    /// The VM has received the call and carries it out late, unless the VM crashes first.
+    queued_at_vm: bool,
 }
 
-/// What was decided and is being written.
-struct Decided {
+/// A plan whose records are being written.
+struct PendingWrite {
     until: Ms,
     records: Vec<(JobId, Progress)>,
-    acks: Vec<(VmLife, u64)>,
+    acks: Vec<(VmIncarnation, u64)>,
     orders: Vec<Order>,
 }
 
 pub struct World {
     pub rng: StdRng,
     pub now: Ms,
-    troubles: Troubles,
+    faults: Faults,
     vms: BTreeMap<String, SimVm>,
     messages: Vec<Message>,
     answers: Vec<(Ms, u64, Answer)>,
     next_call: u64,
-    /// By the VMs' IDs.
+    /// Links by VM ID.
     links: BTreeMap<Arc<str>, Link>,
     links_opened: u64,
     events: Vec<Event>,
-    orphans: BTreeMap<VmLife, Ms>,
-    writing: Option<Decided>,
-    looked_at: Ms,
+    orphans: BTreeMap<VmIncarnation, Ms>,
+    pending_write: Option<PendingWrite>,
+    planned_at: Ms,
     log: JobLog,
-    /// What the owner's node knows of who owns the pool.
+    /// The ownership of the pool as the owner's node knows it.
     ownership: Ownership,
-    shard: Arc<str>,
+    pool_name: Arc<str>,
     token: u64,
-    number: u64,
+    record_number: u64,
     pool: Pool,
     steps: BTreeMap<JobId, Vec<Step>>,
     /// Jobs with repetitions.
-    repeat: BTreeSet<JobId>,
+    repeating: BTreeSet<JobId>,
     done: BTreeSet<TaskId>,
     failures: BTreeMap<TaskId, u32>,
     runs: Runs,
-    loud: bool,
+    verbose: bool,
 }
 
 fn room() -> Room {
@@ -126,11 +127,11 @@
 }
 
 impl World {
-    pub fn new(seed: u64, troubles: Troubles) -> Self {
+    pub fn new(seed: u64, faults: Faults) -> Self {
         let mut world = Self {
             rng: StdRng::seed_from_u64(seed),
             now: 0,
-            troubles,
+            faults,
             vms: BTreeMap::new(),
             messages: Vec::new(),
             answers: Vec::new(),
@@ -139,20 +140,20 @@
             links_opened: 0,
             events: Vec::new(),
             orphans: BTreeMap::new(),
-            writing: None,
-            looked_at: 0,
+            pending_write: None,
+            planned_at: 0,
             log: JobLog::default(),
-            ownership: Ownership::new(NodeLife { name: "a".to_owned(), life: 1 }, 0),
-            shard: "desk".into(),
+            ownership: Ownership::new(NodeIncarnation { name: "a".to_owned(), incarnation: 1 }, 0),
+            pool_name: "desk".into(),
             token: 0,
-            number: 0,
+            record_number: 0,
             pool: Pool::new(),
             steps: BTreeMap::new(),
-            repeat: BTreeSet::new(),
+            repeating: BTreeSet::new(),
             done: BTreeSet::new(),
             failures: BTreeMap::new(),
             runs: Runs::default(),
-            loud: std::env::var_os("THISTLE_SEED").is_some(),
+            verbose: std::env::var_os("THISTLE_SEED").is_some(),
         };
         for name in ["a", "b", "c", "d"] {
             let vm = world.new_vm(name, 1);
@@ -162,8 +163,8 @@
         world
     }
 
-    fn tell(&self, what: impl FnOnce() -> String) {
-        if self.loud {
+    fn trace(&self, what: impl FnOnce() -> String) {
+        if self.verbose {
             println!("{} {}", self.now, what());
         }
     }
@@ -180,7 +181,7 @@
         let mut spec = job(steps).as_ref().clone();
         if self.rng.random_bool(0.15) {
             let start_at_ms = WALL + self.now + self.rng.random_range(0..500);
-            self.repeat.insert(id);
+            self.repeating.insert(id);
             spec.repeats = Some(Repeats { count: 2, start_at_ms, interval_ms: 700 });
         }
         let spec = encode(&spec);
@@ -195,12 +196,12 @@
         self.pool.cancel(id, at(self.now));
     }
 
-    pub fn tick(&mut self, calm: bool) {
+    pub fn tick(&mut self, fault_free: bool) {
         self.now += TICK;
         self.run_vms();
         self.deliver();
         self.run_links();
-        self.own(calm);
+        self.run_owner(fault_free);
     }
 
     fn run_links(&mut self) {
@@ -212,7 +213,7 @@
         let mut events = std::mem::take(&mut self.events);
         for (_, call, answer) in due {
             for link in links.values_mut() {
-                link.take(call, Some(answer.clone()), now, &mut events);
+                link.handle_answer(call, Some(answer.clone()), now, &mut events);
             }
         }
         for link in links.values_mut() {
@@ -222,18 +223,19 @@
         (self.links, self.events) = (links, events);
     }
 
-    /// Sends a call; what becomes of it depends on the way to its VM.
-    fn send(&mut self, vm: &VmLife, token: u64, call: Call) -> u64 {
+    /// Sends a call. Its delivery and its answer depend on the path to the VM.
+    fn send(&mut self, vm: &VmIncarnation, token: u64, call: Call) -> u64 {
         self.next_call += 1;
-        let way = self.vms.values().find(|v| v.id.id() == vm.id()).map_or(Way::Clear, |v| v.way);
-        let late = way == Way::Late && self.rng.random_bool(0.5);
-        let delay = match way {
+        let path =
+            self.vms.values().find(|v| v.id.id() == vm.id()).map_or(PathState::Clear, |v| v.path);
+        let late = path == PathState::Late && self.rng.random_bool(0.5);
+        let delay = match path {
             _ if late => self.rng.random_range(100..12_000),
-            Way::Slow => self.rng.random_range(0..300),
+            PathState::Slow => self.rng.random_range(0..300),
             _ => 0,
         };
-        let answered = !late && way != Way::AnswersLost;
-        if way != Way::Cut {
+        let answered = !late && path != PathState::AnswersLost;
+        if path != PathState::Cut {
             self.messages.push(Message {
                 id: self.next_call,
                 arrives: self.now + delay,
@@ -243,7 +245,7 @@
                 call,
                 answered,
                 waits_until: None,
-                at_vm: late,
+                queued_at_vm: late,
             });
         }
         self.next_call
@@ -255,7 +257,7 @@
             std::mem::take(&mut self.messages).into_iter().partition(|m| m.arrives <= now);
         self.messages = later;
         for message in due {
-            self.arrive(message);
+            self.handle_call(message);
         }
     }
 
--- a/crates/schedule/tests/link_world/vm.rs
+++ b/crates/schedule/tests/link_world/vm.rs
@@ -1,9 +1,9 @@
-//! A VM that answers calls as the platform's pages say, with a clock of its own.
+//! A VM that answers calls as the platform specifies, with a clock of its own.
 
 use std::collections::BTreeMap;
 
 use thistle_schedule::pool::StartOrder;
-use thistle_schedule::{EndKind, Ms, Room, RunEnd, RunId, TaskId, VmLife};
+use thistle_schedule::{EndKind, Ms, Room, RunEnd, RunId, TaskId, VmIncarnation};
 
 use super::LEASE;
 
@@ -17,8 +17,8 @@
 #[derive(Clone, Debug)]
 pub enum Answer {
     Held {
-        /// The life that answers.
-        life: VmLife,
+        /// The incarnation that answers.
+        incarnation: VmIncarnation,
         clock: u64,
         running: Vec<RunId>,
         ended: Vec<RunEnd>,
@@ -29,7 +29,7 @@
     NoRoom,
     Stopped,
     Fenced,
-    /// It has done nothing.
+    /// The VM has not carried out the call.
     Unhealthy,
     /// Another incarnation answers.
     Gone,
@@ -43,72 +43,78 @@
     pub demand: Room,
 }
 
-/// What calls to a VM meet.
+/// The state of the path to a VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
+pub enum PathState {
     #[default]
     Clear,
-    /// Nothing arrives.
+    /// No call arrives.
     Cut,
-    /// Calls are carried out and the answers are lost.
+    /// Calls are carried out, but their answers are lost.
     AnswersLost,
     /// Every second call has no answer and is carried out up to 12 s later.
     Late,
-    /// It turns calls away.
+    /// The VM rejects calls.
     Unhealthy,
-    /// Calls and answers take up to 0.3 s each, and pass each other.
+    /// Calls and answers take up to 0.3 s each and may overtake each other.
     Slow,
 }
 
 #[derive(Debug)]
 pub struct SimVm {
-    pub id: VmLife,
-    pub life: u32,
-    pub born: Ms,
-    /// Its clock's speed, in thousandths.
+    pub id: VmIncarnation,
+    pub incarnation: u32,
+    pub started_at: Ms,
+    /// The speed of the VM's clock, in thousandths.
     pub speed: u64,
     pub fence: u64,
     pub room: Room,
-    /// It rejects what does not fit.
-    pub guards_room: bool,
-    /// What it has by its own reckoning, which may be less than what it tells for a while.
-    pub has: Room,
+    /// Whether the VM rejects starts that do not fit.
+    pub enforces_room: bool,
+    /// The room that the VM has, which may be less for a while than the room that it reports.
+    pub actual_room: Room,
     pub runs: BTreeMap<TaskId, Run>,
     pub barred: BTreeMap<TaskId, u32>,
-    /// Ends, each with the time from which it is listed.
+    /// Ends that the VM lists until they are acknowledged.
     pub ended: Vec<RunEnd>,
     pub next_end: u64,
-    /// Ends up to this number were listed before the lease ran out, and do not count when they are acknowledged later.
+    /// Ends up to this number were listed before the lease expired and do not count when they are acknowledged later.
     pub void_up_to: u64,
-    /// Until when all is leased, by its clock.
+    /// The time by the VM's clock at which the lease of its runs expires.
     pub leased_until: u64,
-    pub way: Way,
-    pub way_until: Ms,
-    /// It has crashed, and starts again then.
+    pub path: PathState,
+    pub path_until: Ms,
+    /// The time at which the VM restarts after a crash, if it is down.
     pub down_until: Option<Ms>,
     pub listed: bool,
     pub listed_again_at: Ms,
 }
 
 impl SimVm {
-    pub fn new(id: VmLife, life: u32, room: Room, speed: u64, born: Ms) -> Self {
+    pub fn new(
+        id: VmIncarnation,
+        incarnation: u32,
+        room: Room,
+        speed: u64,
+        started_at: Ms,
+    ) -> Self {
         Self {
             id,
-            life,
-            born,
+            incarnation,
+            started_at,
             speed,
             fence: 0,
             room,
-            guards_room: false,
-            has: room,
+            enforces_room: false,
+            actual_room: room,
             runs: BTreeMap::new(),
             barred: BTreeMap::new(),
             ended: Vec::new(),
             next_end: 1,
             void_up_to: 0,
             leased_until: 0,
-            way: Way::Clear,
-            way_until: 0,
+            path: PathState::Clear,
+            path_until: 0,
             down_until: None,
             listed: true,
             listed_again_at: 0,
@@ -116,7 +122,7 @@
     }
 
     pub fn clock(&self, now: Ms) -> u64 {
-        now.saturating_sub(self.born) * self.speed / 1_000
+        now.saturating_sub(self.started_at) * self.speed / 1_000
     }
 
     pub fn renew(&mut self, deadline: u64, now: Ms) {
@@ -132,7 +138,7 @@
         *barred = run.attempt.max(*barred);
     }
 
-    /// Ends a run, and returns the number of the end.
+    /// Ends a run and returns the sequence number of the end.
     pub fn end(&mut self, run: RunId, kind: EndKind) -> u64 {
         self.runs.remove(&run.task);
         self.bar(run);
@@ -143,33 +149,34 @@
         sequence
     }
 
-    pub fn lists_an_end(&self) -> bool {
+    pub fn has_listed_ends(&self) -> bool {
         !self.ended.is_empty()
     }
 
-    /// Both lists.
-    pub fn held(&self, now: Ms) -> Answer {
+    /// Returns the answer to a hold request, with the lists of running and ended runs.
+    pub fn hold_answer(&self, now: Ms) -> Answer {
         let running = self.runs.iter().map(|(&task, r)| RunId { task, attempt: r.attempt });
         Answer::Held {
-            life: self.id.clone(),
+            incarnation: self.id.clone(),
             clock: self.clock(now),
             running: running.collect(),
             ended: self.ended.clone(),
         }
     }
 
-    /// What it answers to a start, none if it begins the run.
-    pub fn refuses(&self, run: RunId, deadline: u64, demand: Room, now: Ms) -> Option<Answer> {
+    /// Returns the answer to a start that begins no new run, or `None` if the run begins.
+    pub fn refusal(&self, run: RunId, deadline: u64, demand: Room, now: Ms) -> Option<Answer> {
         if deadline < self.clock(now) {
             return Some(Answer::Late);
         }
-        let there = self.runs.get(&run.task).map(|r| r.attempt);
-        if there == Some(run.attempt) {
+        let running = self.runs.get(&run.task).map(|r| r.attempt);
+        if running == Some(run.attempt) {
             return Some(Answer::Started);
         }
-        if there.is_some() || self.barred.get(&run.task).is_some_and(|&b| run.attempt <= b) {
+        if running.is_some() || self.barred.get(&run.task).is_some_and(|&b| run.attempt <= b) {
             return Some(Answer::Old);
         }
-        (self.guards_room && !self.has.holds(self.used().plus(demand))).then_some(Answer::NoRoom)
+        (self.enforces_room && !self.actual_room.fits(self.used().plus(demand)))
+            .then_some(Answer::NoRoom)
     }
 }
