--- a/crates/schedule/tests/ownership.rs
+++ b/crates/schedule/tests/ownership.rs
@@ -1,42 +1,42 @@
-//! Who claims a pool, and when.
+//! Claims of pools: which node claims a pool, and when; and the leases of tasks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use googletest::prelude::*;
 use thistle_schedule::ownership::{
-    Claim, Heartbeat, NodeLife, OWNER_LEASE_MS, Ownership, SILENCE_MS,
+    Claim, Heartbeat, NodeIncarnation, OWNER_LEASE_MS, Ownership, UNRESPONSIVE_MS,
 };
 use thistle_schedule::{Ms, TaskLease};
 
-fn node(name: &str, life: u64) -> NodeLife {
-    NodeLife { name: name.to_owned(), life }
+fn node(name: &str, incarnation: u64) -> NodeIncarnation {
+    NodeIncarnation { name: name.to_owned(), incarnation }
 }
 
-fn beat(life: u64, sequence: u64) -> Heartbeat {
-    Heartbeat { life, sequence, leaving: false, relay: None, speed: 0 }
+fn heartbeat(incarnation: u64, sequence: u64) -> Heartbeat {
+    Heartbeat { incarnation, sequence, leaving: false, relay: None, speed: 0 }
 }
 
-fn claim(name: &str, life: u64) -> Claim {
-    Claim { owner: node(name, life), released: false }
+fn claim(name: &str, incarnation: u64) -> Claim {
+    Claim { owner: node(name, incarnation), released: false }
 }
 
 fn pools(names: &[&str]) -> Vec<Arc<str>> {
     names.iter().map(|n| Arc::from(*n)).collect()
 }
 
-/// Returns what a node that has listened all the time claims.
-fn claims_of(view: &mut Ownership, names: &[&str], now: Ms) -> Vec<Arc<str>> {
-    view.listen(now);
-    wanted(view, names, now)
+/// Returns the claims of a node that has just read the heartbeats.
+fn claims_after_read(view: &mut Ownership, names: &[&str], now: Ms) -> Vec<Arc<str>> {
+    view.record_read(now);
+    claims_now(view, names, now)
 }
 
-fn wanted(view: &mut Ownership, names: &[&str], now: Ms) -> Vec<Arc<str>> {
+fn claims_now(view: &mut Ownership, names: &[&str], now: Ms) -> Vec<Arc<str>> {
     view.to_claim(pools(names).iter(), now)
 }
 
 #[gtest]
-fn new_nodes_share_pools_that_nobody_had() {
+fn new_nodes_share_unowned_pools_evenly() {
     let mut claimed = [0; 3];
     let mut views: Vec<Ownership> =
         (0..3).map(|i| Ownership::new(node(&format!("n{i}"), 1), 0)).collect();
@@ -45,16 +45,16 @@
         let now = 900 + round * 100;
         for view in &mut views {
             for i in 0..3 {
-                view.heard(&format!("n{i}"), &beat(1, round + 1), now);
+                view.record_heartbeat(&format!("n{i}"), &heartbeat(1, round + 1), now);
             }
         }
         for i in 0..3 {
-            let Some(pool) = claims_of(&mut views[i], &names, now).first().cloned() else {
+            let Some(pool) = claims_after_read(&mut views[i], &names, now).first().cloned() else {
                 continue;
             };
             claimed[i] += 1;
             for view in &mut views {
-                view.claimed(&pool, claim(&format!("n{i}"), 1), round * 10 + i as u64, now);
+                view.record_claim(&pool, claim(&format!("n{i}"), 1), round * 10 + i as u64, now);
             }
         }
     }
@@ -63,236 +63,235 @@
 }
 
 #[gtest]
-fn a_silent_owner_keeps_its_pool_for_longer_than_its_lease() {
+fn an_unresponsive_owner_keeps_its_pool_for_longer_than_its_lease() {
     let mut view = Ownership::new(node("b", 1), 0);
-    view.heard("b", &beat(1, 1), 0);
-    view.heard("a", &beat(1, 1), 1_000);
-    view.claimed(&"desk".into(), claim("a", 1), 0, 900);
+    view.record_heartbeat("b", &heartbeat(1, 1), 0);
+    view.record_heartbeat("a", &heartbeat(1, 1), 1_000);
+    view.record_claim(&"desk".into(), claim("a", 1), 0, 900);
     for now in [1_000, 2_000, 3_000] {
-        view.listen(now);
+        view.record_read(now);
     }
-    expect_that!(wanted(&mut view, &["desk"], 1_000 + OWNER_LEASE_MS), is_empty());
-    view.heard("b", &beat(1, 2), 1_000 + SILENCE_MS);
-    view.listen(1_000 + SILENCE_MS);
-    expect_that!(wanted(&mut view, &["desk"], 1_000 + SILENCE_MS), len(eq(1)));
+    expect_that!(claims_now(&mut view, &["desk"], 1_000 + OWNER_LEASE_MS), is_empty());
+    view.record_heartbeat("b", &heartbeat(1, 2), 1_000 + UNRESPONSIVE_MS);
+    view.record_read(1_000 + UNRESPONSIVE_MS);
+    expect_that!(claims_now(&mut view, &["desk"], 1_000 + UNRESPONSIVE_MS), len(eq(1)));
 }
 
 #[gtest]
-fn silence_counts_anew_after_this_node_could_not_listen() {
+fn owner_timeouts_restart_after_this_node_could_not_read() {
     let mut view = Ownership::new(node("b", 1), 0);
-    view.heard("a", &beat(1, 1), 1_000);
-    view.claimed(&"desk".into(), claim("a", 1), 0, 900);
-    view.listen(9_000);
-    expect_that!(wanted(&mut view, &["desk"], 9_100), is_empty());
+    view.record_heartbeat("a", &heartbeat(1, 1), 1_000);
+    view.record_claim(&"desk".into(), claim("a", 1), 0, 900);
+    view.record_read(9_000);
+    expect_that!(claims_now(&mut view, &["desk"], 9_100), is_empty());
     for now in [10_000, 11_000, 12_000] {
-        view.listen(now);
+        view.record_read(now);
     }
-    expect_that!(wanted(&mut view, &["desk"], 12_000), len(eq(1)));
+    expect_that!(claims_now(&mut view, &["desk"], 12_000), len(eq(1)));
 }
 
-/// Trasteo Listo trouble-1, 11.6 s: a node that the store had turned away for nine seconds looked
-/// for silent owners before it had read their heartbeats, and took all pools.
+/// A node that the store refused for some seconds must read the missed heartbeats
+/// before it looks for unresponsive owners. Otherwise it claims all pools.
 #[gtest]
-fn a_node_that_has_not_listened_lately_claims_nothing() {
+fn a_node_without_recent_reads_claims_nothing() {
     let mut view = Ownership::new(node("b", 1), 0);
-    view.listen(1_000);
-    view.heard("a", &beat(1, 1), 1_000);
-    view.claimed(&"desk".into(), claim("a", 1), 0, 900);
-    expect_that!(wanted(&mut view, &["desk"], 9_000), is_empty());
+    view.record_read(1_000);
+    view.record_heartbeat("a", &heartbeat(1, 1), 1_000);
+    view.record_claim(&"desk".into(), claim("a", 1), 0, 900);
+    expect_that!(claims_now(&mut view, &["desk"], 9_000), is_empty());
 }
 
 #[gtest]
-fn a_restarted_owner_takes_its_pool_back_at_once() {
+fn a_restarted_owner_reclaims_its_pool_at_once() {
     let mut view = Ownership::new(node("a", 2), 5_000);
-    view.claimed(&"desk".into(), claim("a", 1), 0, 5_010);
-    expect_that!(claims_of(&mut view, &["desk"], 5_020), len(eq(1)));
+    view.record_claim(&"desk".into(), claim("a", 1), 0, 5_010);
+    expect_that!(claims_after_read(&mut view, &["desk"], 5_020), len(eq(1)));
 }
 
 #[gtest]
-fn a_pool_that_was_given_up_is_taken_at_once_by_one_node() {
+fn a_released_pool_is_claimed_at_once_by_one_node() {
     let mut views = [Ownership::new(node("a", 1), 0), Ownership::new(node("b", 1), 0)];
     let released = Claim { owner: node("c", 1), released: true };
     let mut first = 0;
     for view in &mut views {
-        view.heard("a", &beat(1, 1), 2_000);
-        view.heard("b", &beat(1, 1), 2_000);
-        view.claimed(&"desk".into(), claim("c", 1), 0, 1_000);
-        view.claimed(&"desk".into(), released.clone(), 1, 2_000);
-        first += claims_of(view, &["desk"], 2_010).len();
+        view.record_heartbeat("a", &heartbeat(1, 1), 2_000);
+        view.record_heartbeat("b", &heartbeat(1, 1), 2_000);
+        view.record_claim(&"desk".into(), claim("c", 1), 0, 1_000);
+        view.record_claim(&"desk".into(), released.clone(), 1, 2_000);
+        first += claims_after_read(view, &["desk"], 2_010).len();
     }
     expect_that!(first, eq(1));
 }
 
 #[gtest]
-fn a_late_giving_up_by_a_former_owner_changes_nothing() {
+fn a_late_release_by_a_previous_owner_changes_nothing() {
     let mut view = Ownership::new(node("b", 1), 0);
-    view.claimed(&"desk".into(), claim("a", 1), 0, 100);
-    view.claimed(&"desk".into(), claim("b", 1), 1, 200);
+    view.record_claim(&"desk".into(), claim("a", 1), 0, 100);
+    view.record_claim(&"desk".into(), claim("b", 1), 1, 200);
     let late = Claim { owner: node("a", 1), released: true };
-    view.claimed(&"desk".into(), late, 2, 300);
+    view.record_claim(&"desk".into(), late, 2, 300);
     expect_that!(view.my_token("desk"), some(eq(2)));
 }
 
 #[gtest]
-fn tokens_rise_and_an_older_claim_is_no_news() {
+fn tokens_increase_and_an_older_claim_is_ignored() {
     let mut view = Ownership::new(node("a", 1), 0);
-    view.claimed(&"desk".into(), claim("a", 1), 7, 100);
-    view.claimed(&"desk".into(), claim("b", 1), 3, 200);
+    view.record_claim(&"desk".into(), claim("a", 1), 7, 100);
+    view.record_claim(&"desk".into(), claim("b", 1), 3, 200);
     expect_that!(view.my_token("desk"), some(eq(8)));
-    view.claimed(&"desk".into(), claim("b", 1), 9, 300);
+    view.record_claim(&"desk".into(), claim("b", 1), 9, 300);
     expect_that!(view.my_token("desk"), none());
 }
 
 #[gtest]
-fn a_lease_of_unknown_origin_is_over_after_its_full_length_on_a_slow_clock() {
+fn a_lease_of_unknown_start_expires_after_its_full_length_on_a_slow_clock() {
     let lease = TaskLease::new(6_000, 1_000);
-    expect_that!(lease.is_over(7_100), eq(false));
-    expect_that!(lease.is_over(7_300), eq(true));
+    expect_that!(lease.is_expired(7_100), eq(false));
+    expect_that!(lease.is_expired(7_300), eq(true));
 }
 
 #[gtest]
-fn a_lease_given_on_an_old_reading_of_the_clock_is_bounded_from_that_reading() {
+fn a_lease_granted_on_an_old_clock_reading_is_bounded_from_that_reading() {
     let mut lease = TaskLease::new(6_000, 0);
-    expect_that!(lease.give(10), none());
-    lease.read_clock(500_000, 100);
-    expect_that!(lease.give(1_100), some(eq(507_000)));
+    expect_that!(lease.grant(10), none());
+    lease.record_clock(500_000, 100);
+    expect_that!(lease.grant(1_100), some(eq(507_000)));
     // The VM's clock may have run 2% slow since the reading: 7,000 of its ms take 7,143 of ours.
-    expect_that!(lease.is_over(100 + 7_143), eq(false));
-    expect_that!(lease.is_over(100 + 7_143 + 200), eq(true));
+    expect_that!(lease.is_expired(100 + 7_143), eq(false));
+    expect_that!(lease.is_expired(100 + 7_143 + 200), eq(true));
 }
 
 #[gtest]
-fn an_owner_whose_heartbeats_go_elsewhere_is_not_silent() {
+fn an_owner_with_heartbeats_in_the_fallback_partition_is_responsive() {
     let mut view = Ownership::new(node("b", 1), 0);
-    view.claimed(&"desk".into(), claim("a", 1), 0, 900);
-    view.heard("a", &beat(1, 1), 1_000);
-    expect_that!(view.has_quiet_owner(1_500), eq(false));
-    expect_that!(view.has_quiet_owner(2_000), eq(true));
+    view.record_claim(&"desk".into(), claim("a", 1), 0, 900);
+    view.record_heartbeat("a", &heartbeat(1, 1), 1_000);
+    expect_that!(view.has_overdue_owner(1_500), eq(false));
+    expect_that!(view.has_overdue_owner(2_000), eq(true));
     for (now, sequence) in [(2_000, 2), (3_000, 3), (4_000, 4), (5_000, 5)] {
-        view.listen(now);
-        view.heard_aside("a", &beat(1, sequence), now);
-        expect_that!(wanted(&mut view, &["desk"], now), is_empty());
+        view.record_read(now);
+        view.record_fallback_heartbeat("a", &heartbeat(1, sequence), now);
+        expect_that!(claims_now(&mut view, &["desk"], now), is_empty());
     }
-    // An old word of an earlier life says nothing.
-    view.heard_aside("a", &beat(9, 90), 5_500);
-    view.listen(6_000);
-    view.listen(7_000);
-    expect_that!(wanted(&mut view, &["desk"], 7_600), is_empty());
-    view.listen(7_700);
-    expect_that!(wanted(&mut view, &["desk"], 7_700), len(eq(1)));
+    // A late heartbeat of another incarnation does not count.
+    view.record_fallback_heartbeat("a", &heartbeat(9, 90), 5_500);
+    view.record_read(6_000);
+    view.record_read(7_000);
+    expect_that!(claims_now(&mut view, &["desk"], 7_600), is_empty());
+    view.record_read(7_700);
+    expect_that!(claims_now(&mut view, &["desk"], 7_700), len(eq(1)));
 }
 
 #[gtest]
-fn silence_counts_anew_when_not_all_heartbeats_can_be_read() {
+fn owner_timeouts_restart_when_not_all_heartbeats_can_be_read() {
     let mut view = Ownership::new(node("b", 1), 0);
-    view.claimed(&"desk".into(), claim("a", 1), 0, 900);
-    view.heard("a", &beat(1, 1), 1_000);
+    view.record_claim(&"desk".into(), claim("a", 1), 0, 900);
+    view.record_heartbeat("a", &heartbeat(1, 1), 1_000);
     for now in [1_000, 2_000, 3_000] {
-        view.listen(now);
-        view.forgive_silence(now);
+        view.record_read(now);
+        view.reset_timeouts(now);
     }
-    view.listen(4_000);
-    expect_that!(wanted(&mut view, &["desk"], 4_000), is_empty());
+    view.record_read(4_000);
+    expect_that!(claims_now(&mut view, &["desk"], 4_000), is_empty());
 }
 
-/// Trasteo Listo, hunt seed 773173945759 (LOST): starts that had queued up for a VM that had gone dark
-/// were tried one after the other, each with a new lease, and its lasting tasks counted as running for
-/// nine seconds more.
+/// Starts queued for an unresponsive VM are tried one after the other. None of them may be granted a new lease,
+/// as the lasting tasks of the VM would then count as running for seconds longer.
 #[gtest]
-fn a_vm_that_does_not_answer_gets_no_new_lease() {
+fn an_unresponsive_vm_is_granted_no_new_lease() {
     let mut lease = TaskLease::new(6_000, 0);
-    lease.read_clock(50_000, 1_000);
-    expect_that!(lease.give(1_000), some(eq(56_000)));
-    lease.set_silent();
+    lease.record_clock(50_000, 1_000);
+    expect_that!(lease.grant(1_000), some(eq(56_000)));
+    lease.set_unresponsive();
     for now in [2_000, 4_000, 6_000] {
-        expect_that!(lease.give(now), none());
+        expect_that!(lease.grant(now), none());
     }
-    expect_that!(lease.is_over(7_300), eq(true));
-    lease.read_clock(58_000, 9_000);
-    expect_that!(lease.give(9_000), some(eq(64_000)));
+    expect_that!(lease.is_expired(7_300), eq(true));
+    lease.record_clock(58_000, 9_000);
+    expect_that!(lease.grant(9_000), some(eq(64_000)));
 }
 
 #[gtest]
-fn nodes_that_compute_slowly_leave_pools_to_faster_ones() {
+fn slow_nodes_leave_pools_to_faster_ones() {
     let mut views: Vec<Ownership> =
         ["a", "b", "c"].map(|name| Ownership::new(node(name, 1), 0)).into();
     let speeds = [("a", 250), ("b", 1_000), ("c", 900)];
     let mut claimed: Vec<(&str, usize)> = Vec::new();
     for view in &mut views {
         for (name, speed) in speeds {
-            view.heard(name, &Heartbeat { speed, ..beat(1, 1) }, 900);
+            view.record_heartbeat(name, &Heartbeat { speed, ..heartbeat(1, 1) }, 900);
         }
     }
     for (i, (name, _)) in speeds.into_iter().enumerate() {
-        let wanted = claims_of(&mut views[i], &["p", "q", "r"], 1_000);
-        claimed.push((name, wanted.len()));
+        let claims = claims_after_read(&mut views[i], &["p", "q", "r"], 1_000);
+        claimed.push((name, claims.len()));
     }
     expect_that!(claimed[0], eq(("a", 0)));
     expect_that!(claimed[1].1 + claimed[2].1, ge(2));
 }
 
-/// A pool in its turn whose owner the store turned away wrote all its records through a node with an eighth of a core and a
-/// link of 10 Mbit/s: ends were known seconds late, and 250 VMs stood full of tasks that had ended.
+/// An owner that the store refuses writes its records through a relay. Through a slow one, with an eighth of a core
+/// and a link of 10 Mbit/s, ends are known seconds late and the VMs of the pool stay full of ended tasks.
 #[gtest]
-fn an_owner_asks_fast_nodes_first_to_pass_its_calls_on() {
+fn an_owner_prefers_fast_nodes_as_relays() {
     let relay = |i: u16| Some(SocketAddr::from(([10, 0, 0, 1], i)));
-    let heard = |view: &mut Ownership| {
+    let record_heartbeats = |view: &mut Ownership| {
         for i in 0..12 {
             let speed = if i % 4 == 0 { 20_000 } else { 5_000 };
-            let beat = Heartbeat { speed, relay: relay(i), ..beat(1, 1) };
-            view.heard(&format!("n{i}"), &beat, 1_000);
+            let heartbeat = Heartbeat { speed, relay: relay(i), ..heartbeat(1, 1) };
+            view.record_heartbeat(&format!("n{i}"), &heartbeat, 1_000);
         }
     };
     let mut view = Ownership::new(node("me", 1), 0);
-    heard(&mut view);
-    view.claimed(&"desk".into(), claim("me", 1), 0, 900);
+    record_heartbeats(&mut view);
+    view.record_claim(&"desk".into(), claim("me", 1), 0, 900);
     let first: Vec<u16> = view.relays(1_000).iter().take(3).map(|addr| addr.port() % 4).collect();
     expect_that!(first, eq(&vec![0, 0, 0]));
     expect_that!(view.relays(1_000), len(eq(12)));
-    // Nodes that own nothing have few calls, and leave the fast ones to owners.
+    // Nodes that own nothing send few calls and leave the fast relays to owners.
     let mut firsts = Vec::new();
     for i in 0..40 {
         let mut view = Ownership::new(node(&format!("me{i}"), 1), 0);
-        heard(&mut view);
+        record_heartbeats(&mut view);
         firsts.push(view.relays(1_000)[0].port().is_multiple_of(4));
     }
     expect_that!(firsts.iter().filter(|&&fast| fast).count(), lt(30));
 }
 
-/// An owner ended by itself, by a panic or a VM's mistaken word, and was begun again under its token. It numbered its records from 1 again, so that
-/// newer ones passed for older, and orders of before were not barred: tasks that were done were started again.
+/// An owner ends unexpectedly after a panic or a VM's wrong report. Restarted under its old token, it numbers its records
+/// from 1 again, so that newer records pass for older ones, and earlier orders are not fenced: finished tasks run again.
 #[gtest]
-fn an_owner_that_has_ended_by_itself_is_begun_again_under_a_new_token_only() {
+fn an_owner_that_ended_unexpectedly_is_restarted_only_under_a_new_token() {
     let mut view = Ownership::new(node("a", 1), 0);
     let desk: Arc<str> = "desk".into();
-    view.claimed(&desk, claim("a", 1), 0, 1_000);
-    expect_that!(claims_of(&mut view, &["desk"], 1_000), is_empty());
+    view.record_claim(&desk, claim("a", 1), 0, 1_000);
+    expect_that!(claims_after_read(&mut view, &["desk"], 1_000), is_empty());
     expect_that!(view.has_ended("desk"), eq(false));
-    view.owner_ended(&desk, 1, 2_000);
+    view.record_owner_end(&desk, 1, 2_000);
     expect_that!(view.has_ended("desk"), eq(true));
     expect_that!(view.my_token("desk"), none());
-    expect_that!(claims_of(&mut view, &["desk"], 2_200), len(eq(1)));
-    // The claim of before, read once more, changes nothing.
-    view.claimed(&desk, claim("a", 1), 0, 2_200);
+    expect_that!(claims_after_read(&mut view, &["desk"], 2_200), len(eq(1)));
+    // The previous claim, read again, changes nothing.
+    view.record_claim(&desk, claim("a", 1), 0, 2_200);
     expect_that!(view.my_token("desk"), none());
-    view.claimed(&desk, claim("a", 1), 7, 2_300);
+    view.record_claim(&desk, claim("a", 1), 7, 2_300);
     expect_that!(view.my_token("desk"), some(eq(8)));
-    expect_that!(claims_of(&mut view, &["desk"], 2_300), is_empty());
+    expect_that!(claims_after_read(&mut view, &["desk"], 2_300), is_empty());
 }
 
 #[gtest]
 fn a_pool_whose_owner_ended_is_left_to_another_node_that_claimed_it() {
     let mut view = Ownership::new(node("a", 1), 0);
     let desk: Arc<str> = "desk".into();
-    view.claimed(&desk, claim("a", 1), 0, 1_000);
-    view.owner_ended(&desk, 1, 2_000);
-    view.claimed(&desk, claim("b", 1), 3, 2_050);
-    view.heard("b", &beat(1, 1), 2_200);
-    expect_that!(claims_of(&mut view, &["desk"], 2_300), is_empty());
+    view.record_claim(&desk, claim("a", 1), 0, 1_000);
+    view.record_owner_end(&desk, 1, 2_000);
+    view.record_claim(&desk, claim("b", 1), 3, 2_050);
+    view.record_heartbeat("b", &heartbeat(1, 1), 2_200);
+    expect_that!(claims_after_read(&mut view, &["desk"], 2_300), is_empty());
 }
 
 #[gtest]
-fn owners_that_end_again_and_again_are_begun_ever_more_seldom() {
+fn owners_that_end_repeatedly_are_restarted_after_growing_delays() {
     let mut view = Ownership::new(node("a", 1), 0);
     let desk: Arc<str> = "desk".into();
     let (mut now, mut claims) = (1_000, 0);
@@ -300,70 +299,66 @@
         now += 100;
         let owns = view.my_token("desk").is_some();
         if owns {
-            view.owner_ended(&desk, claims, now);
+            view.record_owner_end(&desk, claims, now);
         }
-        if !claims_of(&mut view, &["desk"], now).is_empty() {
-            view.claimed(&desk, claim("a", 1), claims, now);
+        if !claims_after_read(&mut view, &["desk"], now).is_empty() {
+            view.record_claim(&desk, claim("a", 1), claims, now);
             claims += 1;
         }
     }
-    // Every 100 ms it was 600 times in a minute.
+    // A restart every 100 ms would make 600 claims in a minute.
     expect_that!(claims, le(25));
-    view.owner_ended(&desk, claims, now);
-    // One that has worked for long is begun again soon.
-    view.claimed(&desk, claim("a", 1), claims, now);
-    view.owner_ended(&desk, claims + 1, now + 20_000);
-    expect_that!(claims_of(&mut view, &["desk"], now + 20_200), len(eq(1)));
+    view.record_owner_end(&desk, claims, now);
+    // An owner that ran for a long time is restarted soon.
+    view.record_claim(&desk, claim("a", 1), claims, now);
+    view.record_owner_end(&desk, claims + 1, now + 20_000);
+    expect_that!(claims_after_read(&mut view, &["desk"], now + 20_200), len(eq(1)));
 }
 
-/// A node that had owned a pool was started anew, took its own former life for the pool's owner, and was ready before anybody could tell of the
-/// pool's jobs: a caller that asked for one 4 ms after the node had read the claims was told to come back.
+/// A restarted node must not take its own previous incarnation for the owner of a pool. Otherwise it is ready before any node
+/// can answer queries about the jobs of the pool, and refuses callers that ask for such a job.
 #[gtest]
-fn a_former_life_of_this_node_is_no_owner_to_ask() {
+fn a_previous_incarnation_of_this_node_is_no_owner_to_query() {
     let mut view = Ownership::new(node("a", 2), 0);
     let relay: SocketAddr = ([127, 0, 0, 1], 7_060).into();
-    let former = Heartbeat { relay: Some(relay), ..beat(1, 9) };
-    view.heard("a", &former, 100);
-    view.claimed(&"desk".into(), claim("a", 1), 0, 100);
+    let previous = Heartbeat { relay: Some(relay), ..heartbeat(1, 9) };
+    view.record_heartbeat("a", &previous, 100);
+    view.record_claim(&"desk".into(), claim("a", 1), 0, 100);
     expect_that!(view.relay_of_owner("desk"), none());
 }
 
-/// A node that computes slowly claimed a pool 0.82 s after it had started beside 96 others: it had read heartbeats once, 0.36 s after its start, when
-/// the fast nodes had not sent theirs. Its pool stood still for seconds when its turn came, and the node kept it:
-///
-///     -13.9766 node name=frontend-aarhus-hal-b-7 step=start speed=10770
-///     -13.6128 heartbeat step=listening-again
-///     -13.1565 owner pool=zipu94a step=claimed node=frontend-aarhus-hal-b-7 token_offset=1
+/// A slow node that starts with many others must not claim an unowned pool after its first read of the heartbeats
+/// (0.36 s after its start), when the fast nodes have not sent theirs yet. The pool would stall under its slow owner.
 #[gtest]
-fn a_node_that_starts_with_many_others_hears_them_before_it_claims_what_nobody_had() {
+fn a_node_receives_first_heartbeats_before_it_claims_an_unowned_pool() {
     let mut slow = Ownership::new(node("b", 1), 0);
-    expect_that!(claims_of(&mut slow, &["desk"], 360), is_empty());
-    expect_that!(claims_of(&mut slow, &["desk"], 820), is_empty());
-    slow.heard("b", &Heartbeat { speed: 10_770, ..beat(1, 1) }, 820);
-    slow.heard("a", &Heartbeat { speed: 45_000, ..beat(1, 1) }, 820);
-    expect_that!(claims_of(&mut slow, &["desk"], 1_000), is_empty());
-    expect_that!(claims_of(&mut slow, &["desk"], 1_450), len(eq(1)));
+    expect_that!(claims_after_read(&mut slow, &["desk"], 360), is_empty());
+    expect_that!(claims_after_read(&mut slow, &["desk"], 820), is_empty());
+    slow.record_heartbeat("b", &Heartbeat { speed: 10_770, ..heartbeat(1, 1) }, 820);
+    slow.record_heartbeat("a", &Heartbeat { speed: 45_000, ..heartbeat(1, 1) }, 820);
+    expect_that!(claims_after_read(&mut slow, &["desk"], 1_000), is_empty());
+    expect_that!(claims_after_read(&mut slow, &["desk"], 1_450), len(eq(1)));
 }
 
-/// What happened: of 585 nodes that started together slow ones came to own the busiest pool and the fleet, and one of them took 2.6 s to take its pool over after a loss of power. Why: nodes
-/// listened for a second, in which a partition carries 250 heartbeats. What settled it: `owner step=took-over took_ms=2630` on one of 0.12 cores, beside nodes of a whole one.
+/// A partition carries 250 heartbeats a second. When 585 nodes start together and each waits for one second only, slow ones
+/// claim the busiest pool and the fleet before the heartbeats of faster ones arrive. Such owners are slow to take over.
 #[gtest]
-fn a_node_listens_for_as_long_as_the_first_heartbeats_of_all_take() {
+fn a_node_waits_for_as_long_as_the_first_heartbeats_of_all_nodes_take() {
     let first_claim = |nodes: u64| {
-        let mut view = Ownership::new(NodeLife { name: "me".to_owned(), life: 1 }, 0);
+        let mut view = Ownership::new(NodeIncarnation { name: "me".to_owned(), incarnation: 1 }, 0);
         let pool = ["desk".into()];
         (900..60_000).step_by(50).find(|&now| {
-            view.listen(now);
-            // It is the fastest of all that it hears.
-            let slow = Heartbeat { speed: 10, ..beat(1, now) };
-            (0..nodes).for_each(|i| view.heard(&format!("n{i}"), &slow, now));
-            view.heard("me", &Heartbeat { speed: 100, ..beat(1, now) }, now);
+            view.record_read(now);
+            // This node is the fastest of all known nodes.
+            let slow = Heartbeat { speed: 10, ..heartbeat(1, now) };
+            (0..nodes).for_each(|i| view.record_heartbeat(&format!("n{i}"), &slow, now));
+            view.record_heartbeat("me", &Heartbeat { speed: 100, ..heartbeat(1, now) }, now);
             !view.to_claim(pool.iter(), now).is_empty()
         })
     };
     for nodes in [0, 97, 585, 1_200] {
-        let more = 4 * (nodes + 1_u64).saturating_sub(100);
-        expect_that!(first_claim(nodes), some(ge(1_000 + more)), "{nodes}");
-        expect_that!(first_claim(nodes), some(le(1_100 + more)), "{nodes}");
+        let extra_ms = 4 * (nodes + 1_u64).saturating_sub(100);
+        expect_that!(first_claim(nodes), some(ge(1_000 + extra_ms)), "{nodes}");
+        expect_that!(first_claim(nodes), some(le(1_100 + extra_ms)), "{nodes}");
     }
 }
--- a/crates/schedule/tests/random.rs
+++ b/crates/schedule/tests/random.rs
@@ -1,7 +1,7 @@
-//! Random runs of a pool's schedule against VMs that lose answers, carry orders out late, are cut
-//! off and crash, and owners that are replaced at any moment. The VMs assert the promises: a task
-//! runs once at a time and never after its end was acknowledged, within room, in order, and no
-//! more often than it may fail.
+//! Random runs of a pool's schedule against VMs that lose answers, carry out orders late, are cut off and crash, and
+//! owners that are replaced at any moment. The VMs assert the guarantees: a task has at most one run at a time and
+//! none after its end was acknowledged, runs fit into the room of their VM, steps run in order, and a task is not
+//! started again once it has failed as often as it may.
 
 mod common;
 mod world;
@@ -10,44 +10,44 @@
 use thistle_schedule::JobId;
 use world::World;
 
-const TURNS: u64 = 1_100;
-/// After these, nothing fails any more and all jobs must come to an end.
-const CALM_AFTER: u64 = 500;
+const TICKS: u64 = 1_100;
+/// The number of ticks after which no faults are injected and all jobs must end.
+const FAULT_FREE_AFTER: u64 = 500;
 const SEEDS: u64 = 60;
 
-fn play(seed: u64) {
+fn run_seed(seed: u64) {
     let mut world = World::new(seed);
     let mut next = 1;
-    for turn in 0..TURNS {
-        let calm = turn >= CALM_AFTER;
-        if !calm && world.rng.random_bool(0.1) {
+    for tick in 0..TICKS {
+        let fault_free = tick >= FAULT_FREE_AFTER;
+        if !fault_free && world.rng.random_bool(0.1) {
             world.submit(next);
             next += 1;
         }
-        if !calm && next > 2 && world.rng.random_bool(0.02) {
+        if !fault_free && next > 2 && world.rng.random_bool(0.02) {
             let id = JobId(world.rng.random_range(1..next));
             world.cancel(id);
         }
-        if !calm {
-            world.trouble();
+        if !fault_free {
+            world.inject_fault();
         }
-        world.turn(calm);
+        world.tick(fault_free);
     }
     world.check_settled();
 }
 
-/// Plays all seeds, so that all that break are told: `THISTLE_SEED` plays one alone and tells all that happens.
-fn broken_seeds() -> Vec<u64> {
+/// Runs all seeds and returns those that fail. `THISTLE_SEED` runs a single seed and prints all events.
+fn failing_seeds() -> Vec<u64> {
     if let Some(seed) = std::env::var("THISTLE_SEED").ok().and_then(|seed| seed.parse().ok()) {
-        play(seed);
+        run_seed(seed);
         return Vec::new();
     }
     let seeds = if std::env::var_os("THISTLE_LONG_RUN").is_some() { SEEDS * 50 } else { SEEDS };
-    (0..seeds).filter(|&seed| std::panic::catch_unwind(|| play(seed)).is_err()).collect()
+    (0..seeds).filter(|&seed| std::panic::catch_unwind(|| run_seed(seed)).is_err()).collect()
 }
 
 #[test]
-fn promises_hold_through_late_orders_cuts_crashes_and_changes_of_owner() {
-    let broken = broken_seeds();
-    assert!(broken.is_empty(), "seeds {broken:?}");
+fn guarantees_hold_through_late_orders_cuts_crashes_and_changes_of_owner() {
+    let failing = failing_seeds();
+    assert!(failing.is_empty(), "seeds {failing:?}");
 }
--- a/crates/schedule/tests/readers.rs
+++ b/crates/schedule/tests/readers.rs
@@ -1,46 +1,48 @@
-//! Which nodes read a pool's records.
+//! Which nodes follow a pool's records.
 
 use googletest::prelude::*;
 use thistle_schedule::Ms;
-use thistle_schedule::ownership::{Claim, Heartbeat, NodeLife, Ownership, READERS, token_of};
+use thistle_schedule::ownership::{
+    Claim, Heartbeat, NodeIncarnation, Ownership, READERS, token_of,
+};
 
 const POOLS: [&str; 5] = ["desk", "routes", "hub", "zones", "portal"];
 
-fn life(i: usize) -> NodeLife {
-    NodeLife { name: format!("node-{i}"), life: 1 }
+fn node(i: usize) -> NodeIncarnation {
+    NodeIncarnation { name: format!("node-{i}"), incarnation: 1 }
 }
 
-fn beat(speed: u32, i: usize) -> Heartbeat {
+fn heartbeat(speed: u32, i: usize) -> Heartbeat {
     let relay = format!("10.0.{}.{}:7060", i / 200, i % 200).parse().ok();
-    Heartbeat { life: 1, sequence: 1, leaving: false, relay, speed }
+    Heartbeat { incarnation: 1, sequence: 1, leaving: false, relay, speed }
 }
 
-/// Returns the views of nodes that have all heard of each other at `now`; of each five the last is slow.
+/// Returns the views of nodes that have all received each other's heartbeats at `now`. Every fifth node is slow.
 fn views(nodes: usize, now: Ms) -> Vec<Ownership> {
     let speed = |i: usize| if i % 5 == 4 { 100 } else { 1_000 };
     let view = |i: usize| {
-        let mut view = Ownership::new(life(i), 0);
-        view.listen(now);
+        let mut view = Ownership::new(node(i), 0);
+        view.record_read(now);
         for other in 0..nodes {
-            view.heard(&life(other).name, &beat(speed(other), other), now);
+            view.record_heartbeat(&node(other).name, &heartbeat(speed(other), other), now);
         }
         view
     };
     (0..nodes).map(view).collect()
 }
 
-fn readers(views: &[Ownership], pool: &str, now: Ms) -> Vec<usize> {
-    (0..views.len()).filter(|&i| views[i].reads(pool, now) == Some(true)).collect()
+fn readers_of(views: &[Ownership], pool: &str, now: Ms) -> Vec<usize> {
+    (0..views.len()).filter(|&i| views[i].is_reader(pool, now) == Some(true)).collect()
 }
 
-/// Load pattern: a loss of power of all nodes. With every node reading, 97 nodes asked for 13 MB each.
+/// All nodes start again after a loss of power. When every node followed every pool, 97 nodes requested 13 MB each.
 #[gtest]
-fn as_many_read_a_pool_however_many_nodes_there_are() {
+fn the_number_of_readers_of_a_pool_does_not_grow_with_the_number_of_nodes() {
     for nodes in [6, 9, 32, 97, 300] {
         let views = views(nodes, 3_000);
         for pool in POOLS {
-            let read_by = readers(&views, pool, 3_000);
-            expect_that!(read_by.len(), eq(READERS.min(nodes)), "{nodes} nodes, {pool}");
+            let readers = readers_of(&views, pool, 3_000);
+            expect_that!(readers.len(), eq(READERS.min(nodes)), "{nodes} nodes, {pool}");
         }
     }
 }
@@ -48,15 +50,15 @@
 #[gtest]
 fn nodes_that_have_just_started_leave_the_store_to_owners() {
     let views = views(97, 1_900);
-    expect_that!(readers(&views, "desk", 1_900), is_empty());
+    expect_that!(readers_of(&views, "desk", 1_900), is_empty());
 }
 
 #[gtest]
-fn slow_nodes_read_only_where_there_are_no_others() {
+fn slow_nodes_are_readers_only_if_there_are_no_others() {
     let views = views(97, 3_000);
     for pool in POOLS {
         expect_that!(
-            readers(&views, pool, 3_000),
+            readers_of(&views, pool, 3_000),
             each(predicate(|i: &usize| i % 5 != 4)),
             "{pool}"
         );
@@ -64,21 +66,21 @@
 }
 
 #[gtest]
-fn the_node_that_takes_a_vacant_pool_first_is_one_that_reads_it() {
+fn the_node_that_claims_a_vacant_pool_first_is_one_of_its_readers() {
     let mut views = views(97, 3_000);
     for pool in POOLS {
         let name = [pool.into()];
-        let read_by = readers(&views, pool, 3_000);
+        let readers = readers_of(&views, pool, 3_000);
         let mut first = None;
         for now in (3_000..30_000).step_by(100) {
             for (i, view) in views.iter_mut().enumerate() {
-                view.listen(now);
+                view.record_read(now);
                 for other in 0..97 {
                     let sequence = now;
                     let speed = if other % 5 == 4 { 100 } else { 1_000 };
-                    view.heard(
-                        &life(other).name,
-                        &Heartbeat { sequence, ..beat(speed, other) },
+                    view.record_heartbeat(
+                        &node(other).name,
+                        &Heartbeat { sequence, ..heartbeat(speed, other) },
                         now,
                     );
                 }
@@ -90,30 +92,30 @@
                 break;
             }
         }
-        expect_that!(first, some(predicate(|i: usize| read_by.contains(&i))), "{pool}");
+        expect_that!(first, some(predicate(|i: usize| readers.contains(&i))), "{pool}");
     }
 }
 
 #[gtest]
-fn a_node_that_does_not_hear_the_others_does_not_know() {
+fn a_node_without_contact_to_the_others_does_not_know_whether_it_is_a_reader() {
     let views = views(9, 3_000);
-    expect_that!(views[0].reads("desk", 9_000), none());
+    expect_that!(views[0].is_reader("desk", 9_000), none());
 }
 
 #[gtest]
-fn others_than_the_owner_and_oneself_are_asked_in_its_place() {
+fn readers_other_than_the_owner_and_the_querying_node_are_queried() {
     let mut views = views(97, 3_000);
-    let owner = Claim { owner: life(7), released: false };
+    let owner = Claim { owner: node(7), released: false };
     for view in &mut views {
-        view.claimed(&"desk".into(), owner.clone(), token_of(0), 3_000);
+        view.record_claim(&"desk".into(), owner.clone(), token_of(0), 3_000);
     }
-    let relay = |i: usize| beat(0, i).relay.unwrap();
-    let read_by: Vec<_> = readers(&views, "desk", 3_000).into_iter().map(relay).collect();
+    let relay = |i: usize| heartbeat(0, i).relay.unwrap();
+    let readers: Vec<_> = readers_of(&views, "desk", 3_000).into_iter().map(relay).collect();
     for (i, view) in views.iter().enumerate() {
-        let asked = view.readers_to_ask("desk", 3_000);
-        expect_that!(asked, not(is_empty()));
-        expect_that!(asked, not(contains(eq(&relay(i)))));
-        expect_that!(asked, not(contains(eq(&relay(7)))));
-        expect_that!(asked, each(predicate(|a| read_by.contains(a))), "node {i}");
+        let queried = view.readers_to_query("desk", 3_000);
+        expect_that!(queried, not(is_empty()));
+        expect_that!(queried, not(contains(eq(&relay(i)))));
+        expect_that!(queried, not(contains(eq(&relay(7)))));
+        expect_that!(queried, each(predicate(|a| readers.contains(a))), "node {i}");
     }
 }
--- a/crates/scheduler/src/append.rs
+++ b/crates/scheduler/src/append.rs
@@ -1,12 +1,14 @@
-//! Appending submissions to the first partition that takes them.
+//! Appends submissions to the first partition of a pool that accepts them.
 //!
-//! Load pattern: one partition of a pool, or both, leave appends unanswered while jobs go on coming. Asked one after the other,
-//! 0.6 s each, they hold each caller for 1.2 s; the spare one is asked beside the first once the store has answered other
-//! calls meanwhile, so that a job is kept up to 0.45 s sooner. Records in two partitions do no harm: they are folded by job.
+//! One or both of a pool's partitions may leave appends unanswered while jobs keep arriving. Tried one after the other, at 0.6 s
+//! each, they would hold every caller for 1.2 s. The fallback partition is therefore tried in parallel with the first one after
+//! the store has answered other calls in the meantime, which stores a job up to 0.45 s sooner. Records in both partitions are
+//! harmless because they are folded by job.
 //!
-//! Load pattern: the store turns slow as a turn of load begins. 97 nodes with 200 jobs a second append each job by itself, and each
-//! partition's queue is full for seconds (it refuses what would wait for more than two). Whoever finds it slow hands over to the
-//! pool's owner, and does not try the spare partition; the owner asks both, of which the spare one is free.
+//! The store may also turn slow when load rises. If 97 nodes with 200 jobs per second append each job by itself, the queue of
+//! each partition is full for seconds; a partition refuses appends that would wait for more than two seconds. A node that finds
+//! the store slow forwards its submissions to the pool's owner and does not try the fallback partition. The owner tries both
+//! partitions, and the queue of the fallback partition is free for its appends.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -19,168 +21,173 @@
 
 use crate::clock::steady_ms;
 use crate::node::Node;
-use crate::pool_log::{PoolLog, SPARE, SUBMISSIONS};
-use crate::written::Written;
+use crate::pool_log::{FALLBACK_SUBMISSIONS, PoolLog, SUBMISSIONS};
+use crate::write_outcome::WriteOutcome;
 
-/// Pause between two tries.
-const PAUSE: Duration = Duration::from_millis(50);
-/// How long a submission that the store surely has not taken is tried again, in milliseconds. The
-/// caller is told to come back sooner than it would be by waiting out an outage.
-const TRY_FOR_MS: Ms = 400;
-/// How long a submission that the store may have taken is tried again, in milliseconds: sending it
-/// once more is harmless and may tell what became of it.
-const ASK_FOR_MS: Ms = 1_000;
-/// How long the first partition may take before the spare one may be asked beside it: more than twice what counts as slow.
-const UNUSUAL: Duration = Duration::from_millis(150);
-/// After what time of it other calls that are answered fast tell that the store is not slow: those answered before may have been sent
-/// before it turned slow.
-const SETTLED: Duration = Duration::from_millis(100);
-/// How often it is looked whether other calls were answered meanwhile.
-const LOOK_EVERY: Duration = Duration::from_millis(25);
+/// Pause between two attempts.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// How long a submission that the store certainly has not written is retried, in milliseconds. The caller
+/// is asked to retry earlier than if the node waited for an outage to end.
+const NOT_WRITTEN_RETRY_MS: Ms = 400;
+/// How long a submission that the store may have written is retried, in milliseconds: sending it again is
+/// harmless and may reveal the outcome.
+const UNCERTAIN_RETRY_MS: Ms = 1_000;
+/// How long an append to the first partition may take before the fallback partition may be tried in parallel: more than
+/// twice the time from which the store counts as slow.
+const FALLBACK_DELAY: Duration = Duration::from_millis(150);
+/// The time after the start of an append from which fast answers to other calls show that the store is not slow: calls
+/// answered earlier may have been sent before the store turned slow.
+const STORE_SPEED_CHECK_DELAY: Duration = Duration::from_millis(100);
+/// How often the number of fast answers to other calls is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Who appends.
+/// The role in which a node appends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum By {
-    /// The pool's owner, or a node that knows of none: for all that come.
+pub enum AppendRole {
+    /// The pool's owner, or a node that knows of no owner; it appends the records of all nodes that forward to it.
     Owner,
-    /// Another node, which may hand over to the owner while the store is slow.
+    /// Another node, which may forward to the owner while the store is slow.
     Other,
 }
 
-/// What came of appending.
+/// The result of appending records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// This became of the records.
-    Known(Written),
-    /// The store is slow, and it is the pool's owner's to append them.
-    OwnersTurn {
-        /// They may be written already; doing it twice is harmless.
+    /// The write outcome of the records.
+    Known(WriteOutcome),
+    /// The store is slow, and the records should be forwarded to the pool's owner.
+    ForwardToOwner {
+        /// Whether the records may already be written; writing them twice is harmless.
         may_be_written: bool,
     },
 }
 
-/// What came of asking both partitions.
-enum Round {
-    /// Neither was asked: both have left appends unanswered.
+/// The result of one attempt to append to the first or the fallback partition.
+enum Attempt {
+    /// No append was sent, because both partitions have left earlier appends unanswered.
     NotSent,
-    /// Nothing is known to be taken, and the store has turned out slow.
-    Slow(Written),
-    Asked(Written),
+    /// The records are not known to be written, and the store is slow.
+    Slow(WriteOutcome),
+    /// An append was sent, with this outcome.
+    Sent(WriteOutcome),
 }
 
-/// Appends to the first partition that takes the records, for a limited time after `since`.
+/// Appends to the first partition that accepts the records, retrying for a limited time after `since`.
 pub async fn append(
     node: &Arc<Node>,
     log: &Arc<PoolLog>,
     records: &[KeyedRecord],
     since: Ms,
-    by: By,
+    role: AppendRole,
 ) -> Outcome {
     let mut may_be_written = false;
     loop {
         let round_at = steady_ms();
-        match ask_both(node, log, records, since, by).await {
-            Round::NotSent if !may_be_written => {
-                // What is never sent can be refused truthfully, and the caller may try again.
+        match try_partitions(node, log, records, since, role).await {
+            Attempt::NotSent if !may_be_written => {
+                // Records that were never sent are certainly not written, so the caller may safely retry.
                 log::info!("submit step=not-sent pool={} reason=no-partition-answers", log.pool);
-                return Outcome::Known(Written::NotKept);
+                return Outcome::Known(WriteOutcome::NotKept);
             }
-            Round::Slow(written) => {
-                let may_be_written = may_be_written || written == Written::Unknown;
-                return Outcome::OwnersTurn { may_be_written };
+            Attempt::Slow(outcome) => {
+                let may_be_written = may_be_written || outcome == WriteOutcome::Unknown;
+                return Outcome::ForwardToOwner { may_be_written };
             }
-            Round::NotSent | Round::Asked(Written::NotKept) => (),
-            Round::Asked(Written::Kept) => return Outcome::Known(Written::Kept),
-            Round::Asked(Written::Unknown) => may_be_written = true,
+            Attempt::NotSent | Attempt::Sent(WriteOutcome::NotKept) => (),
+            Attempt::Sent(WriteOutcome::Kept) => return Outcome::Known(WriteOutcome::Kept),
+            Attempt::Sent(WriteOutcome::Unknown) => may_be_written = true,
         }
         let waited = steady_ms().saturating_sub(since);
         match may_be_written {
-            // The whole store is silent, or this node's way to it: the caller is told 0.4 s sooner. Once calls go through another
-            // node it is asked again.
-            true if node.store.detour().is_none()
-                && !node.standing.view().has_answered_since(round_at) =>
+            // The whole store, or this node's path to it, is unresponsive: the caller gets its reply 0.4 s sooner. Once calls
+            // go through another node, the append is retried.
+            true if node.store.forwarding_peer().is_none()
+                && !node.store_health.view().has_answered_since(round_at) =>
             {
-                return Outcome::Known(Written::Unknown);
+                return Outcome::Known(WriteOutcome::Unknown);
             }
-            true if waited >= ASK_FOR_MS => return Outcome::Known(Written::Unknown),
-            false if waited >= TRY_FOR_MS => return Outcome::Known(Written::NotKept),
-            _ => tokio::time::sleep(PAUSE).await,
+            true if waited >= UNCERTAIN_RETRY_MS => return Outcome::Known(WriteOutcome::Unknown),
+            false if waited >= NOT_WRITTEN_RETRY_MS => {
+                return Outcome::Known(WriteOutcome::NotKept);
+            }
+            _ => tokio::time::sleep(RETRY_PAUSE).await,
         }
     }
 }
 
-async fn ask_both(
+async fn try_partitions(
     node: &Arc<Node>,
     log: &Arc<PoolLog>,
     records: &[KeyedRecord],
     since: Ms,
-    by: By,
-) -> Round {
+    role: AppendRole,
+) -> Attempt {
     let to = |part| append_to(node, log, part, records, since);
     if !log.may_append(SUBMISSIONS).await {
-        if by == By::Other && node.store.is_slow() {
-            return Round::Slow(Written::NotKept);
+        if role == AppendRole::Other && node.store.is_slow() {
+            return Attempt::Slow(WriteOutcome::NotKept);
         }
-        return match log.may_append(SPARE).await {
-            true => Round::Asked(to(SPARE).await),
-            false => Round::NotSent,
+        return match log.may_append(FALLBACK_SUBMISSIONS).await {
+            true => Attempt::Sent(to(FALLBACK_SUBMISSIONS).await),
+            false => Attempt::NotSent,
         };
     }
     let sent_at = steady_ms();
     let mut first = pin!(to(SUBMISSIONS));
-    let ask_both_now = by == By::Owner && node.store.is_slow();
-    if !ask_both_now
-        && let Either::Left((written, _)) = select(&mut first, pin!(is_odd(node))).await
+    let in_parallel = role == AppendRole::Owner && node.store.is_slow();
+    if !in_parallel
+        && let Either::Left((outcome, _)) =
+            select(&mut first, pin!(wait_until_unusually_slow(node))).await
     {
-        let slow = by == By::Other && node.store.is_slow();
-        let ask_spare = match written {
-            Written::Kept => false,
-            // The spare partition's queue is left to the owner: 32 nodes that asked it when their time was up filled it for two
-            // seconds, and of 250 jobs that came meanwhile 29 were kept.
-            Written::NotKept | Written::Unknown if slow => return Round::Slow(written),
-            Written::NotKept => true,
-            Written::Unknown => node.standing.view().has_answered_since(sent_at),
+        let slow = role == AppendRole::Other && node.store.is_slow();
+        let try_fallback = match outcome {
+            WriteOutcome::Kept => false,
+            // The queue of the fallback partition is left to the owner. If 32 nodes also append there when their first appends
+            // time out, that queue stays full for two seconds, and only 29 of 250 jobs that arrive meanwhile are stored.
+            WriteOutcome::NotKept | WriteOutcome::Unknown if slow => return Attempt::Slow(outcome),
+            WriteOutcome::NotKept => true,
+            WriteOutcome::Unknown => node.store_health.view().has_answered_since(sent_at),
         };
-        return match ask_spare && log.may_append(SPARE).await {
-            true => Round::Asked(either(written, to(SPARE).await)),
-            false => Round::Asked(written),
+        return match try_fallback && log.may_append(FALLBACK_SUBMISSIONS).await {
+            true => Attempt::Sent(combine_outcomes(outcome, to(FALLBACK_SUBMISSIONS).await)),
+            false => Attempt::Sent(outcome),
         };
     }
-    if !log.may_append(SPARE).await {
-        return Round::Asked(first.await);
+    if !log.may_append(FALLBACK_SUBMISSIONS).await {
+        return Attempt::Sent(first.await);
     }
-    let spare = pin!(to(SPARE));
-    let (written, other) = match select(first, spare).await {
-        Either::Left((written, other)) => (written, Either::Left(other)),
-        Either::Right((written, other)) => (written, Either::Right(other)),
+    let fallback = pin!(to(FALLBACK_SUBMISSIONS));
+    let (outcome, other) = match select(first, fallback).await {
+        Either::Left((outcome, other)) => (outcome, Either::Left(other)),
+        Either::Right((outcome, other)) => (outcome, Either::Right(other)),
     };
-    if written == Written::Kept {
+    if outcome == WriteOutcome::Kept {
         if matches!(other, Either::Right(_)) && !node.store.is_slow() {
-            // The first one has not answered: it is asked before it gets another submission.
-            log.suspect(node, SUBMISSIONS);
+            // The first partition has not answered: it must answer a probe before it gets another submission.
+            log.mark_unresponsive(node, SUBMISSIONS);
         }
-        return Round::Asked(written);
+        return Attempt::Sent(outcome);
     }
-    Round::Asked(either(written, other.await))
+    Attempt::Sent(combine_outcomes(outcome, other.await))
 }
 
-/// Ends when an append that began with this has taken unusually long though the store answers other calls as fast as
-/// ever.
-async fn is_odd(node: &Node) {
-    tokio::time::sleep(SETTLED).await;
+/// Completes when an append that started together with this future has taken unusually long although the store still
+/// answers other calls fast.
+async fn wait_until_unusually_slow(node: &Node) {
+    tokio::time::sleep(STORE_SPEED_CHECK_DELAY).await;
     let before = node.store.quick_answers();
-    tokio::time::sleep(UNUSUAL - SETTLED).await;
+    tokio::time::sleep(FALLBACK_DELAY - STORE_SPEED_CHECK_DELAY).await;
     while node.store.quick_answers() == before {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// Returns what became of records that went to two partitions.
-fn either(one: Written, other: Written) -> Written {
+/// Combines the outcomes of appending the same records to two partitions.
+fn combine_outcomes(one: WriteOutcome, other: WriteOutcome) -> WriteOutcome {
     match (one, other) {
-        (Written::Kept, _) | (_, Written::Kept) => Written::Kept,
-        (Written::NotKept, Written::NotKept) => Written::NotKept,
-        _ => Written::Unknown,
+        (WriteOutcome::Kept, _) | (_, WriteOutcome::Kept) => WriteOutcome::Kept,
+        (WriteOutcome::NotKept, WriteOutcome::NotKept) => WriteOutcome::NotKept,
+        _ => WriteOutcome::Unknown,
     }
 }
 
@@ -190,32 +197,32 @@
     part: u32,
     records: &[KeyedRecord],
     since: Ms,
-) -> Written {
+) -> WriteOutcome {
     match node.store.append(&log.topic, part, Guard::Always, records).await {
         Ok(Appended::Done { offset, end }) => {
-            node.standing.note(true);
-            if part == SPARE {
+            node.store_health.record_call(true);
+            if part == FALLBACK_SUBMISSIONS {
                 log::info!("submit step=spare pool={} count={}", log.pool, records.len());
                 counter!("thistle_spare_submissions").increment(1);
             }
             log.apply_own(node, part, records, offset, end).await;
-            Written::Kept
+            WriteOutcome::Kept
         }
         Ok(other) => {
             log::error!("submit step=refused pool={} part={part} answer={other:?}", log.pool);
-            Written::NotKept
+            WriteOutcome::NotKept
         }
         Err(e) => {
-            node.standing.note(false);
-            if !e.nothing_done() {
-                log.suspect(node, part);
+            node.store_health.record_call(false);
+            if !e.was_not_executed() {
+                log.mark_unresponsive(node, part);
             }
             let waited = steady_ms().saturating_sub(since);
             log::info!(
                 "submit step=failed pool={} part={part} waited_ms={waited} error=\"{e}\"",
                 log.pool,
             );
-            if e.nothing_done() { Written::NotKept } else { Written::Unknown }
+            if e.was_not_executed() { WriteOutcome::NotKept } else { WriteOutcome::Unknown }
         }
     }
 }
--- a/crates/scheduler/src/fleet_owner/rows.rs
+++ b/crates/scheduler/src/fleet_owner/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the fleet's record as the store keeps them: a key and JSON, which operators read.
+//! Encodes the rows of the fleet's record for the store: a key and JSON that operators can read.
 
 use serde::{Deserialize, Serialize};
 use thistle_platform::{KeyedRecord, Stored};
@@ -7,14 +7,14 @@
 
 use crate::control::to_json;
 
-/// The key of what is told once.
+/// The key of the row with the fields that exist once in the record.
 const HEAD_KEY: &str = "head";
-/// What the keys of waves start with; those of a wave's VMs go on with `/VM`.
+/// The prefix of the keys of waves; the keys of a wave's VMs continue with `/VM`.
 const WAVE_PREFIX: &str = "wave/";
-/// What the keys of VMs start with.
+/// The prefix of the keys of VMs.
 const VM_PREFIX: &str = "vm/";
-/// The key under which older programs kept the whole record.
-const WHOLE_KEY: &str = "fleet";
+/// The key under which older versions stored the whole record.
+const LEGACY_KEY: &str = "fleet";
 
 #[derive(Serialize, Deserialize)]
 struct HeadBody {
@@ -40,29 +40,29 @@
     ordered_lately: bool,
 }
 
-/// The whole record as older programs wrote it.
+/// The whole record in the format of older versions.
 #[derive(Deserialize)]
-struct WholeBody {
+struct LegacyBody {
     owner: String,
     work: Vec<VmWork>,
     #[serde(default)]
     ordered_lately: Vec<String>,
-    waves: Vec<WholeWave>,
+    waves: Vec<LegacyWave>,
     #[serde(default)]
     move_ms: Ms,
 }
 
 #[derive(Deserialize)]
-struct WholeWave {
+struct LegacyWave {
     wave: u64,
     done: Vec<String>,
     left: Vec<String>,
     completed: bool,
 }
 
-impl From<WholeBody> for FleetRecord {
-    fn from(body: WholeBody) -> Self {
-        let wave = |w: WholeWave| WaveRecord {
+impl From<LegacyBody> for FleetRecord {
+    fn from(body: LegacyBody) -> Self {
+        let wave = |w: LegacyWave| WaveRecord {
             wave: w.wave,
             done: w.done.into_iter().collect(),
             left: w.left.into_iter().collect(),
@@ -93,11 +93,11 @@
             let key = format!("{WAVE_PREFIX}{wave}/{vm}");
             match done {
                 Some(done) => KeyedRecord::new(key, to_json(&WaveVmBody { done: *done })),
-                None => KeyedRecord::dropping(key),
+                None => KeyedRecord::deleting(key),
             }
         }
         FleetRow::Vm { vm, work: None, ordered_lately: false } => {
-            KeyedRecord::dropping(format!("{VM_PREFIX}{vm}"))
+            KeyedRecord::deleting(format!("{VM_PREFIX}{vm}"))
         }
         FleetRow::Vm { vm, work, ordered_lately } => {
             let work = work.as_ref().map(|work| (work.purpose.clone(), work.stage.clone()));
@@ -107,22 +107,22 @@
     }
 }
 
-/// Makes the record that drops what older programs kept as one.
-pub fn drop_whole() -> KeyedRecord {
-    KeyedRecord::dropping(WHOLE_KEY)
+/// Returns the record that drops the single record of older versions.
+pub fn drop_legacy_record() -> KeyedRecord {
+    KeyedRecord::deleting(LEGACY_KEY)
 }
 
-/// Returns whether a record is one that older programs kept as one.
-pub fn is_whole(stored: &Stored) -> bool {
-    stored.record.key == WHOLE_KEY && stored.record.value().is_some()
+/// Returns whether a record is the single record of older versions.
+pub fn is_legacy_record(stored: &Stored) -> bool {
+    stored.record.key == LEGACY_KEY && stored.record.value().is_some()
 }
 
-/// Takes a row that was read into the record. Keys of other kinds are left to whoever wrote them.
-pub fn take(fleet: &mut FleetRecord, stored: &Stored) -> Result<(), serde_json::Error> {
+/// Applies a row to the record. Rows with unknown keys are ignored.
+pub fn apply_row(fleet: &mut FleetRecord, stored: &Stored) -> Result<(), serde_json::Error> {
     let key = stored.record.key.as_str();
     let value = stored.record.value();
-    if is_whole(stored) {
-        *fleet = serde_json::from_slice::<WholeBody>(value.unwrap_or_default())?.into();
+    if is_legacy_record(stored) {
+        *fleet = serde_json::from_slice::<LegacyBody>(value.unwrap_or_default())?.into();
         return Ok(());
     }
     if let Some(row) = decode(key, value)? {
--- a/crates/scheduler/src/journal.rs
+++ b/crates/scheduler/src/journal.rs
@@ -1,4 +1,4 @@
-//! Records that only an owner appends: once each, and only while nobody else owns.
+//! Appends the records that only an owner may write: each once, and only while no other node is the owner.
 
 use std::time::Duration;
 
@@ -9,63 +9,62 @@
 use crate::clock::steady_ms;
 use crate::node::Node;
 
-/// Pause before an append is tried again.
-pub const PAUSE: Duration = Duration::from_millis(30);
-/// How long a partition that has not taken an append is left alone while another one takes them, in
-/// milliseconds.
-const LEAVE_ALONE_MS: Ms = 400;
+/// Pause before an append is retried.
+pub const RETRY_PAUSE: Duration = Duration::from_millis(30);
+/// The first backoff of a partition that did not accept an append while another partition accepts appends, in milliseconds.
+const PARTITION_BACKOFF_MS: Ms = 400;
 
-/// How often that time doubles at most, up to 3.2 s: each try of a partition that says nothing holds all else up for as long as
-/// an append may take.
-const MOST_LANE_DOUBLINGS: u32 = 3;
+/// How often that backoff doubles at most, up to 3.2 s: each attempt on an unresponsive partition delays all other appends by
+/// the timeout of an append.
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// Another node owns what the records are about.
+/// Another node has taken over the ownership under which the records are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fenced;
 
 /// Where records were appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct AppendPosition {
     /// The partition.
     pub part: u32,
     /// The offset of the first record.
     pub offset: u64,
-    /// The partition's end.
+    /// The end of the partition after the append.
     pub end: u64,
 }
 
-/// Writes to one partition under a token, and to others while that one does not take it.
+/// A writer that appends to one partition under a token, and to others while that partition does not accept appends.
 pub struct Journal {
     topic: String,
-    lanes: Vec<Lane>,
+    partitions: Vec<PartitionState>,
     epoch: u64,
 }
 
-struct Lane {
+struct PartitionState {
     part: u32,
-    /// The number of the next append.
+    /// The sequence number of the next append.
     sequence: u64,
-    /// What was sent as number `sequence` and not answered: it may be there, or come yet. Nothing
-    /// else may be sent under that number, as the store would take it for a copy.
+    /// The records that were sent under `sequence` and not answered: they may already be written, or be written later. No other
+    /// records may be sent under that number, because the store would treat them as a duplicate.
     unanswered: Option<Vec<KeyedRecord>>,
-    /// It is not tried before this if another one is left.
-    again_at: Ms,
-    /// Tries in a row that have failed.
+    /// The partition is not tried before this time unless no other open partition may be tried.
+    retry_at: Ms,
+    /// The number of consecutive failed attempts.
     failures: u32,
-    /// Writers with lower epochs are shut out of it.
+    /// Whether writers with lower epochs are fenced off from the partition.
     fenced: bool,
-    /// It is written to. One that is not any more keeps its numbering: the store takes a number that it has seen of this epoch
-    /// for a copy, and would not keep what is sent under it.
+    /// Whether the partition is written to. A closed partition keeps its sequence number: the store treats a number that it
+    /// has seen in this epoch as a duplicate and would not store the records sent under it.
     open: bool,
 }
 
-impl Lane {
+impl PartitionState {
     const fn new(part: u32) -> Self {
         Self {
             part,
             sequence: 0,
             unanswered: None,
-            again_at: 0,
+            retry_at: 0,
             failures: 0,
             fenced: false,
             open: true,
@@ -73,149 +72,164 @@
     }
 }
 
-/// What came of one try.
-enum Tried {
-    Done(Place),
+/// The result of one attempt to append.
+enum Attempt {
+    Done(AppendPosition),
     Failed,
 }
 
 impl Journal {
-    /// Shuts out all writers with lower tokens. The first partition is the one to write to.
+    /// Opens the partitions and fences off all writers with lower tokens. The first partition is the preferred one.
     pub async fn open(node: &Node, topic: &str, parts: &[u32], token: u64) -> Result<Self, Fenced> {
-        let lanes = parts.iter().map(|&part| Lane::new(part)).collect();
-        let mut journal = Self { topic: topic.to_owned(), lanes, epoch: token };
+        let partitions = parts.iter().map(|&part| PartitionState::new(part)).collect();
+        let mut journal = Self { topic: topic.to_owned(), partitions, epoch: token };
         let epoch = journal.epoch;
-        let fence = |lane| fence(node, topic, epoch, lane);
-        try_join_all(journal.lanes.iter_mut().map(fence)).await?;
+        let fence = |partition| fence(node, topic, epoch, partition);
+        try_join_all(journal.partitions.iter_mut().map(fence)).await?;
         Ok(journal)
     }
 
-    /// Appends records to the first partition that takes them.
+    /// Appends records to the first partition that accepts them.
     ///
-    /// An append without an answer may be there twice, in two partitions, or come late: the records
-    /// must tell by themselves which is newer.
-    pub async fn append(&mut self, node: &Node, records: &[KeyedRecord]) -> Result<Place, Fenced> {
-        if self.lanes.len() == 1 {
+    /// An unanswered append may be written twice, in two partitions, or be written late. The records themselves must
+    /// therefore show which of them is newer.
+    pub async fn append(
+        &mut self,
+        node: &Node,
+        records: &[KeyedRecord],
+    ) -> Result<AppendPosition, Fenced> {
+        if self.partitions.len() == 1 {
             return self.append_to(node, 0, records).await;
         }
         loop {
-            if let Some(place) = self.try_append(node, records).await? {
-                return Ok(place);
+            if let Some(position) = self.try_append(node, records).await? {
+                return Ok(position);
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// Tries each partition once that is to be tried now; returns where the records went, if anywhere.
+    /// Tries each partition that is due once; returns where the records were appended, if anywhere.
     pub async fn try_append(
         &mut self,
         node: &Node,
         records: &[KeyedRecord],
-    ) -> Result<Option<Place>, Fenced> {
+    ) -> Result<Option<AppendPosition>, Fenced> {
         let now = steady_ms();
-        let none_left = self.lanes.iter().all(|lane| !lane.open || lane.again_at > now);
-        for i in 0..self.lanes.len() {
-            let lane = &self.lanes[i];
-            if !lane.open || lane.again_at > now && !none_left {
+        let all_in_backoff =
+            self.partitions.iter().all(|partition| !partition.open || partition.retry_at > now);
+        for i in 0..self.partitions.len() {
+            let partition = &self.partitions[i];
+            if !partition.open || partition.retry_at > now && !all_in_backoff {
                 continue;
             }
-            if let Tried::Done(place) = self.try_once(node, i, records).await? {
-                return Ok(Some(place));
+            if let Attempt::Done(position) = self.try_once(node, i, records).await? {
+                return Ok(Some(position));
             }
         }
         Ok(None)
     }
 
-    /// Returns the partitions that it writes to.
+    /// Returns the partitions that are written to.
     pub fn parts(&self) -> impl Iterator<Item = u32> {
-        self.lanes.iter().filter(|lane| lane.open).map(|lane| lane.part)
+        self.partitions.iter().filter(|partition| partition.open).map(|partition| partition.part)
     }
 
-    /// Writes to further partitions too, each once lower writers are shut out of it.
-    pub fn add_lanes(&mut self, parts: &[u32]) {
+    /// Adds partitions to write to. Each is written to only after writers with lower epochs are fenced off from it.
+    pub fn add_partitions(&mut self, parts: &[u32]) {
         for &part in parts {
-            match self.lanes.iter_mut().find(|lane| lane.part == part) {
-                Some(lane) => lane.open = true,
-                None => self.lanes.push(Lane::new(part)),
+            match self.partitions.iter_mut().find(|partition| partition.part == part) {
+                Some(partition) => partition.open = true,
+                None => self.partitions.push(PartitionState::new(part)),
             }
         }
     }
 
-    /// Writes to some partitions no more. What one of them has left unanswered stands elsewhere too.
-    pub fn close_lanes(&mut self, parts: &[u32]) {
-        for lane in self.lanes.iter_mut().filter(|lane| parts.contains(&lane.part)) {
-            lane.open = false;
+    /// Stops writing to some partitions. Their unanswered records are also written to another partition.
+    pub fn close_partitions(&mut self, parts: &[u32]) {
+        for partition in
+            self.partitions.iter_mut().filter(|partition| parts.contains(&partition.part))
+        {
+            partition.open = false;
         }
     }
 
-    /// Tries once to append records to one partition; returns whether it took them.
+    /// Tries once to append records to one partition; returns whether the partition accepted them.
     pub async fn append_to_part(
         &mut self,
         node: &Node,
         part: u32,
         records: &[KeyedRecord],
     ) -> Result<bool, Fenced> {
-        let lane = self.lanes.iter().position(|lane| lane.open && lane.part == part);
-        let Some(lane) = lane.filter(|&i| self.lanes[i].again_at <= steady_ms()) else {
+        let index =
+            self.partitions.iter().position(|partition| partition.open && partition.part == part);
+        let Some(index) = index.filter(|&i| self.partitions[i].retry_at <= steady_ms()) else {
             return Ok(false);
         };
-        Ok(matches!(self.try_once(node, lane, records).await?, Tried::Done(_)))
+        Ok(matches!(self.try_once(node, index, records).await?, Attempt::Done(_)))
     }
 
-    /// Returns whether the first partition is tried now.
-    pub fn first_takes_records(&self) -> bool {
-        self.lanes.first().is_some_and(|lane| lane.again_at <= steady_ms())
+    /// Returns whether the first partition is not in backoff.
+    pub fn first_partition_is_due(&self) -> bool {
+        self.partitions.first().is_some_and(|partition| partition.retry_at <= steady_ms())
     }
 
-    /// Appends records to one partition, however long that takes. An append without an answer is
-    /// sent again under the same number, and so done once.
+    /// Appends records to one partition and retries without a time limit. An unanswered append is sent again under the
+    /// same sequence number, so it is written only once.
     async fn append_to(
         &mut self,
         node: &Node,
-        lane: usize,
+        index: usize,
         records: &[KeyedRecord],
-    ) -> Result<Place, Fenced> {
+    ) -> Result<AppendPosition, Fenced> {
         loop {
-            if let Tried::Done(place) = self.try_once(node, lane, records).await? {
-                return Ok(place);
+            if let Attempt::Done(position) = self.try_once(node, index, records).await? {
+                return Ok(position);
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// Tries one partition: first what it has left unanswered, then the records.
+    /// Tries one partition: first fences it if necessary, then sends its unanswered records, then the new records.
     async fn try_once(
         &mut self,
         node: &Node,
-        lane: usize,
+        index: usize,
         records: &[KeyedRecord],
-    ) -> Result<Tried, Fenced> {
-        if !self.lanes[lane].fenced && matches!(self.send(node, lane, &[]).await?, Tried::Failed) {
-            return Ok(Tried::Failed);
+    ) -> Result<Attempt, Fenced> {
+        if !self.partitions[index].fenced
+            && matches!(self.send(node, index, &[]).await?, Attempt::Failed)
+        {
+            return Ok(Attempt::Failed);
         }
-        if let Some(unanswered) = self.lanes[lane].unanswered.clone() {
-            let tried = self.send(node, lane, &unanswered).await?;
-            if matches!(tried, Tried::Failed) || unanswered == records {
-                return Ok(tried);
+        if let Some(unanswered) = self.partitions[index].unanswered.clone() {
+            let attempt = self.send(node, index, &unanswered).await?;
+            if matches!(attempt, Attempt::Failed) || unanswered == records {
+                return Ok(attempt);
             }
         }
-        self.send(node, lane, records).await
+        self.send(node, index, records).await
     }
 
     async fn send(
         &mut self,
         node: &Node,
-        lane: usize,
+        index: usize,
         records: &[KeyedRecord],
-    ) -> Result<Tried, Fenced> {
-        send(node, &self.topic, self.epoch, &mut self.lanes[lane], records).await
+    ) -> Result<Attempt, Fenced> {
+        send(node, &self.topic, self.epoch, &mut self.partitions[index], records).await
     }
 }
 
-/// Shuts writers with lower epochs out of a partition, however long that takes.
-async fn fence(node: &Node, topic: &str, epoch: u64, lane: &mut Lane) -> Result<(), Fenced> {
-    while let Tried::Failed = send(node, topic, epoch, lane, &[]).await? {
-        tokio::time::sleep(PAUSE).await;
+/// Fences writers with lower epochs off from a partition and retries without a time limit.
+async fn fence(
+    node: &Node,
+    topic: &str,
+    epoch: u64,
+    partition: &mut PartitionState,
+) -> Result<(), Fenced> {
+    while let Attempt::Failed = send(node, topic, epoch, partition, &[]).await? {
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
     Ok(())
 }
@@ -224,38 +238,38 @@
     node: &Node,
     topic: &str,
     epoch: u64,
-    lane: &mut Lane,
+    partition: &mut PartitionState,
     records: &[KeyedRecord],
-) -> Result<Tried, Fenced> {
-    let guard = Guard::Writer { epoch, sequence: lane.sequence };
-    match node.store.append(topic, lane.part, guard, records).await {
+) -> Result<Attempt, Fenced> {
+    let guard = Guard::Writer { epoch, sequence: partition.sequence };
+    match node.store.append(topic, partition.part, guard, records).await {
         Ok(Appended::Done { offset, end }) => {
-            node.standing.note(true);
-            (lane.unanswered, lane.again_at, lane.failures) = (None, 0, 0);
-            lane.fenced = true;
-            lane.sequence += 1;
-            return Ok(Tried::Done(Place { part: lane.part, offset, end }));
+            node.store_health.record_call(true);
+            (partition.unanswered, partition.retry_at, partition.failures) = (None, 0, 0);
+            partition.fenced = true;
+            partition.sequence += 1;
+            return Ok(Attempt::Done(AppendPosition { part: partition.part, offset, end }));
         }
         Ok(Appended::Fenced) => return Err(Fenced),
         Ok(Appended::Sequence(Some(wanted))) => {
             log::warn!(
                 "journal topic={topic} part={} step=renumbered sequence={} wanted={wanted}",
-                lane.part,
-                lane.sequence,
+                partition.part,
+                partition.sequence,
             );
-            (lane.sequence, lane.unanswered) = (wanted, None);
+            (partition.sequence, partition.unanswered) = (wanted, None);
         }
         Ok(other) => log::error!("journal topic={topic} answer={other:?}"),
         Err(e) => {
-            node.standing.note(false);
-            if !e.nothing_done() {
-                lane.unanswered = Some(records.to_vec());
+            node.store_health.record_call(false);
+            if !e.was_not_executed() {
+                partition.unanswered = Some(records.to_vec());
             }
-            lane.again_at =
-                steady_ms() + (LEAVE_ALONE_MS << lane.failures.min(MOST_LANE_DOUBLINGS));
-            lane.failures += 1;
-            log::info!("journal topic={topic} part={} step=failed error=\"{e}\"", lane.part);
+            partition.retry_at = steady_ms()
+                + (PARTITION_BACKOFF_MS << partition.failures.min(MAX_BACKOFF_DOUBLINGS));
+            partition.failures += 1;
+            log::info!("journal topic={topic} part={} step=failed error=\"{e}\"", partition.part);
         }
     }
-    Ok(Tried::Failed)
+    Ok(Attempt::Failed)
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,32 +1,33 @@
-//! The job scheduler's daemon: takes callers' jobs, keeps them in the platform's store, schedules
+//! The job scheduler daemon: accepts callers' jobs, keeps them in the platform's store, schedules
 //! the pools that this node owns, and maintains VMs.
 //!
-//! All that nodes agree on goes through the store; they talk to each other only to pass calls to
-//! the store on for one that it turns away, and to ask for what one that does not read a pool's
-//! records is asked by callers. Lock order: a pool log's cursors, then its jobs, then the node's
-//! tables; no lock but a cursor's is held across an await.
+//! Nodes coordinate only through the store. They call each other directly only to forward store calls
+//! for a node that cannot reach the store, to forward submissions to a pool's owner, and to query the
+//! jobs of a pool whose records they do not follow. Lock order: a pool log's cursors, then its jobs,
+//! then the node's tables; no lock but a cursor's is held across an await.
 
 mod access;
 mod append;
-mod ask;
 mod callers;
 mod caps;
 mod clock;
+pub mod concurrency_limit;
 mod control;
+mod find_job;
 mod fleet_owner;
 mod follow;
-mod hand_over;
+mod forward;
 mod journal;
 mod listing;
 mod locks;
-mod look_up;
 mod node;
 mod overview;
-pub mod owned;
 mod owner;
+pub mod ownership_flag;
 mod peers;
 mod pool_log;
-mod question;
+mod query;
+mod query_peers;
 mod read_failures;
 mod readiness;
 mod relay;
@@ -34,11 +35,10 @@
 mod request_body;
 mod run;
 mod speed;
-mod standing;
 mod stats;
+mod store_health;
 mod submit;
-pub mod turns;
-pub mod written;
+pub mod write_outcome;
 
 pub use overview::{Overview, overview};
 pub use run::run;
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -1,4 +1,4 @@
-//! The configuration, the operator's other requests and the VMs, as the store tells them.
+//! Follows the configuration, the operator's other requests and the list of VMs in the store.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -9,36 +9,36 @@
 use thistle_schedule::{Evacuation, Halls, Ms, VmFacts};
 
 use crate::clock::steady_ms;
-use crate::follow::{News, Pace, Tail, follow, follow_while_owning};
+use crate::follow::{ReadMode, Tail, Update, follow, follow_while_owning};
 use crate::node::{Node, VmTable};
 
-/// Follows the operator's configuration, waves of maintenance and evacuated halls.
+/// Follows the operator's configuration, maintenance waves and hall evacuations.
 pub async fn follow_config(node: Arc<Node>) {
     let cx = node.clone();
-    follow(&node, Tail::new(config::TOPIC, 0), Pace::AtOnce, move |news, tail| {
-        let (records, asked_at) = match news {
-            News::Reloaded(records) => {
-                take_all_halls(&cx, &records);
+    follow(&node, Tail::new(config::TOPIC, 0), ReadMode::Immediate, move |update, tail| {
+        let (records, requested_at) = match update {
+            Update::Reloaded(records) => {
+                end_withdrawn_evacuations(&cx, &records);
                 (records, None)
             }
-            News::Records(records) => (records, Some(steady_ms())),
+            Update::Records(records) => (records, Some(steady_ms())),
         };
         for stored in records {
             if stored.record.key == config::CATALOG_KEY {
-                take_catalog(&cx, &stored);
+                apply_catalog(&cx, &stored);
             } else if let Some(wave) = config::wave_of_key(&stored.record.key) {
-                take_wave(&cx, wave, &stored, asked_at);
+                apply_wave(&cx, wave, &stored, requested_at);
             } else if let Some(hall) = config::hall_of_key(&stored.record.key) {
-                take_hall(&cx, hall, &stored);
+                apply_hall(&cx, hall, &stored);
             }
         }
-        // Only now is all that was read in force.
-        cx.note_operator_read(tail.read_at());
+        // All records of this read are applied at this point, not earlier.
+        cx.record_operator_read(tail.read_at());
     })
     .await;
 }
 
-fn take_catalog(node: &Arc<Node>, stored: &Stored) {
+fn apply_catalog(node: &Arc<Node>, stored: &Stored) {
     let Some(value) = stored.record.value() else { return };
     let mut catalog = match config::decode_catalog(value, &node.secret) {
         Ok(catalog) => catalog,
@@ -62,10 +62,10 @@
         catalog.workspaces.all().len(),
         catalog.workspaces.keys(),
     );
-    for doubt in catalog.workspaces.doubts() {
-        log::error!("config step=doubtful version={} reason=\"{doubt}\"", catalog.version);
+    for problem in catalog.workspaces.warnings() {
+        log::error!("config step=doubtful version={} reason=\"{problem}\"", catalog.version);
     }
-    catalog.workspaces.follow(before.as_ref().map(|b| &b.workspaces), catalog.version);
+    catalog.workspaces.inherit_limits(before.as_ref().map(|b| &b.workspaces), catalog.version);
     let catalog = Arc::new(catalog);
     for pool in catalog.working_pools() {
         node.pool_log(pool);
@@ -76,10 +76,10 @@
     node.catalog.send_replace(Some(catalog));
 }
 
-fn take_wave(node: &Node, wave: u64, stored: &Stored, asked_at: Option<Ms>) {
+fn apply_wave(node: &Node, wave: u64, stored: &Stored, requested_at: Option<Ms>) {
     let Some(value) = stored.record.value() else { return };
     let request = match config::decode_wave(value) {
-        Ok(request) => WaveRequest { asked_at, ..request },
+        Ok(request) => WaveRequest { requested_at, ..request },
         Err(e) => {
             log::error!("wave wave={wave} step=unreadable error=\"{}\"", e.0);
             return;
@@ -90,7 +90,7 @@
             return false;
         }
         log::info!(
-            "wave wave={} step=asked vms={} cap={} duration_ms={}",
+            "wave wave={} step=requested vms={} cap={} duration_ms={}",
             request.wave,
             request.vms.len(),
             request.cap,
@@ -101,56 +101,59 @@
     });
 }
 
-/// Takes in the evacuations that there are: those that are not among the newest records were withdrawn.
-fn take_all_halls(node: &Node, records: &[Stored]) {
-    let asked = |hall: &str| {
+/// Ends the evacuations that are not among the newest records: the operator has withdrawn them.
+fn end_withdrawn_evacuations(node: &Node, records: &[Stored]) {
+    let is_requested = |hall: &str| {
         let of_hall = |s: &&Stored| config::hall_of_key(&s.record.key) == Some(hall);
         records.iter().find(of_hall).is_some_and(|s| s.record.value().is_some())
     };
     node.halls.send_if_modified(|halls| {
-        let over: Vec<_> = halls.evacuated().filter(|e| !asked(&e.hall)).collect();
-        for Evacuation { hall, since } in &over {
+        let withdrawn: Vec<_> = halls.evacuated().filter(|e| !is_requested(&e.hall)).collect();
+        for Evacuation { hall, since } in &withdrawn {
             log::info!("hall hall={hall} step=taken-back since={since} reason=not-listed");
-            Arc::make_mut(halls).take_back(hall);
+            Arc::make_mut(halls).withdraw(hall);
         }
-        !over.is_empty()
+        !withdrawn.is_empty()
     });
 }
 
-/// Takes in that the operator asks to evacuate a hall, or takes it back. One that is not known is kept in mind all the
-/// same: its VMs may be listed later.
-fn take_hall(node: &Node, hall: &str, stored: &Stored) {
+/// Applies the operator's request to evacuate a hall or to end its evacuation. The request is kept even if the hall is
+/// unknown, because VMs of the hall may be listed later.
+fn apply_hall(node: &Node, hall: &str, stored: &Stored) {
     if hall.is_empty() {
-        log::error!("hall step=unreadable offset={} error=\"no hall is named\"", stored.offset);
+        log::error!(
+            "hall step=unreadable offset={} error=\"the key contains no hall name\"",
+            stored.offset
+        );
         return;
     }
-    let asked = stored.record.value().is_some();
+    let requested = stored.record.value().is_some();
     node.halls.send_if_modified(|halls| {
-        if asked != halls.takes_work(hall) {
+        if requested != halls.accepts_work(hall) {
             return false;
         }
-        let step = if asked { "evacuated" } else { "taken-back" };
+        let step = if requested { "evacuated" } else { "taken-back" };
         log::info!("hall hall={hall} step={step} offset={}", stored.offset);
         let halls: &mut Halls = Arc::make_mut(halls);
-        match asked {
+        match requested {
             true => halls.evacuate(Evacuation { hall: hall.into(), since: stored.offset }),
-            false => _ = halls.take_back(hall),
+            false => _ = halls.withdraw(hall),
         }
         true
     });
 }
 
-/// Follows the VM incarnations that the store lists.
+/// Follows the list of VM incarnations in the store.
 pub async fn follow_vms(node: Arc<Node>) {
-    let mut unreadable = Unreadable::default();
-    let apply = |news| {
-        let (mut table, records) = match news {
-            News::Reloaded(records) => (VmTable::new(), records),
-            News::Records(records) if records.is_empty() => return,
-            News::Records(records) => (VmTable::clone(&node.vms.borrow()), records),
+    let mut unreadable = UnreadableEntries::default();
+    let apply = |update| {
+        let (mut table, records) = match update {
+            Update::Reloaded(records) => (VmTable::new(), records),
+            Update::Records(records) if records.is_empty() => return,
+            Update::Records(records) => (VmTable::clone(&node.vms.borrow()), records),
         };
         for stored in records {
-            take_vm(&mut table, &mut unreadable, &stored);
+            apply_vm(&mut table, &mut unreadable, &stored);
         }
         // Most records are heartbeats that change nothing.
         node.vms.send_if_modified(|known| {
@@ -162,30 +165,30 @@
         });
         node.vms_listed.send_replace(true);
     };
-    let forget = || {
+    let clear = || {
         node.vms_listed.send_replace(false);
         node.vms.send_replace(Arc::default());
     };
-    follow_while_owning(&node, (listing::TOPIC, 0), Pace::Bundled, apply, forget).await;
+    follow_while_owning(&node, (listing::TOPIC, 0), ReadMode::Batched, apply, clear).await;
 }
 
-/// How many IDs of entries that cannot be read are kept in mind; of more no line is written, and all are counted.
-const MOST_UNREADABLE: usize = 1_000;
+/// How many IDs of unreadable entries are remembered. Further unreadable entries are counted but not logged.
+const MAX_UNREADABLE_IDS: usize = 1_000;
 
-/// The IDs of entries that cannot be read, so that each is told once.
+/// The IDs of unreadable entries, so that each is logged only once.
 #[derive(Default)]
-struct Unreadable(HashSet<String>);
+struct UnreadableEntries(HashSet<String>);
 
-impl Unreadable {
-    fn tell(&mut self, id: &str, offset: u64, error: &str) {
+impl UnreadableEntries {
+    fn report(&mut self, id: &str, offset: u64, error: &str) {
         counter!("thistle_unreadable_entries").increment(1);
-        if self.0.len() < MOST_UNREADABLE && self.0.insert(id.to_owned()) {
+        if self.0.len() < MAX_UNREADABLE_IDS && self.0.insert(id.to_owned()) {
             log::error!("vm step=unreadable offset={offset} error=\"{error}\"");
         }
     }
 }
 
-fn take_vm(table: &mut VmTable, unreadable: &mut Unreadable, stored: &Stored) {
+fn apply_vm(table: &mut VmTable, unreadable: &mut UnreadableEntries, stored: &Stored) {
     let id = stored.record.key.as_str();
     let Some(value) = stored.record.value() else {
         unreadable.0.remove(id);
@@ -202,8 +205,8 @@
             }
         }
         Err(e) => {
-            unreadable.tell(id, stored.offset, &e.0);
-            // What runs there goes on, but it is not to be used.
+            unreadable.report(id, stored.offset, &e.0);
+            // Tasks that run on the VM continue, but the VM gets no new tasks.
             if let Some(known) = table.get_mut(id) {
                 *known = Arc::new(VmFacts { unreadable: true, ..VmFacts::clone(known) });
             }
--- a/crates/scheduler/src/overview.rs
+++ b/crates/scheduler/src/overview.rs
@@ -1,4 +1,4 @@
-//! What the store holds of the system, for operators: read with no node's help.
+//! An overview of the system for operators, read directly from the store without the help of any node.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,30 +8,30 @@
 use thistle_platform::{Store, StoreError, config, listing};
 use thistle_schedule::fleet::{FleetRecord, PoolReport};
 use thistle_schedule::ownership::{Claim, token_of};
-use thistle_schedule::progress::Place;
+use thistle_schedule::progress::TaskPlacement;
 use thistle_schedule::quota::{CapUse, LentCap};
 use thistle_schedule::{JobId, JobLog, KeySecret, VmFacts};
 
 use crate::caps::{CAPS, LENT, LENT_PREFIX, USE_PREFIX, USES};
 use crate::control::{CLAIMS, OWNER_PREFIX, TOPIC};
-use crate::fleet_owner::{FLEET, POOL_PREFIX, RECORD, REPORTS, take_row};
-use crate::pool_log::{PROGRESS, SPARE, SPARE_PROGRESS, SUBMISSIONS, topic_of};
+use crate::fleet_owner::{FLEET, POOL_PREFIX, RECORD, REPORTS, apply_row};
+use crate::pool_log::{FALLBACK_PROGRESS, FALLBACK_SUBMISSIONS, PROGRESS, SUBMISSIONS, topic_of};
 
-/// What the store holds.
+/// The state of the system in the store.
 #[derive(Debug, Serialize)]
 pub struct Overview {
     /// The version of the configuration in force.
     version: u64,
     pools: BTreeMap<String, PoolView>,
-    /// Who owns the fleet: waves and moves.
+    /// The owner of the fleet, which runs waves and moves VMs.
     fleet_owner: Option<OwnerView>,
-    /// VMs that are worked on and why, and how far waves are.
+    /// VMs in maintenance or moving, with the reason, and the progress of waves.
     fleet: FleetRecord,
-    /// The job that was asked for, if it is known.
+    /// The requested job, if it is known.
     job: Option<JobView>,
-    /// Workspaces with caps: how these are lent, and what pools last said.
+    /// Workspaces with caps: how each cap is split, and the use that pools last reported.
     workspaces: BTreeMap<String, WorkspaceView>,
-    /// Entries of VMs that cannot be read, and why; they name no VM.
+    /// Unreadable entries of VMs, each with the reason; the VMs to which they belong are unknown.
     unreadable: Vec<String>,
 }
 
@@ -41,7 +41,7 @@
     owner: Option<OwnerView>,
     vms: Vec<String>,
     queues: Vec<String>,
-    /// What its owner reported last.
+    /// The last report of the pool's owner.
     load: Option<PoolReport>,
 }
 
@@ -66,16 +66,17 @@
     id: String,
     pool: String,
     queue: String,
-    /// Whose it is, empty if no workspace's.
+    /// The workspace of the job; empty if it has none.
     workspace: String,
     state: String,
-    /// Tasks that are not as they were at first, and where each stands.
+    /// Tasks that have left their initial state, with their current state.
     tasks: Vec<String>,
-    /// Tasks under which VMs were lost, and what that tells.
-    harms: Vec<String>,
+    /// Tasks under which VMs were lost, with their crash history and verdict.
+    #[serde(rename = "harms")]
+    crash_histories: Vec<String>,
 }
 
-/// Reads what the store holds; `job` is the ID of a job to look for.
+/// Reads the state of the system from the store; `job` is the ID of a job to find.
 pub async fn overview(store: SocketAddr, job: Option<&str>) -> Result<Overview, StoreError> {
     let store = Store::new(store);
     let mut overview = Overview {
@@ -155,8 +156,8 @@
 
     async fn read_fleet(&mut self, store: &Store) -> Result<(), StoreError> {
         for stored in store.newest(TOPIC, RECORD).await?.records {
-            let taken = take_row(&mut self.fleet, &stored);
-            taken.map_err(|e| StoreError::Malformed(e.to_string()))?;
+            let applied = apply_row(&mut self.fleet, &stored);
+            applied.map_err(|e| StoreError::Malformed(e.to_string()))?;
         }
         for stored in store.newest(TOPIC, REPORTS).await?.records {
             let Some(pool) = stored.record.key.strip_prefix(POOL_PREFIX) else { continue };
@@ -167,12 +168,12 @@
     }
 
     async fn read_caps(&mut self, store: &Store) -> Result<(), StoreError> {
-        for lent in read_all::<LentCap>(store, LENT, LENT_PREFIX).await? {
+        for lent in read_cap_records::<LentCap>(store, LENT, LENT_PREFIX).await? {
             let name = lent.workspace.clone();
             self.workspaces.entry(name).or_default().lent = Some(lent);
         }
-        for said in read_all::<CapUse>(store, USES, USE_PREFIX).await? {
-            self.workspaces.entry(said.workspace.clone()).or_default().uses.push(said);
+        for reported in read_cap_records::<CapUse>(store, USES, USE_PREFIX).await? {
+            self.workspaces.entry(reported.workspace.clone()).or_default().uses.push(reported);
         }
         Ok(())
     }
@@ -180,7 +181,7 @@
     async fn read_job(&mut self, store: &Store, id: JobId) -> Result<(), StoreError> {
         for pool in self.pools.keys().cloned().collect::<Vec<_>>() {
             let mut log = JobLog::default();
-            for part in [SUBMISSIONS, SPARE, PROGRESS, SPARE_PROGRESS] {
+            for part in [SUBMISSIONS, FALLBACK_SUBMISSIONS, PROGRESS, FALLBACK_PROGRESS] {
                 for stored in store.newest(&topic_of(&pool), part).await?.records {
                     log.apply(&stored.record.key, stored.record.value())
                         .map_err(|e| StoreError::Malformed(e.0))?;
@@ -188,22 +189,23 @@
             }
             let Some(entry) = log.get(id) else { continue };
             let Some((spec, state)) = entry.spec.as_ref().zip(entry.state()) else { continue };
-            let harm = |h: &thistle_schedule::harm::HarmRecord| {
+            let history = |h: &thistle_schedule::crash_history::CrashHistoryRecord| {
                 let name = format!("{id}.{}.{}.{}", h.time, h.step, h.index);
-                let (crashes, at_start, alone) = (h.harm.crashes, h.harm.at_start, h.harm.alone);
+                let (crashes, at_start, alone) =
+                    (h.crash_history.crashes, h.crash_history.at_start, h.crash_history.alone);
                 let unclear: Vec<&str> =
-                    h.harm.unclear.iter().map(|loss| loss.vm.as_str()).collect();
+                    h.crash_history.unclear.iter().map(|loss| loss.vm.as_str()).collect();
                 format!(
-                    "{name} VMs that crashed under it: {crashes}, right after its start: {at_start}, alone there: {alone}, \
-                     not known yet: {unclear:?}, verdict {:?}",
-                    h.harm.verdict()
+                    "{name} VMs that crashed under it: {crashes}, soon after its start: {at_start}, of these with no other job's \
+                     task: {alone}, unclear losses: {unclear:?}, verdict {:?}",
+                    h.crash_history.verdict()
                 )
             };
             let task = |t: &thistle_schedule::progress::TaskRecord| {
-                let place = match &t.place {
-                    Place::Waiting => "waits".to_owned(),
-                    Place::Done => "done".to_owned(),
-                    Place::On(vm) => format!("on {vm}"),
+                let place = match &t.placement {
+                    TaskPlacement::Waiting => "waits".to_owned(),
+                    TaskPlacement::Done => "done".to_owned(),
+                    TaskPlacement::On(vm) => format!("on {vm}"),
                 };
                 let name = format!("{id}.{}.{}.{}", t.time, t.step, t.index);
                 format!("{name} attempt {} failures {} {place}", t.attempt, t.failures)
@@ -215,7 +217,7 @@
                 workspace: spec.workspace.clone(),
                 state: format!("{state:?}").to_lowercase(),
                 tasks: entry.progress.tasks.iter().map(task).collect(),
-                harms: entry.progress.harms.iter().map(harm).collect(),
+                crash_histories: entry.progress.crash_histories.iter().map(history).collect(),
             });
             return Ok(());
         }
@@ -223,8 +225,8 @@
     }
 }
 
-/// Reads the newest record of each key of a partition of the caps' records.
-async fn read_all<T: serde::de::DeserializeOwned>(
+/// Reads the newest record of each key from a partition with records about caps.
+async fn read_cap_records<T: serde::de::DeserializeOwned>(
     store: &Store,
     part: u32,
     prefix: &str,
@@ -247,12 +249,16 @@
     )?;
     for share in &lent.shares {
         write!(f, "  pool {} lent {} cpu, {} MB", share.pool, share.room.cpu, share.room.mem_mb)?;
-        match view.uses.iter().find(|said| said.pool == share.pool) {
-            Some(said) => {
-                let (used, wanted) = (said.used.cpu, said.wanted.cpu);
-                writeln!(f, "; said by split {}: uses {used} cpu, wants {wanted}", said.number)?;
+        match view.uses.iter().find(|reported| reported.pool == share.pool) {
+            Some(reported) => {
+                let (used, wanted) = (reported.used.cpu, reported.wanted.cpu);
+                writeln!(
+                    f,
+                    "; reported for split {}: uses {used} cpu, wants {wanted}",
+                    reported.number
+                )?;
             }
-            None => writeln!(f, "; said nothing")?,
+            None => writeln!(f, "; no report")?,
         }
     }
     Ok(())
@@ -264,9 +270,9 @@
 
 fn write_owner(f: &mut fmt::Formatter<'_>, owner: Option<&OwnerView>) -> fmt::Result {
     match owner {
-        Some(owner) if owner.released => writeln!(f, "  given up by {}", owner.node),
+        Some(owner) if owner.released => writeln!(f, "  released by {}", owner.node),
         Some(owner) => writeln!(f, "  owned by {} token {}", owner.node, owner.token),
-        None => writeln!(f, "  without an owner"),
+        None => writeln!(f, "  no owner"),
     }
 }
 
@@ -306,7 +312,7 @@
         if let Some(job) = &self.job {
             let JobView { id, state, queue, pool, workspace, .. } = job;
             writeln!(f, "job {id} {state} queue {queue} pool {pool} workspace {workspace}")?;
-            for task in job.tasks.iter().chain(&job.harms) {
+            for task in job.tasks.iter().chain(&job.crash_histories) {
                 writeln!(f, "  {task}")?;
             }
         }
--- a/crates/scheduler/src/owner/advisor.rs
+++ b/crates/scheduler/src/owner/advisor.rs
@@ -1,65 +1,65 @@
-//! Asking the service that knows the policies of queues.
+//! Requests to the advice service, which knows the policies of queues.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use metrics::counter;
 use thistle_platform::AdviceClient;
-use thistle_schedule::pool::Question;
+use thistle_schedule::pool::AdviceRequest;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
 use super::{Event, Tickets};
 use crate::node::Node;
 
-/// Asks one question after the other: the service handles one at a time of each node anyway.
+/// Sends advice requests one at a time, as the service handles only one request of a node at a time.
 pub(super) struct Advisor {
-    tx: Option<UnboundedSender<Question>>,
+    tx: Option<UnboundedSender<AdviceRequest>>,
 }
 
 impl Advisor {
-    /// Starts the task that asks, if there is such a service.
+    /// Starts the task that sends requests, if an advice service is configured.
     pub fn start(node: &Arc<Node>, events: UnboundedSender<Event>) -> Self {
         let Some(addr) = node.settings.advice else { return Self { tx: None } };
         let (tx, rx) = unbounded_channel();
-        // It ends when this side is dropped.
-        tokio::spawn(ask_all(AdviceClient::new(addr), rx, events));
+        // The task ends when the sender is dropped.
+        tokio::spawn(send_requests(AdviceClient::new(addr), rx, events));
         Self { tx: Some(tx) }
     }
 
-    /// Asks a question; the answer comes as an event.
-    pub fn ask(&self, question: Question) {
+    /// Queues a request; its answer arrives as an event.
+    pub fn send(&self, request: AdviceRequest) {
         match &self.tx {
             Some(tx) => {
-                // The task lives as long as this side.
-                let _ = tx.send(question);
+                // The task runs for as long as the sender exists.
+                let _ = tx.send(request);
             }
             None => log::error!(
                 "advice job={} step=no-service: set 'advice' in the settings",
-                question.step.job
+                request.step.job
             ),
         }
     }
 }
 
-async fn ask_all(
+async fn send_requests(
     client: AdviceClient,
-    mut rx: UnboundedReceiver<Question>,
+    mut rx: UnboundedReceiver<AdviceRequest>,
     events: UnboundedSender<Event>,
 ) {
-    while let Some(question) = rx.recv().await {
-        let step = question.step;
-        let answer = ask(&client, &question).await;
+    while let Some(request) = rx.recv().await {
+        let step = request.step;
+        let answer = request_advice(&client, &request).await;
         if events.send(Event::Advised(step, answer)).is_err() {
             return;
         }
     }
 }
 
-async fn ask(client: &AdviceClient, question: &Question) -> Option<Tickets> {
+async fn request_advice(client: &AdviceClient, request: &AdviceRequest) -> Option<Tickets> {
     counter!("thistle_advice_calls").increment(1);
-    let decides_in = question.policy.decides_in_ms(question.vms.len());
-    let step = (question.step.job, question.step.time, question.step.step);
-    match client.ask(step, &question.vms, Duration::from_millis(decides_in)).await {
+    let decides_in = request.policy.decides_in_ms(request.vms.len());
+    let step = (request.step.job, request.step.time, request.step.step);
+    match client.request(step, &request.vms, Duration::from_millis(decides_in)).await {
         Ok(advice) => {
             let tickets = advice.tickets.into_iter().map(|t| (t.vm, t.text)).collect();
             Some((tickets, u64::try_from(advice.valid.as_millis()).unwrap_or(0)))
--- a/crates/scheduler/src/owner/mod.rs
+++ b/crates/scheduler/src/owner/mod.rs
@@ -1,15 +1,15 @@
-//! Owning a pool: its schedule, its records and the links to its VMs.
+//! The owner of a pool: runs its schedule, writes its records and keeps the links to its VMs.
 
 mod advisor;
+mod incarnation_times;
 mod link;
-mod lives;
 mod losses;
 mod progress;
 mod purge;
 mod quota;
 mod report;
 mod start;
-mod tell;
+mod telemetry;
 mod tokens;
 mod vms;
 
@@ -19,7 +19,7 @@
 
 use metrics::counter;
 use thistle_schedule::pool::{Order, StartResult, StepId};
-use thistle_schedule::{LogChange, Ms, Pool, RunId, VmLife, VmLoss, VmReport};
+use thistle_schedule::{LogChange, Ms, Pool, RunId, VmIncarnation, VmLoss, VmReport};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 
 use crate::clock::{now, steady_ms};
@@ -27,51 +27,51 @@
 use crate::node::Node;
 use crate::pool_log::PoolLog;
 use advisor::Advisor;
+use incarnation_times::IncarnationTimes;
 use link::Link;
-use lives::Lives;
-use losses::{LossNumber, Losses};
+use losses::{LossCounter, LossNumber};
 use progress::ProgressWriter;
 use quota::Quota;
 use report::Reporter;
-use tell::{log_ends, log_report_news};
+use telemetry::{log_ends, log_report_changes};
 use tokens::LinkTokens;
 
 pub use start::run;
 
-/// How often the schedule is looked at when nothing happens.
+/// The longest time between two steps of the schedule when no event arrives.
 const TICK: Duration = Duration::from_millis(100);
-/// How often all VMs are looked at, in milliseconds: at each step it was most of what a step of a
-/// large pool costs.
-const LOOK_EVERY_MS: Ms = 100;
-/// What an owner takes in.
+/// How often all VMs are checked, in milliseconds. Checking them at each step is most of the cost of a step in a
+/// large pool.
+const VM_CHECK_EVERY_MS: Ms = 100;
+/// An event that the owner handles.
 #[derive(Debug)]
 pub enum Event {
-    /// A submission or a cancel was read.
+    /// A submission or a cancellation was read.
     Log(LogChange),
-    /// A VM answered what runs there.
-    Report(VmLife, VmReport),
-    /// A start has come to something.
-    Started(VmLife, RunId, StartResult),
-    /// A stop was answered.
-    Stopped(VmLife, RunId),
-    /// A VM answers, or does not.
-    Reachable(VmLife, bool),
-    /// Nothing runs on a VM any more; the number of this loss.
-    Lost(VmLife, VmLoss, LossNumber),
-    /// A life of a VM is over, as the VM has started again under its ID as another one; the number of this loss.
-    Restarted(VmLife, VmLife, LossNumber),
-    /// A VM has seen a higher token.
-    Fenced(VmLife),
-    /// A question about a step was answered, or not.
+    /// A VM reported its running and ended tasks.
+    Report(VmIncarnation, VmReport),
+    /// The result of a start order is known.
+    Started(VmIncarnation, RunId, StartResult),
+    /// A VM acknowledged a stop order.
+    Stopped(VmIncarnation, RunId),
+    /// A VM became reachable or unreachable.
+    Reachable(VmIncarnation, bool),
+    /// A VM was lost and none of its runs continues; the last field numbers this loss.
+    Lost(VmIncarnation, VmLoss, LossNumber),
+    /// A VM restarted under its ID: its previous incarnation, its next incarnation and the number of this loss.
+    Restarted(VmIncarnation, VmIncarnation, LossNumber),
+    /// A VM rejected a call because it has seen a higher token.
+    Fenced(VmIncarnation),
+    /// An advice request for a step was answered, or failed.
     Advised(StepId, Option<Tickets>),
-    /// The newest records of how caps are lent were read.
+    /// The newest records of the cap shares lent to pools were read.
     LentRead,
-    /// What was said of the use of caps may not have arrived.
-    CapUseNotSaid,
+    /// A report of cap use may not have been written.
+    CapUseNotWritten,
 }
 
-/// VMs that may run a step with their tickets, and for how long, in milliseconds.
-pub type Tickets = (Vec<(VmLife, String)>, Ms);
+/// The VMs that may run a step with their tickets, and how long the tickets are valid, in milliseconds.
+pub type Tickets = (Vec<(VmIncarnation, String)>, Ms);
 
 /// The owner of a pool.
 struct Owner {
@@ -81,20 +81,20 @@
     pool: Pool,
     journal: Journal,
     writer: ProgressWriter,
-    /// The links by the VMs' IDs: one to each VM, whichever of its lives it is in.
+    /// The links by VM ID: one for each VM, to its current incarnation.
     links: HashMap<Arc<str>, Link>,
     tokens: LinkTokens,
-    losses: Arc<Losses>,
-    lives: Lives,
-    /// When runs on VMs that cannot be asked are surely over.
-    orphans: HashMap<VmLife, Ms>,
+    losses: Arc<LossCounter>,
+    incarnation_times: IncarnationTimes,
+    /// The times by which the leases of VMs without a link have ended.
+    orphans: HashMap<VmIncarnation, Ms>,
     tx: UnboundedSender<Event>,
     purged_at: Ms,
     reporter: Reporter,
     advisor: Advisor,
     quota: Quota,
-    /// When what changes slowly was last looked at.
-    looked_at: Ms,
+    /// When all VMs were last checked.
+    vms_checked_at: Ms,
 }
 
 impl Owner {
@@ -110,35 +110,35 @@
         loop {
             let pause = self.pause();
             tokio::select! {
-                Some(event) = rx.recv() => self.take(event)?,
+                Some(event) = rx.recv() => self.handle_event(event)?,
                 Ok(()) = vms.changed() => {
                     let table = vms.borrow_and_update().clone();
-                    self.list_vms(&table);
+                    self.apply_vm_list(&table);
                 }
                 Ok(()) = fleet.changed() => {
                     let record = fleet.borrow_and_update().clone();
                     let cordoned = record.cordoned_in(&self.log.pool);
                     self.pool.set_cordoned(cordoned.map(Arc::from).collect());
-                    self.pool.set_hurried(record.moving().map(Arc::from).collect());
-                    self.pool.set_due(record.due().map(Arc::from).collect());
+                    self.pool.set_urgent(record.moving().map(Arc::from).collect());
+                    self.pool.set_due_for_maintenance(record.due_in_waves().map(Arc::from).collect());
                 }
                 Ok(()) = catalog.changed() => {
                     catalog.mark_unchanged();
-                    self.take_caps();
+                    self.apply_workspaces();
                 }
                 Ok(()) = lent.changed() => {
                     lent.mark_unchanged();
-                    self.take_lent();
+                    self.apply_lent_shares();
                 }
-                // They are taken in with each step.
+                // Each step reads the current state of the halls.
                 Ok(()) = halls.changed() => halls.mark_unchanged(),
                 () = tokio::time::sleep(pause) => (),
             }
-            // What has piled up meanwhile is decided on together.
+            // Handle all queued events before the next step, so that it decides on them together.
             while let Ok(event) = rx.try_recv() {
-                self.take(event)?;
+                self.handle_event(event)?;
             }
-            self.drop_orphans();
+            self.expire_orphans();
             if self.node.may_act(&self.log.pool, self.token) {
                 self.step().await?;
             }
@@ -151,7 +151,7 @@
         TICK.min(Duration::from_millis(due.max(1)))
     }
 
-    fn take(&mut self, event: Event) -> Result<(), Fenced> {
+    fn handle_event(&mut self, event: Event) -> Result<(), Fenced> {
         let now = now();
         match event {
             Event::Log(LogChange::Submitted(id)) => {
@@ -167,34 +167,34 @@
             }
             Event::Report(vm, report) => {
                 log_ends(&vm, &report);
-                let news = self.pool.report(&vm, &report, now);
-                log_report_news(&vm, &news);
+                let changes = self.pool.apply_report(&vm, &report, now);
+                log_report_changes(&vm, &changes);
             }
             Event::Started(vm, run, result) => {
                 if result != StartResult::Started {
                     log::info!("start step={result:?} run={run} vm={vm}");
                 }
-                self.pool.start_result(&vm, run, result, now);
+                self.pool.apply_start_result(&vm, run, result, now);
             }
-            Event::Stopped(vm, run) => self.pool.stop_answered(&vm, run, now),
+            Event::Stopped(vm, run) => self.pool.record_stop_answer(&vm, run, now),
             Event::Reachable(vm, reachable) => {
                 log::info!("vm step=reachable vm={vm} reachable={reachable}");
                 self.pool.set_reachable(&vm, reachable, now);
                 if !reachable {
-                    self.look_for_successor(&vm);
+                    self.check_for_successor(&vm);
                 }
             }
             Event::Lost(vm, loss, number) => {
                 if let Some(link) = self.link_mut(&vm) {
-                    link.take_in_loss(number);
+                    link.set_handled_loss(number);
                 }
                 self.lose_vm(&vm, loss);
             }
-            Event::Restarted(vm, life, number) => {
+            Event::Restarted(vm, next, number) => {
                 if let Some(link) = self.link_mut(&vm) {
-                    link.take_in_loss(number);
+                    link.set_handled_loss(number);
                 }
-                self.take_restart(&vm, &life);
+                self.handle_restart(&vm, &next);
             }
             Event::Advised(step, answer) => {
                 let good = answer.as_ref().map(|(tickets, _)| tickets.len());
@@ -204,10 +204,10 @@
                     step.time,
                     step.step
                 );
-                self.pool.advised(step, answer, now);
+                self.pool.apply_advice(step, answer, now);
             }
-            Event::LentRead => self.lent_read(),
-            Event::CapUseNotSaid => self.pool.cap_use_not_said(),
+            Event::LentRead => self.handle_lent_read(),
+            Event::CapUseNotWritten => self.pool.cap_use_report_lost(),
             Event::Fenced(vm) => {
                 log::warn!("vm step=fenced vm={vm} token={}", self.token);
                 return Err(Fenced);
@@ -216,14 +216,14 @@
         Ok(())
     }
 
-    /// Decides, writes what was decided, and only then lets orders and acknowledgements go.
+    /// Plans, writes the plan's records to the store, and only then sends orders and acknowledgements.
     async fn step(&mut self) -> Result<(), Fenced> {
-        self.pool.set_listing_is_sound(self.node.standing.listing_is_sound());
+        self.pool.set_listing_is_complete(self.node.store_health.listing_is_complete());
         self.pool.set_halls(self.node.halls.borrow().clone(), self.node.halls_known());
         let orders = self.pool.plan(now());
         let records = self.pool.take_records();
         let acks = self.pool.take_acks();
-        self.tell_given_up();
+        self.log_abandoned_tasks();
         if !records.is_empty() {
             self.write_progress(records).await?;
         }
@@ -235,11 +235,11 @@
         for order in orders {
             self.dispatch(order);
         }
-        self.look_at_vms();
-        self.say_cap_use();
-        self.report();
-        // What can wait is written when orders are out, and not beside a slow store: up to three appends of a quarter of a
-        // second each stood before the orders of each step.
+        self.check_vms();
+        self.report_cap_use();
+        self.report_load();
+        // Repairs and purges run after the orders are sent, and not while the store is slow: up to three appends of a
+        // quarter of a second each would delay the orders of each step.
         if self.node.store.is_slow() {
             return Ok(());
         }
@@ -247,35 +247,35 @@
         self.purge().await
     }
 
-    /// Looks at all VMs, for what need not be known at each step.
-    fn look_at_vms(&mut self) {
+    /// Checks all VMs for changes that need not be handled at each step.
+    fn check_vms(&mut self) {
         let now = steady_ms();
-        if now.saturating_sub(self.looked_at) < LOOK_EVERY_MS {
+        if now.saturating_sub(self.vms_checked_at) < VM_CHECK_EVERY_MS {
             return;
         }
-        self.looked_at = now;
-        self.drop_links();
+        self.vms_checked_at = now;
+        self.close_unused_links();
         for link in self.links.values() {
-            link.watch(self.pool.watch(link.vm()));
+            link.set_poll_reason(self.pool.poll_reason(link.vm()));
         }
-        self.tell_load();
+        self.update_load_metrics();
     }
 
     fn dispatch(&mut self, order: Order) {
         let vm = match &order {
             Order::Start(start) => &start.vm,
-            Order::Stop { vm, .. } | Order::Pace { vm, .. } => vm,
-            Order::Ask(question) => {
-                self.advisor.ask(question.clone());
+            Order::Stop { vm, .. } | Order::Throttle { vm, .. } => vm,
+            Order::RequestAdvice(request) => {
+                self.advisor.send(request.clone());
                 return;
             }
         };
         let Some(link) = self.link(vm) else {
             log::warn!("order step=no-link vm={vm}");
             if let Order::Start(start) = &order {
-                // It was never sent.
+                // The order was never sent.
                 let (vm, run) = (start.vm.clone(), start.run);
-                self.pool.start_result(&vm, run, StartResult::NotTaken, now());
+                self.pool.apply_start_result(&vm, run, StartResult::NotTaken, now());
             }
             return;
         };
@@ -297,11 +297,11 @@
                 counter!("thistle_stops").increment(1);
                 link.stop(run);
             }
-            Order::Pace { vm, run, percent } => {
+            Order::Throttle { vm, run, percent } => {
                 log::info!("pace step=ordered run={run} vm={vm} percent={percent}");
-                link.pace(run, percent);
+                link.set_speed(run, percent);
             }
-            Order::Ask(_) => (),
+            Order::RequestAdvice(_) => (),
         }
     }
 }
--- a/crates/scheduler/src/owner/progress.rs
+++ b/crates/scheduler/src/owner/progress.rs
@@ -1,4 +1,4 @@
-//! Writing how far jobs are.
+//! Writes the progress of jobs to the store.
 
 use std::collections::BTreeSet;
 
@@ -9,46 +9,48 @@
 
 use super::Owner;
 use crate::clock::steady_ms;
-use crate::control::announce;
-use crate::journal::{Fenced, PAUSE};
-use crate::pool_log::{FURTHER_PROGRESS, PROGRESS};
+use crate::control::announce_overflow;
+use crate::journal::{Fenced, RETRY_PAUSE};
+use crate::pool_log::{OVERFLOW_PROGRESS, PROGRESS};
 
-/// Jobs whose progress is written to the first partition again in one go.
+/// The most jobs whose progress is copied back to the first partition in one step.
 const REPAIR_BATCH: usize = 200;
 
-/// How often the further partitions are opened or given up at most, in milliseconds: each try is a call that others' claims
-/// have to go round.
-const LANES_EVERY_MS: Ms = 300;
-/// For how long the further partitions must not have been written to before they are given up, in milliseconds: an outage of
-/// the store comes in pieces.
-const LANES_QUIET_MS: Ms = 3_000;
+/// The shortest time between two attempts to open or close the overflow partitions, in milliseconds: each attempt is
+/// an append to the partition of claims and may make other nodes retry theirs.
+const OVERFLOW_RETRY_MS: Ms = 300;
+/// How long the overflow partitions must have no writes before they are closed, in milliseconds, as an outage of the
+/// store may pause and resume.
+const OVERFLOW_IDLE_MS: Ms = 3_000;
 
-/// The numbering of an owner's records, and where they went.
+/// Numbers the owner's progress records and tracks which partitions hold them.
 #[derive(Debug)]
 pub(super) struct ProgressWriter {
     next: Version,
-    /// Jobs whose progress stands elsewhere and is to be written to the first partition, and where it stands.
-    spilled: BTreeSet<(JobId, u32)>,
-    /// Progress that may be dropped where it stands.
-    repaired: BTreeSet<(JobId, u32)>,
-    /// The further partitions may hold progress, by what this owner or its predecessor told.
-    further_told: bool,
-    /// When they were last opened, or written to.
-    further_at: Ms,
-    /// When they were last tried to be opened or given up.
-    lanes_tried_at: Ms,
+    /// Jobs whose newest progress is in a fallback or overflow partition and must be copied to the first one, with
+    /// that partition.
+    overflowed: BTreeSet<(JobId, u32)>,
+    /// Jobs whose progress in a fallback or overflow partition is outdated and may be dropped, with that partition.
+    outdated: BTreeSet<(JobId, u32)>,
+    /// Whether this owner or its predecessor announced that the overflow partitions may hold progress.
+    overflow_announced: bool,
+    /// When the overflow partitions were last opened or written to.
+    overflow_used_at: Ms,
+    /// When opening or closing the overflow partitions was last attempted.
+    overflow_tried_at: Ms,
 }
 
 impl ProgressWriter {
-    /// Makes the writer of a new owner; `spilled` is what its predecessors left elsewhere.
-    pub fn new(token: u64, spilled: BTreeSet<(JobId, u32)>, further_told: bool) -> Self {
+    /// Creates the writer of a new owner; `overflowed` lists the progress that its predecessors left outside the
+    /// first partition.
+    pub fn new(token: u64, overflowed: BTreeSet<(JobId, u32)>, overflow_announced: bool) -> Self {
         Self {
             next: Version { token, number: 0 },
-            spilled,
-            repaired: BTreeSet::new(),
-            further_told,
-            further_at: 0,
-            lanes_tried_at: 0,
+            overflowed,
+            outdated: BTreeSet::new(),
+            overflow_announced,
+            overflow_used_at: 0,
+            overflow_tried_at: 0,
         }
     }
 
@@ -57,46 +59,46 @@
         self.next
     }
 
-    /// Takes in where progress of some jobs was written.
-    fn note_written(&mut self, ids: impl Iterator<Item = JobId>, part: u32) {
-        if FURTHER_PROGRESS.contains(&part) {
-            self.further_at = steady_ms();
+    /// Records to which partition the progress of some jobs was written.
+    fn record_written(&mut self, ids: impl Iterator<Item = JobId>, part: u32) {
+        if OVERFLOW_PROGRESS.contains(&part) {
+            self.overflow_used_at = steady_ms();
         }
         for id in ids {
             if part != PROGRESS {
-                self.repaired.remove(&(id, part));
-                self.spilled.insert((id, part));
+                self.outdated.remove(&(id, part));
+                self.overflowed.insert((id, part));
                 continue;
             }
             let stale: Vec<(JobId, u32)> =
-                self.spilled.range((id, 0)..=(id, u32::MAX)).copied().collect();
-            for place in stale {
-                self.spilled.remove(&place);
-                self.repaired.insert(place);
+                self.overflowed.range((id, 0)..=(id, u32::MAX)).copied().collect();
+            for entry in stale {
+                self.overflowed.remove(&entry);
+                self.outdated.insert(entry);
             }
         }
     }
 
-    /// Returns whether nothing stands in the further partitions any more, and nothing was written there for a while.
-    fn further_are_empty(&self) -> bool {
-        let mut places = self.spilled.iter().chain(&self.repaired);
-        let quiet = steady_ms().saturating_sub(self.further_at) >= LANES_QUIET_MS;
-        quiet && !places.any(|(_, part)| FURTHER_PROGRESS.contains(part))
+    /// Returns whether the overflow partitions hold no progress and have had no writes for a while.
+    fn overflow_is_empty(&self) -> bool {
+        let mut entries = self.overflowed.iter().chain(&self.outdated);
+        let quiet = steady_ms().saturating_sub(self.overflow_used_at) >= OVERFLOW_IDLE_MS;
+        quiet && !entries.any(|(_, part)| OVERFLOW_PROGRESS.contains(part))
     }
 
-    /// Returns whether they may be opened or given up now.
-    fn may_try_lanes(&mut self) -> bool {
+    /// Returns whether the overflow partitions may be opened or closed now, and if so records the attempt.
+    fn may_try_overflow(&mut self) -> bool {
         let now = steady_ms();
-        let may = now.saturating_sub(self.lanes_tried_at) >= LANES_EVERY_MS;
+        let may = now.saturating_sub(self.overflow_tried_at) >= OVERFLOW_RETRY_MS;
         if may {
-            self.lanes_tried_at = now;
+            self.overflow_tried_at = now;
         }
         may
     }
 }
 
 impl Owner {
-    /// Writes how far jobs are, in as many appends as they need.
+    /// Writes the progress of jobs, in as many appends as needed.
     pub(super) async fn write_progress(
         &mut self,
         records: Vec<(JobId, Progress)>,
@@ -125,77 +127,79 @@
         batch: Vec<(JobId, Version, Progress)>,
         keyed: &[KeyedRecord],
     ) -> Result<(), Fenced> {
-        let place = loop {
-            if let Some(place) = self.journal.try_append(&self.node, keyed).await? {
-                break place;
+        let position = loop {
+            if let Some(position) = self.journal.try_append(&self.node, keyed).await? {
+                break position;
             }
-            self.open_further_lanes().await;
-            tokio::time::sleep(PAUSE).await;
+            self.open_overflow_partitions().await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         };
-        self.writer.note_written(batch.iter().map(|(id, ..)| *id), place.part);
-        if place.part != PROGRESS {
+        self.writer.record_written(batch.iter().map(|(id, ..)| *id), position.part);
+        if position.part != PROGRESS {
             counter!("thistle_spare_progress").increment(1);
-            let (pool, part) = (&self.log.pool, place.part);
+            let (pool, part) = (&self.log.pool, position.part);
             log::info!("progress step=spare pool={pool} part={part} jobs={}", batch.len());
         }
-        self.log.apply_progress(batch, place).await;
+        self.log.apply_progress(batch, position).await;
         Ok(())
     }
 
-    /// Has progress written to further partitions, as none of the usual ones takes it: without them a pool stood still for
-    /// 5.7 s at the onset of its turn, and earned 0.37 of what its kind of request is owed on that day.
-    async fn open_further_lanes(&mut self) {
-        let is_open = self.journal.parts().any(|part| FURTHER_PROGRESS.contains(&part));
-        if is_open || !self.writer.may_try_lanes() {
+    /// Opens the overflow partitions because neither the first nor the fallback partition accepts progress. Without
+    /// them, a pool stalls for 5.7 s at the onset of its peak load, and its kind of request earns 0.37 of the value due
+    /// on that day.
+    async fn open_overflow_partitions(&mut self) {
+        let is_open = self.journal.parts().any(|part| OVERFLOW_PROGRESS.contains(&part));
+        if is_open || !self.writer.may_try_overflow() {
             return;
         }
-        if announce(&self.node, &self.log.pool, self.token, true).await {
-            self.writer.further_told = true;
-            self.writer.further_at = steady_ms();
-            self.journal.add_lanes(&FURTHER_PROGRESS);
+        if announce_overflow(&self.node, &self.log.pool, self.token, true).await {
+            self.writer.overflow_announced = true;
+            self.writer.overflow_used_at = steady_ms();
+            self.journal.add_partitions(&OVERFLOW_PROGRESS);
         }
     }
 
-    /// Gives the further partitions up once nothing stands there any more.
-    async fn close_further_lanes(&mut self) {
-        let done = self.writer.further_told && self.writer.further_are_empty();
-        if !done || !self.journal.first_takes_records() || !self.writer.may_try_lanes() {
+    /// Closes the overflow partitions once they hold no progress.
+    async fn close_overflow_partitions(&mut self) {
+        let done = self.writer.overflow_announced && self.writer.overflow_is_empty();
+        if !done || !self.journal.first_partition_is_due() || !self.writer.may_try_overflow() {
             return;
         }
-        // Nothing more is written there before it is told that nothing stands there.
-        self.journal.close_lanes(&FURTHER_PROGRESS);
-        self.writer.further_told = !announce(&self.node, &self.log.pool, self.token, false).await;
+        // Stop writing to them before announcing that they are empty.
+        self.journal.close_partitions(&OVERFLOW_PROGRESS);
+        self.writer.overflow_announced =
+            !announce_overflow(&self.node, &self.log.pool, self.token, false).await;
     }
 
-    /// Writes what went elsewhere to the first partition, once it takes records, and drops it there: other nodes
-    /// read the first one only.
+    /// Copies progress from the fallback and overflow partitions to the first one once that accepts records, and
+    /// drops the originals: other nodes read only the first partition.
     pub(super) async fn repair_progress(&mut self) -> Result<(), Fenced> {
-        self.close_further_lanes().await;
-        if !self.writer.spilled.is_empty() && self.journal.first_takes_records() {
-            let mut ids: Vec<JobId> = self.writer.spilled.iter().map(|&(id, _)| id).collect();
+        self.close_overflow_partitions().await;
+        if !self.writer.overflowed.is_empty() && self.journal.first_partition_is_due() {
+            let mut ids: Vec<JobId> = self.writer.overflowed.iter().map(|&(id, _)| id).collect();
             ids.dedup();
             ids.truncate(REPAIR_BATCH);
-            let again = self.known_progress(&ids);
-            log::info!("progress step=repair pool={} jobs={}", self.log.pool, again.len());
-            // What is not known any more was dropped with its submission.
-            let gone = ids.into_iter().filter(|id| !again.iter().any(|(known, _)| known == id));
-            self.writer.note_written(gone, PROGRESS);
-            self.write_progress(again).await?;
+            let copies = self.known_progress(&ids);
+            log::info!("progress step=repair pool={} jobs={}", self.log.pool, copies.len());
+            // Progress of an unknown job was dropped together with its submission.
+            let gone = ids.into_iter().filter(|id| !copies.iter().any(|(known, _)| known == id));
+            self.writer.record_written(gone, PROGRESS);
+            self.write_progress(copies).await?;
         }
-        self.drop_repaired().await
+        self.drop_outdated().await
     }
 
-    /// Drops progress that stands in the first partition by now where else it stands.
-    async fn drop_repaired(&mut self) -> Result<(), Fenced> {
-        let mut parts: Vec<u32> = self.writer.repaired.iter().map(|&(_, part)| part).collect();
+    /// Drops progress in the fallback and overflow partitions that was copied to the first one.
+    async fn drop_outdated(&mut self) -> Result<(), Fenced> {
+        let mut parts: Vec<u32> = self.writer.outdated.iter().map(|&(_, part)| part).collect();
         parts.sort_unstable();
         parts.dedup();
         for part in parts {
-            let here = self.writer.repaired.iter().filter(|(_, p)| *p == part);
+            let entries = self.writer.outdated.iter().filter(|(_, p)| *p == part);
             let drops: Vec<KeyedRecord> =
-                here.map(|&(id, _)| KeyedRecord::dropping(progress_key(id))).collect();
+                entries.map(|&(id, _)| KeyedRecord::deleting(progress_key(id))).collect();
             if self.journal.append_to_part(&self.node, part, &drops).await? {
-                self.writer.repaired.retain(|(_, p)| *p != part);
+                self.writer.outdated.retain(|(_, p)| *p != part);
             }
         }
         Ok(())
--- a/crates/scheduler/src/owner/report.rs
+++ b/crates/scheduler/src/owner/report.rs
@@ -1,4 +1,4 @@
-//! Telling the owner of the fleet how a pool is doing.
+//! Reports the load of a pool to the owner of the fleet.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,37 +13,37 @@
 use crate::control::{TOPIC, to_json};
 use crate::fleet_owner::{REPORTS, pool_key};
 
-/// How often a report goes out at most, in milliseconds, if a VM has become empty or the pool needs
-/// many more. With what follows nodes, by what they need, calls to the store fell from 365 to 280 a
-/// second on a calm day of 49 VMs and nine nodes.
-const AT_ONCE_MS: Ms = 50;
-/// How often otherwise, if VMs have become idle or busy, or the need is another.
-const EVERY_MS: Ms = 250;
-/// How often if nothing but the work on its VMs has changed.
-const SELDOM_MS: Ms = 1_000;
-/// A need that has grown by this part is told at once: one of so many.
-const JUMP_PART: u64 = 8;
-/// What changes by less is no news, in thousandths of a core.
-const CORE: u64 = 1_000;
+/// The shortest time between two reports, in milliseconds, if a VM has become empty or the pool needs many more VMs.
+/// These intervals, together with following the store's records only on the nodes that need them, cut calls to the
+/// store from 365 to 280 a second on a calm day of 49 VMs and nine nodes.
+const URGENT_INTERVAL_MS: Ms = 50;
+/// The shortest time, in milliseconds, if VMs have become idle or busy, or the need has changed.
+const CHANGE_INTERVAL_MS: Ms = 250;
+/// The shortest time, in milliseconds, if only the work on the pool's VMs has changed.
+const WORK_INTERVAL_MS: Ms = 1_000;
+/// A need that has grown by one part in this many is reported with the shortest interval.
+const JUMP_DIVISOR: u64 = 8;
+/// The unit to which needs are rounded up, in thousandths of a core: smaller changes are not reported.
+const NEED_UNIT: u64 = 1_000;
 
-/// What was reported last.
+/// The last report and when it was sent.
 #[derive(Debug, Default)]
 pub(super) struct Reporter {
     last: PoolReport,
     at: Ms,
-    under_way: Arc<AtomicBool>,
+    in_flight: Arc<AtomicBool>,
 }
 
 impl Owner {
-    /// Reports how the pool is doing, if that has changed.
-    pub(super) fn report(&mut self) {
+    /// Reports the pool's load, if it has changed.
+    pub(super) fn report_load(&mut self) {
         let waited = steady_ms().saturating_sub(self.reporter.at);
-        if waited < AT_ONCE_MS || self.reporter.under_way.load(Ordering::Relaxed) {
+        if waited < URGENT_INTERVAL_MS || self.reporter.in_flight.load(Ordering::Relaxed) {
             return;
         }
-        let demand = self.pool.demand(self.lead(), now());
+        let demand = self.pool.demand(self.lead_time_ms(), now());
         let report = self.make_report(demand);
-        if waited < pause_before(&self.reporter.last, &report) {
+        if waited < report_interval(&self.reporter.last, &report) {
             return;
         }
         log::info!(
@@ -58,23 +58,23 @@
         );
         self.reporter.at = steady_ms();
         self.reporter.last = report.clone();
-        self.reporter.under_way.store(true, Ordering::Relaxed);
+        self.reporter.in_flight.store(true, Ordering::Relaxed);
         let (node, pool) = (self.node.clone(), self.log.pool.clone());
-        let under_way = self.reporter.under_way.clone();
+        let in_flight = self.reporter.in_flight.clone();
         tokio::spawn(async move {
             let record = KeyedRecord::new(pool_key(&pool), to_json(&report));
             let result = node.store.append(TOPIC, REPORTS, Guard::Always, &[record]).await;
-            node.standing.note(result.is_ok());
+            node.store_health.record_call(result.is_ok());
             if let Err(e) = result {
-                // The next report tells the same and more.
+                // The next report replaces this one.
                 log::debug!("report step=failed pool={pool} error=\"{e}\"");
             }
-            under_way.store(false, Ordering::Relaxed);
+            in_flight.store(false, Ordering::Relaxed);
         });
     }
 
-    /// Returns how far ahead the need is worked out, in milliseconds.
-    fn lead(&self) -> Ms {
+    /// Returns how far ahead the need is computed, in milliseconds.
+    fn lead_time_ms(&self) -> Ms {
         match self.node.settings.policy.need.lead_ms {
             0 => 0,
             usual => self.node.fleet.borrow().lead_ms().unwrap_or(usual),
@@ -88,33 +88,34 @@
         PoolReport {
             waiting_cpu: load.waiting_cpu,
             used_cpu: load.used_cpu,
-            soon_cpu: demand.in_time().next_multiple_of(CORE),
-            late_cpu: demand.late.next_multiple_of(CORE),
+            soon_cpu: demand.in_time().next_multiple_of(NEED_UNIT),
+            late_cpu: demand.late.next_multiple_of(NEED_UNIT),
             cpu: load.cpu,
             vms: load.vms,
             spread: load.spread,
             emptied: emptied.into_iter().map(|(name, id)| (text(name), id.to_string())).collect(),
             idle: self.pool.idle().into_iter().map(text).collect(),
-            light: self.pool.light(now()).into_iter().map(text).collect(),
+            light: self.pool.without_lasting_tasks(now()).into_iter().map(text).collect(),
         }
     }
 }
 
-/// Returns how long after a report the next one is due, by how they differ.
-fn pause_before(last: &PoolReport, next: &PoolReport) -> Ms {
-    let jumped = next.soon_cpu > last.soon_cpu + (last.soon_cpu / JUMP_PART).max(vm_cpu(next));
+/// Returns how long after the last report the next one is due, by how they differ.
+fn report_interval(last: &PoolReport, next: &PoolReport) -> Ms {
+    let jumped =
+        next.soon_cpu > last.soon_cpu + (last.soon_cpu / JUMP_DIVISOR).max(average_vm_cpu(next));
     if jumped || next.emptied != last.emptied {
-        AT_ONCE_MS
+        URGENT_INTERVAL_MS
     } else if next.idle != last.idle || next.vms != last.vms || next.soon_cpu != last.soon_cpu {
-        EVERY_MS
+        CHANGE_INTERVAL_MS
     } else if next == last {
         Ms::MAX
     } else {
-        SELDOM_MS
+        WORK_INTERVAL_MS
     }
 }
 
-/// Returns the processor of one of the pool's VMs, in thousandths of a core.
-fn vm_cpu(report: &PoolReport) -> u64 {
+/// Returns the average CPU capacity of the pool's VMs, in thousandths of a core.
+fn average_vm_cpu(report: &PoolReport) -> u64 {
     report.cpu / u64::from(report.vms.max(1))
 }
--- a/crates/scheduler/src/owner/tell.rs
+++ b/crates/scheduler/src/owner/telemetry.rs
@@ -1,17 +1,17 @@
-//! What an owner tells operators: metrics of its load, tasks given up, ends.
+//! Metrics and log lines of an owner: its load, abandoned tasks and ends of runs.
 
 use metrics::{counter, gauge};
-use thistle_schedule::pool::{GivenUp, Load, ReportNews};
-use thistle_schedule::{EndKind, Harm, VmLife, VmReport};
+use thistle_schedule::pool::{AbandonedTask, Load, ReportChanges};
+use thistle_schedule::{CrashHistory, EndKind, VmIncarnation, VmReport};
 
 use super::Owner;
 use crate::clock::now;
 
 impl Owner {
-    /// Logs the tasks that were given up since VMs crashed under them.
-    pub(super) fn tell_given_up(&mut self) {
-        for GivenUp { task, harm } in self.pool.take_given_up() {
-            let Harm { crashes, at_start, alone, .. } = harm;
+    /// Logs the tasks that were abandoned because VMs crashed under them.
+    pub(super) fn log_abandoned_tasks(&mut self) {
+        for AbandonedTask { task, crash_history } in self.pool.take_abandoned() {
+            let CrashHistory { crashes, at_start, alone, .. } = crash_history;
             log::warn!(
                 "job step=given-up task={task} crashes={crashes} at_start={at_start} alone={alone}"
             );
@@ -19,7 +19,7 @@
         }
     }
 
-    pub(super) fn tell_load(&self) {
+    pub(super) fn update_load_metrics(&self) {
         let Load { waiting, placed, jobs, vms, used_cpu, cpu, .. } = self.pool.load(now());
         let pool = self.log.pool.to_string();
         gauge!("thistle_pool_tasks_waiting", "pool" => pool.clone()).set(f64::from(waiting));
@@ -31,20 +31,20 @@
     }
 }
 
-/// Logs the ends that a VM lists.
-pub(super) fn log_ends(vm: &VmLife, report: &VmReport) {
+/// Logs the ends of runs that a VM reports.
+pub(super) fn log_ends(vm: &VmIncarnation, report: &VmReport) {
     for end in &report.ended {
         log::info!("end run={} vm={vm} how={:?} number={}", end.run, end.kind, end.sequence);
         counter!("thistle_ends", "how" => format!("{:?}", end.kind)).increment(1);
     }
 }
 
-/// Logs runs that a VM does not have after all, and ends of runs that were given up before: what was done there may be done twice.
-pub(super) fn log_report_news(vm: &VmLife, news: &ReportNews) {
-    for run in &news.not_listed {
+/// Logs runs that a VM turns out not to have, and ends of runs that were abandoned before, whose work may be done twice.
+pub(super) fn log_report_changes(vm: &VmIncarnation, changes: &ReportChanges) {
+    for run in &changes.not_listed {
         log::info!("run step=not-listed run={run} vm={vm}");
     }
-    for end in &news.of_given_up {
+    for end in &changes.of_abandoned {
         let (run, how, number) = (end.run, end.kind, end.sequence);
         if how == EndKind::Done {
             log::warn!("run step=done-after-given-up run={run} vm={vm} number={number}");
--- a/crates/scheduler/src/owner/vms.rs
+++ b/crates/scheduler/src/owner/vms.rs
@@ -1,4 +1,4 @@
-//! Keeping an owner's links in step with the VMs that the store lists.
+//! Keeps an owner's links consistent with the VMs that the store lists.
 
 use std::borrow::Cow;
 use std::collections::HashSet;
@@ -6,7 +6,7 @@
 
 use metrics::counter;
 use thistle_schedule::pool::{LostRun, VmSummary};
-use thistle_schedule::{Ms, TaskLease, VmFacts, VmLife, VmLoss};
+use thistle_schedule::{Ms, TaskLease, VmFacts, VmIncarnation, VmLoss};
 
 use super::link::Link;
 use super::{Event, Owner};
@@ -14,11 +14,11 @@
 use crate::node::VmTable;
 
 impl Owner {
-    /// Takes in the VMs as the store lists them now.
-    pub(super) fn list_vms(&mut self, table: &VmTable) {
-        let table = &*self.name_lives(table);
+    /// Applies the current VM list.
+    pub(super) fn apply_vm_list(&mut self, table: &VmTable) {
+        let table = &*self.name_incarnations(table);
         let listed = self.pool.vm_summaries();
-        self.lives.take_in(table, |id| listed.iter().any(|vm| vm.id == *id));
+        self.incarnation_times.record_list(table, |id| listed.iter().any(|vm| vm.id == *id));
         let pool = self.log.pool.clone();
         for facts in table.values().filter(|f| f.pool == pool) {
             if self.pool.list_vm(facts.clone()) {
@@ -27,137 +27,141 @@
             self.orphans.remove(&facts.id);
             match self.links.get(facts.id.id()) {
                 Some(link) if *link.vm() == facts.id => (),
-                // The VM itself tells whether that life is over.
-                Some(link) if !link.is_over() => link.ask_at_once(),
+                // Poll the VM, which itself reports whether the linked incarnation has ended.
+                Some(link) if !link.is_over() => link.poll_now(),
                 Some(_) | None => self.open_link(facts),
             }
         }
         for vm in listed {
-            if is_listed(table, &vm.id).is_some_and(|f| f.pool == self.log.pool) {
+            if listed_entry(table, &vm.id).is_some_and(|f| f.pool == self.log.pool) {
                 continue;
             }
             if self.pool.unlist_vm(&vm.id) {
                 log::info!("vm step=unlisted vm={} name={} pool={}", vm.id, vm.name, self.log.pool);
             }
-            self.note_if_reborn(&vm, table);
-        }
-        // One that fell silent under a task may be back in another pool.
-        for (vm, name) in self.pool.silent_losses() {
-            // An earlier life of it, whose entry stands on, says nothing.
-            let successor =
-                |f: &VmFacts| *f.name == *name && f.id != vm && !self.lives.is_later(&vm, &f.id);
+            self.report_if_superseded(&vm, table);
+        }
+        // A VM that became unresponsive while it ran a task may be listed again in another pool.
+        for (vm, name) in self.pool.unclear_losses() {
+            // The leftover entry of an earlier incarnation is no evidence.
+            let successor = |f: &VmFacts| {
+                *f.name == *name && f.id != vm && !self.incarnation_times.is_later(&vm, &f.id)
+            };
             if !name.is_empty() && table.values().any(|f| successor(f)) {
-                self.tell_replaced(&vm);
+                self.report_replaced(&vm);
             }
         }
-        self.watch_orphans();
+        self.record_orphans();
     }
 
-    /// Has entries that tell no start name the lives that have answered.
-    fn name_lives<'a>(&self, table: &'a VmTable) -> Cow<'a, VmTable> {
-        let told = |facts: &VmFacts| {
-            let life = self.links.get(facts.id.id()).map(Link::vm);
-            life.filter(|life| facts.id.born().is_none() && life.born().is_some()).cloned()
+    /// Fills in, for entries without a start time, the incarnation that has answered on the VM's link.
+    fn name_incarnations<'a>(&self, table: &'a VmTable) -> Cow<'a, VmTable> {
+        let answered = |facts: &VmFacts| {
+            let current = self.links.get(facts.id.id()).map(Link::vm);
+            current
+                .filter(|current| facts.id.started_at().is_none() && current.started_at().is_some())
+                .cloned()
         };
-        if !table.values().any(|facts| told(facts).is_some()) {
+        if !table.values().any(|facts| answered(facts).is_some()) {
             return Cow::Borrowed(table);
         }
         let mut named = table.clone();
         for facts in named.values_mut() {
-            if let Some(id) = told(facts) {
+            if let Some(id) = answered(facts) {
                 *facts = Arc::new(VmFacts { id, ..VmFacts::clone(facts) });
             }
         }
         Cow::Owned(named)
     }
 
-    /// Opens the link to a VM, in place of the one to an earlier life of it.
+    /// Opens the link to a VM, replacing the link to an earlier incarnation.
     fn open_link(&mut self, facts: &Arc<VmFacts>) {
         let (tx, losses) = (self.tx.clone(), self.losses.clone());
         let link = Link::open(&self.node, facts, self.tokens.next(), tx, losses);
         self.links.insert(facts.id.id().clone(), link);
     }
 
-    /// Returns the link to a life of a VM.
-    pub(super) fn link(&self, vm: &VmLife) -> Option<&Link> {
+    /// Returns the link to an incarnation of a VM.
+    pub(super) fn link(&self, vm: &VmIncarnation) -> Option<&Link> {
         self.links.get(vm.id()).filter(|link| link.vm() == vm)
     }
 
-    pub(super) fn link_mut(&mut self, vm: &VmLife) -> Option<&mut Link> {
+    pub(super) fn link_mut(&mut self, vm: &VmIncarnation) -> Option<&mut Link> {
         self.links.get_mut(vm.id()).filter(|link| link.vm() == vm)
     }
 
-    /// Takes in that a VM has stopped answering: another incarnation of it may be listed already.
-    pub(super) fn look_for_successor(&self, id: &VmLife) {
+    /// Checks whether a later incarnation of a VM that has stopped answering is listed already.
+    pub(super) fn check_for_successor(&self, id: &VmIncarnation) {
         let listed = self.node.vms.borrow().clone();
-        let table = self.name_lives(&listed);
+        let table = self.name_incarnations(&listed);
         if let Some(vm) = self.pool.vm_summaries().into_iter().find(|vm| vm.id == *id)
-            && is_listed(&table, id).is_none()
+            && listed_entry(&table, id).is_none()
         {
-            self.note_if_reborn(&vm, &table);
+            self.report_if_superseded(&vm, &table);
         }
     }
 
-    /// Gives up an unlisted incarnation if a later one of its VM has come up. One that still answers is none that is gone,
-    /// whatever an entry says that names its VM; and the entry of an earlier one, which stands on for a while after its end, says
-    /// nothing of this one.
-    fn note_if_reborn(&self, vm: &VmSummary, table: &VmTable) {
+    /// Reports an unlisted incarnation as lost if a later one of its VM is listed. An incarnation that still answers
+    /// is not gone, whatever an entry for its VM states. The entry of an earlier incarnation, which remains for a
+    /// while after its end, is no evidence about this one.
+    fn report_if_superseded(&self, vm: &VmSummary, table: &VmTable) {
         if vm.reachable && self.link(&vm.id).is_some_and(|link| !link.is_over()) {
             return;
         }
-        let came_later =
-            |facts: &&Arc<VmFacts>| is_reborn(facts, vm) && self.lives.is_later(&facts.id, &vm.id);
-        match table.values().find(came_later) {
-            Some(facts) if facts.id.is_other_life_of(&vm.id) => {
-                self.tell_restarted(&vm.id, &facts.id);
+        let is_later_successor = |facts: &&Arc<VmFacts>| {
+            is_successor(facts, vm) && self.incarnation_times.is_later(&facts.id, &vm.id)
+        };
+        match table.values().find(is_later_successor) {
+            Some(facts) if facts.id.is_other_incarnation_of(&vm.id) => {
+                self.report_restarted(&vm.id, &facts.id);
             }
-            Some(_) => self.tell_replaced(&vm.id),
+            Some(_) => self.report_replaced(&vm.id),
             None => (),
         }
     }
 
-    /// Has it taken in, when this step is done, that a VM has started again under its ID.
-    fn tell_restarted(&self, vm: &VmLife, life: &VmLife) {
+    /// Queues an event that a VM has restarted under its ID.
+    fn report_restarted(&self, vm: &VmIncarnation, next: &VmIncarnation) {
         if let Some(link) = self.link(vm) {
-            link.end_with(life);
+            link.report_restart(next);
             return;
         }
-        // This owner takes it in itself.
+        // There is no link to send the event.
         let number = self.losses.next();
-        let _ = self.tx.send(Event::Restarted(vm.clone(), life.clone(), number));
+        let _ = self.tx.send(Event::Restarted(vm.clone(), next.clone(), number));
     }
 
-    /// Takes in that a VM has started again under its ID, and goes on with its new life.
-    pub(super) fn take_restart(&mut self, former: &VmLife, life: &VmLife) {
-        let lost = self.pool.vm_restarted(former, life, now());
-        log::info!("vm step=restarted vm={former} life={life} runs={}", lost.len());
-        self.log_lost(former, VmLoss::Replaced, lost);
-        let Some(link) = self.link(former) else { return };
-        // It is listed with what it has now before anything is started there.
-        let facts = Arc::new(VmFacts { id: life.clone(), ..VmFacts::clone(link.facts()) });
+    /// Handles the restart of a VM under its ID and opens a link to the next incarnation.
+    pub(super) fn handle_restart(&mut self, previous: &VmIncarnation, next: &VmIncarnation) {
+        let lost = self.pool.vm_restarted(previous, next, now());
+        log::info!("vm step=restarted vm={previous} life={next} runs={}", lost.len());
+        self.log_lost(previous, VmLoss::Replaced, lost);
+        let Some(link) = self.link(previous) else { return };
+        // The next incarnation has to be listed with its current facts before any task starts there.
+        let facts = Arc::new(VmFacts { id: next.clone(), ..VmFacts::clone(link.facts()) });
         self.open_link(&facts);
-        self.orphans.remove(life);
+        self.orphans.remove(next);
         let table = self.node.vms.borrow().clone();
-        if table.get(life.id()).is_some_and(|listed| listed.id.born().is_none()) {
-            // No entry will ever tell of this life.
-            self.pool.unlist_vm(former);
-            self.list_vms(&table);
+        if table.get(next.id()).is_some_and(|listed| listed.id.started_at().is_none()) {
+            // The VM's entries have no start time, so none will name this incarnation.
+            self.pool.unlist_vm(previous);
+            self.apply_vm_list(&table);
         }
     }
 
-    /// Has it taken in, when this step is done, that another incarnation of a VM is there.
-    fn tell_replaced(&self, vm: &VmLife) {
+    /// Queues an event that another incarnation has replaced a VM.
+    fn report_replaced(&self, vm: &VmIncarnation) {
         if let Some(link) = self.link(vm) {
-            link.lose(VmLoss::Replaced);
+            link.report_loss(VmLoss::Replaced);
             return;
         }
-        // This owner takes it in itself.
+        // There is no link to send the event.
         let _ = self.tx.send(Event::Lost(vm.clone(), VmLoss::Replaced, self.losses.next()));
     }
 
-    /// Notes runs on VMs to which there is no link: they count until their lease is over.
-    fn watch_orphans(&mut self) {
-        let over_at = steady_ms() + lease_bound(self.node.task_lease());
+    /// Records VMs that have runs but no link: their runs count until the lease has ended.
+    fn record_orphans(&mut self) {
+        let over_at = steady_ms() + max_lease_duration(self.node.task_lease());
         for vm in self.pool.unlisted_with_runs() {
             if self.link(&vm).is_none() {
                 self.orphans.entry(vm).or_insert(over_at);
@@ -165,10 +169,10 @@
         }
     }
 
-    /// Gives up the runs on VMs to which there is no link, once their lease is over.
-    pub(super) fn drop_orphans(&mut self) {
+    /// Handles VMs without a link as lost once their lease has ended.
+    pub(super) fn expire_orphans(&mut self) {
         let now = now();
-        let over: Vec<VmLife> = self
+        let over: Vec<VmIncarnation> = self
             .orphans
             .iter()
             .filter(|(_, at)| now.steady >= **at)
@@ -180,11 +184,11 @@
         }
     }
 
-    /// Gives up what ran on a VM incarnation that is gone.
-    pub(super) fn lose_vm(&mut self, vm: &VmLife, loss: VmLoss) {
+    /// Abandons the runs on a VM incarnation that is lost.
+    pub(super) fn lose_vm(&mut self, vm: &VmIncarnation, loss: VmLoss) {
         let lost = self.pool.vm_lost(vm, loss, now());
         if lost.is_empty() {
-            // It is told again for as long as a link to it is open.
+            // A loss may be reported more than once while the link is open.
             log::debug!("vm step=lost vm={vm} reason={loss:?} runs=0");
             return;
         }
@@ -192,28 +196,29 @@
         self.log_lost(vm, loss, lost);
     }
 
-    /// Counts a loss under tasks, and logs the runs that went with it.
-    fn log_lost(&self, vm: &VmLife, loss: VmLoss, lost: Vec<LostRun>) {
+    /// Counts the loss of a VM that had runs, and logs the lost runs.
+    fn log_lost(&self, vm: &VmIncarnation, loss: VmLoss, lost: Vec<LostRun>) {
         if lost.is_empty() {
             return;
         }
         let pool = self.log.pool.to_string();
         counter!("thistle_vms_lost", "pool" => pool, "reason" => format!("{loss:?}")).increment(1);
-        for LostRun { run, age, may_be_there } in lost {
-            let harm = self.pool.harm_of(run.task).cloned().unwrap_or_default();
+        for LostRun { run, age, may_exist } in lost {
+            let history = self.pool.crash_history_of(run.task).cloned().unwrap_or_default();
             log::info!(
-                "run step=lost run={run} vm={vm} reason={loss:?} age_ms={age} may_be_there={may_be_there} crashes={} at_start={} unclear={} verdict={:?}",
-                harm.crashes,
-                harm.at_start,
-                harm.unclear.len(),
-                harm.verdict(),
+                "run step=lost run={run} vm={vm} reason={loss:?} age_ms={age} may_be_there={may_exist} crashes={} at_start={} unclear={} verdict={:?}",
+                history.crashes,
+                history.at_start,
+                history.unclear.len(),
+                history.verdict(),
             );
         }
     }
 
-    /// Closes the links to VMs that are neither listed nor have anything running.
-    pub(super) fn drop_links(&mut self) {
-        let known: HashSet<VmLife> = self.pool.vm_summaries().into_iter().map(|vm| vm.id).collect();
+    /// Closes the links to VMs that are not listed and have no runs.
+    pub(super) fn close_unused_links(&mut self) {
+        let known: HashSet<VmIncarnation> =
+            self.pool.vm_summaries().into_iter().map(|vm| vm.id).collect();
         self.links.retain(|_, link| known.contains(link.vm()));
     }
 }
@@ -232,18 +237,18 @@
     );
 }
 
-/// Returns the entry of a life of a VM, if it is the one that its ID's entry is of now.
-fn is_listed<'a>(table: &'a VmTable, vm: &VmLife) -> Option<&'a Arc<VmFacts>> {
+/// Returns the entry of a VM's ID if it names this incarnation.
+fn listed_entry<'a>(table: &'a VmTable, vm: &VmIncarnation) -> Option<&'a Arc<VmFacts>> {
     table.get(vm.id()).filter(|facts| facts.id == *vm)
 }
 
-fn is_reborn(facts: &VmFacts, old: &VmSummary) -> bool {
-    let same_name = !old.name.is_empty() && facts.name == old.name;
-    (same_name || facts.id.id() == old.id.id()) && facts.id != old.id
+fn is_successor(facts: &VmFacts, previous: &VmSummary) -> bool {
+    let same_name = !previous.name.is_empty() && facts.name == previous.name;
+    (same_name || facts.id.id() == previous.id.id()) && facts.id != previous.id
 }
 
-/// Returns after how long a lease that was given at the latest now is surely over.
-fn lease_bound(length: Ms) -> Ms {
+/// Returns after how long a lease that was given no later than now has certainly ended.
+fn max_lease_duration(length: Ms) -> Ms {
     let lease = TaskLease::new(length, 0);
-    (length..).find(|&at| lease.is_over(at)).unwrap_or(length)
+    (length..).find(|&at| lease.is_expired(at)).unwrap_or(length)
 }
--- a/crates/scheduler/src/relay.rs
+++ b/crates/scheduler/src/relay.rs
@@ -1,5 +1,5 @@
-//! Passing calls to the store on for nodes that it turns away, taking submissions that they hand over,
-//! answering their questions, and watching whether the store turns this one away.
+//! The HTTP server for other nodes: forwards store calls for nodes that cannot reach the store directly, accepts forwarded
+//! submissions and answers queries. Also watches whether this node reaches the store directly.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -12,29 +12,29 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use metrics::counter;
-use thistle_platform::{CallError, NOT_ANSWERED, NOT_PASSED_ON, PassedOn};
+use thistle_platform::{CallError, ForwardedCall, NOT_ANSWERED, NOT_FORWARDED};
 use thistle_wire::serve::HEADER_TIMEOUT;
 use tokio::net::TcpListener;
 
 use crate::node::Node;
 use crate::request_body;
-use crate::{hand_over, look_up, question};
+use crate::{find_job, forward, query};
 
-/// How often the store is asked itself while calls go through another node.
-const ASK_EVERY: Duration = Duration::from_millis(250);
+/// How often the direct route to the store is probed while calls go through another node.
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Passes calls on until the task is dropped.
+/// Serves other nodes until the future is dropped.
 pub async fn run(node: Arc<Node>, listener: TcpListener) {
     thistle_wire::serve::accept(listener, move |stream| {
         let node = node.clone();
-        // Small answers go out at once; a connection on which this fails still works.
+        // Sends small replies without delay; the connection still works if this fails.
         let _ = stream.set_nodelay(true);
         tokio::spawn(async move {
             let respond = service_fn(|req: Request<Incoming>| {
                 let node = node.clone();
-                async move { Ok::<_, Infallible>(pass_on(&node, req).await) }
+                async move { Ok::<_, Infallible>(handle_request(&node, req).await) }
             });
-            // A node that goes away asks another.
+            // If the connection fails, the other node uses another relay.
             let _ =
                 thistle_wire::serve::http().serve_connection(TokioIo::new(stream), respond).await;
         });
@@ -42,41 +42,41 @@
     .await;
 }
 
-/// An answer goes on as it comes: over a link of 10 Mbit/s a node that read a megabyte whole first would begin after
-/// 0.8 s, when the one that asked has given up.
-type Passed = Response<Either<Full<Bytes>, Incoming>>;
+/// A reply whose body is streamed as it arrives. Over a link of 10 Mbit/s, a node that first read a whole megabyte would
+/// begin to reply after 0.8 s, when the requesting node's call has already timed out.
+type RelayReply = Response<Either<Full<Bytes>, Incoming>>;
 
-async fn pass_on(node: &Arc<Node>, req: Request<Incoming>) -> Passed {
+async fn handle_request(node: &Arc<Node>, req: Request<Incoming>) -> RelayReply {
     let method = req.method().clone();
     let path = req.uri().path_and_query().map(ToString::to_string).unwrap_or_default();
     let body =
         request_body::read(req.into_body(), node.settings.max_append_bytes, HEADER_TIMEOUT).await;
     let reply = match body {
         Err(e) => {
-            log::info!("relay step=not-passed-on path={path} reason=\"{e:?}\"");
-            not_passed_on()
+            log::info!("relay step=not-forwarded path={path} reason=\"{e:?}\"");
+            not_forwarded()
         }
-        Ok(body) if path.starts_with(hand_over::PATH) => {
-            let pool = &path[hand_over::PATH.len()..];
-            match hand_over::take(node, pool, &body).await {
+        Ok(body) if path.starts_with(forward::PATH) => {
+            let pool = &path[forward::PATH.len()..];
+            match forward::append_forwarded(node, pool, &body).await {
                 Some(written) => reply(StatusCode::OK.as_u16(), Either::Left(written.into())),
-                None => not_passed_on(),
+                None => not_forwarded(),
             }
         }
-        Ok(body) if path == question::PATH => match look_up::answer(node, &body).await {
-            Some(told) => reply(StatusCode::OK.as_u16(), Either::Left(told.into())),
-            None => not_passed_on(),
+        Ok(body) if path == query::PATH => match find_job::answer_query(node, &body).await {
+            Some(encoded) => reply(StatusCode::OK.as_u16(), Either::Left(encoded.into())),
+            None => not_forwarded(),
         },
         Ok(body) => {
-            let call = PassedOn { method, path: path.clone(), body };
-            match node.store.pass_on(call).await {
-                // The store's own answer of this status says nothing of what was done.
-                Ok(Some(answer)) if answer.status == NOT_PASSED_ON => {
-                    log::info!("relay step=not-answered path={path} status={NOT_PASSED_ON}");
+            let call = ForwardedCall { method, path: path.clone(), body };
+            match node.store.forward(call).await {
+                // A reply with this status from the store itself does not show whether the call was executed.
+                Ok(Some(answer)) if answer.status == NOT_FORWARDED => {
+                    log::info!("relay step=not-answered path={path} status={NOT_FORWARDED}");
                     reply(NOT_ANSWERED, Either::Left(Full::default()))
                 }
                 Ok(Some(answer)) => reply(answer.status, Either::Right(answer.into_body())),
-                Ok(None) | Err(CallError::NotSent(..)) => not_passed_on(),
+                Ok(None) | Err(CallError::NotSent(..)) => not_forwarded(),
                 Err(e @ CallError::Unanswered(..)) => {
                     log::info!("relay step=not-answered path={path} error=\"{e}\"");
                     reply(NOT_ANSWERED, Either::Left(Full::default()))
@@ -88,32 +88,32 @@
     reply
 }
 
-fn not_passed_on() -> Passed {
-    reply(NOT_PASSED_ON, Either::Left(Full::default()))
+fn not_forwarded() -> RelayReply {
+    reply(NOT_FORWARDED, Either::Left(Full::default()))
 }
 
-fn reply(status: u16, body: Either<Full<Bytes>, Incoming>) -> Passed {
+fn reply(status: u16, body: Either<Full<Bytes>, Incoming>) -> RelayReply {
     let mut reply = Response::new(body);
     *reply.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     reply
 }
 
-/// Asks the store itself while calls go through another node, so that they go directly again soon;
-/// tells when that changes.
-pub async fn watch(node: Arc<Node>) {
-    let mut before = None;
+/// Probes the direct route to the store while calls go through another node, so that calls soon go directly again.
+/// Logs each change of the route.
+pub async fn watch_route(node: Arc<Node>) {
+    let mut previous = None;
     loop {
-        tokio::time::sleep(ASK_EVERY).await;
-        let detour = node.store.detour();
-        if detour != before {
-            match detour {
+        tokio::time::sleep(PROBE_INTERVAL).await;
+        let forwarding_peer = node.store.forwarding_peer();
+        if forwarding_peer != previous {
+            match forwarding_peer {
                 Some(peer) => log::warn!("store step=turned-away through={peer}"),
                 None => log::info!("store step=direct-again"),
             }
-            before = detour;
+            previous = forwarding_peer;
         }
-        if detour.is_some() {
-            node.store.ask_directly().await;
+        if forwarding_peer.is_some() {
+            node.store.probe_directly().await;
         }
     }
 }
--- a/crates/scheduler/src/stats.rs
+++ b/crates/scheduler/src/stats.rs
@@ -1,4 +1,4 @@
-//! Metrics of a node.
+//! The metrics of a node.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -8,11 +8,11 @@
 
 use crate::node::Node;
 
-/// Takes the figures and returns them as text.
+/// Updates the gauges and returns all metrics as text.
 pub fn render(node: &Arc<Node>, handle: &PrometheusHandle) -> String {
     let version = node.catalog.borrow().as_ref().map_or(0, |c| c.version);
     gauge!("thistle_config_version").set(version as f64);
-    gauge!("thistle_store_in_touch").set(f64::from(u8::from(node.standing.in_touch())));
+    gauge!("thistle_store_in_touch").set(f64::from(u8::from(node.store_health.is_reachable())));
     gauge!("thistle_lease_valid").set(f64::from(u8::from(node.lease_valid())));
     gauge!("thistle_vms_listed").set(node.vms.borrow().len() as f64);
     for log in node.pool_logs() {
--- a/crates/scheduler/src/submit.rs
+++ b/crates/scheduler/src/submit.rs
@@ -1,4 +1,4 @@
-//! Writing submissions and cancels to the store, many in one append.
+//! Writes submissions and cancellations to the store in batches.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,62 +8,63 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::sync::oneshot;
 
-use crate::append::{By, Outcome, append};
+use crate::append::{AppendRole, Outcome, append};
 use crate::clock::steady_ms;
-use crate::hand_over;
+use crate::concurrency_limit::ConcurrencyLimit;
+use crate::forward;
 use crate::locks::lock;
 use crate::node::Node;
 use crate::pool_log::PoolLog;
-use crate::turns::Turns;
-use crate::written::Written;
+use crate::write_outcome::WriteOutcome;
 
-/// How long a submission waits for its turn at most, in milliseconds: while the store is silent those before
-/// it take a second each, and a caller that is told sooner can still come back.
-const TURN_WITHIN_MS: Ms = 1_000;
-/// Appends under way at once: one that waits for the store does not hold up the next.
-const APPENDS_AT_ONCE: usize = 4;
-/// The same of an owner beside a slow store: each takes all that has come meanwhile, and the next begins as one is half-way.
-const SLOW_APPENDS_AT_ONCE: usize = 2;
+/// How long a submission waits in the queue at most, in milliseconds: while the store is unresponsive, each earlier append
+/// takes a second, and a caller that gets an early reply can still retry.
+const MAX_QUEUE_WAIT_MS: Ms = 1_000;
+/// The number of concurrent appends, so that an append that waits for the store does not block the next one.
+const MAX_APPENDS: usize = 4;
+/// The number of concurrent appends of an owner while the store is slow: each append contains all records that have
+/// arrived in the meantime, and the next append starts about halfway through the previous one.
+const MAX_APPENDS_WHILE_SLOW: usize = 2;
 
-/// A record to write, and who is told.
+/// A record to write, and the channel for its outcome.
 #[derive(Debug)]
 pub struct Submission {
     /// The record.
     pub record: KeyedRecord,
-    /// When it arrived, by the steady clock.
+    /// When the record arrived, by the steady clock.
     pub at: Ms,
-    /// Another node has handed it over, so that it is appended here.
-    pub handed_over: bool,
-    /// Who is told.
-    pub done: oneshot::Sender<Written>,
+    /// Whether another node has forwarded the record; this node then appends it and does not forward it again.
+    pub forwarded: bool,
+    /// Receives the write outcome.
+    pub outcome_tx: oneshot::Sender<WriteOutcome>,
 }
 
-/// Appends what comes until the pool's log is dropped.
-pub async fn start_submitter(
+/// Appends submissions in batches until the pool's log is dropped.
+pub async fn run_submitter(
     node: Arc<Node>,
     log: Arc<PoolLog>,
     mut rx: UnboundedReceiver<Submission>,
 ) {
-    let mut held_back: Option<Submission> = None;
-    let turns = Turns::new(APPENDS_AT_ONCE, SLOW_APPENDS_AT_ONCE);
+    let mut carried_over: Option<Submission> = None;
+    let limit = ConcurrencyLimit::new(MAX_APPENDS, MAX_APPENDS_WHILE_SLOW);
     loop {
-        let first = match held_back.take() {
+        let first = match carried_over.take() {
             Some(submission) => submission,
             None => match rx.recv().await {
                 Some(submission) => submission,
                 None => return,
             },
         };
-        // A slow store gets few appends from here, each with all that has come meanwhile. What
-        // is handed to the pool's owner waits for others there.
+        // A slow store gets only a few appends from this node, each with all records that have arrived in the meantime.
+        // Records that are forwarded to the pool's owner are batched there.
         let slow =
             node.store.is_slow() && lock(&node.ownership).relay_of_owner(&log.pool).is_none();
         let waited = steady_ms().saturating_sub(first.at);
-        let most = Duration::from_millis(TURN_WITHIN_MS.saturating_sub(waited));
-        let Some(turn) = turns.take(slow, most).await else {
-            log::info!("submit step=no-turn pool={} waited_ms={TURN_WITHIN_MS}", log.pool);
-            // It was never sent, and a caller that has gone away is not told.
-            let _ = first.done.send(Written::NotKept);
+        let max_wait = Duration::from_millis(MAX_QUEUE_WAIT_MS.saturating_sub(waited));
+        let Some(permit) = limit.acquire(slow, max_wait).await else {
+            log::info!("submit step=no-turn pool={} waited_ms={MAX_QUEUE_WAIT_MS}", log.pool);
+            // The record was never sent. The receiver is gone if the caller has disconnected.
+            let _ = first.outcome_tx.send(WriteOutcome::NotKept);
             continue;
         };
         let mut size = first.record.framed_len();
@@ -71,7 +72,7 @@
         while let Ok(more) = rx.try_recv() {
             size += more.record.framed_len();
             if size > node.settings.max_append_bytes {
-                held_back = Some(more);
+                carried_over = Some(more);
                 break;
             }
             batch.push(more);
@@ -79,51 +80,51 @@
         let (node, log) = (node.clone(), log.clone());
         tokio::spawn(async move {
             write(&node, &log, batch).await;
-            drop(turn);
+            drop(permit);
         });
     }
 }
 
 async fn write(node: &Arc<Node>, log: &Arc<PoolLog>, batch: Vec<Submission>) {
-    let handed_over = batch.iter().any(|s| s.handed_over);
+    let forwarded = batch.iter().any(|s| s.forwarded);
     let (records, waiting): (Vec<KeyedRecord>, Vec<_>) =
-        batch.into_iter().map(|s| (s.record, (s.at, s.done))).unzip();
+        batch.into_iter().map(|s| (s.record, (s.at, s.outcome_tx))).unzip();
     let oldest = waiting.iter().map(|(at, _)| *at).min().unwrap_or_default();
-    let written = match handed_over {
+    let outcomes = match forwarded {
         true => append_all(node, log, &records, oldest).await,
-        false => write_own(node, log, &records, oldest).await,
+        false => write_local(node, log, &records, oldest).await,
     };
-    for ((_, done), written) in waiting.into_iter().zip(written) {
-        // A caller that has gone away is not told.
-        let _ = done.send(written);
+    for ((_, outcome_tx), outcome) in waiting.into_iter().zip(outcomes) {
+        // The receiver is gone if the caller has disconnected.
+        let _ = outcome_tx.send(outcome);
     }
 }
 
-/// Appends what this node's callers have sent, or hands it to the pool's owner while the store is slow.
-async fn write_own(
+/// Appends the records of this node's callers, or forwards them to the pool's owner while the store is slow.
+async fn write_local(
     node: &Arc<Node>,
     log: &Arc<PoolLog>,
     records: &[KeyedRecord],
     oldest: Ms,
-) -> Vec<Written> {
+) -> Vec<WriteOutcome> {
     if lock(&node.ownership).relay_of_owner(&log.pool).is_none() {
         return append_all(node, log, records, oldest).await;
     }
     let mut may_be_written = false;
     if !node.store.is_slow() {
-        match append(node, log, records, oldest, By::Other).await {
-            Outcome::Known(written) => return vec![written; records.len()],
-            Outcome::OwnersTurn { may_be_written: may } => may_be_written = may,
+        match append(node, log, records, oldest, AppendRole::Other).await {
+            Outcome::Known(outcome) => return vec![outcome; records.len()],
+            Outcome::ForwardToOwner { may_be_written: maybe } => may_be_written = maybe,
         }
     }
-    let written = match hand_over::to_owner(node, log, records).await {
-        Some(written) => written,
+    let outcomes = match forward::to_owner(node, log, records).await {
+        Some(outcomes) => outcomes,
         None => append_all(node, log, records, oldest).await,
     };
     if !may_be_written {
-        return written;
+        return outcomes;
     }
-    written.into_iter().map(Written::though_it_may_be_there).collect()
+    outcomes.into_iter().map(WriteOutcome::after_uncertain_append).collect()
 }
 
 async fn append_all(
@@ -131,12 +132,12 @@
     log: &Arc<PoolLog>,
     records: &[KeyedRecord],
     oldest: Ms,
-) -> Vec<Written> {
-    let written = match append(node, log, records, oldest, By::Owner).await {
-        Outcome::Known(written) => written,
-        // An owner is told of no other to append for it.
-        Outcome::OwnersTurn { may_be_written: true } => Written::Unknown,
-        Outcome::OwnersTurn { may_be_written: false } => Written::NotKept,
+) -> Vec<WriteOutcome> {
+    let outcome = match append(node, log, records, oldest, AppendRole::Owner).await {
+        Outcome::Known(outcome) => outcome,
+        // This cannot happen in the role of the owner, which never forwards records to another node.
+        Outcome::ForwardToOwner { may_be_written: true } => WriteOutcome::Unknown,
+        Outcome::ForwardToOwner { may_be_written: false } => WriteOutcome::NotKept,
     };
-    vec![written; records.len()]
+    vec![outcome; records.len()]
 }
--- a/crates/settings/tests/stdout_writer.rs
+++ b/crates/settings/tests/stdout_writer.rs
@@ -1,4 +1,4 @@
-//! Log lines are bounded, and writing them never waits for a reader that stands still.
+//! Log output is bounded, and writing a line never blocks on a reader that does not read.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -9,17 +9,17 @@
 use googletest::prelude::*;
 use thistle_settings::stdout_writer::StdoutWriter;
 
-/// A reader that stands still until it is told to go on.
-struct Gate {
+/// An output whose writes block until the test lets them through.
+struct GatedOutput {
     open: Receiver<()>,
     written: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Gate {
+impl Write for GatedOutput {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        // After the sender is gone it stays open.
+        // Once the sender is dropped, writes are no longer blocked.
         let _ = self.open.recv();
-        self.written.lock().expect("no panic while it is held").extend_from_slice(buf);
+        self.written.lock().expect("the lock is not poisoned").extend_from_slice(buf);
         Ok(buf.len())
     }
 
@@ -28,10 +28,10 @@
     }
 }
 
-fn gated() -> (StdoutWriter, Sender<()>, Arc<Mutex<Vec<u8>>>) {
+fn gated_writer() -> (StdoutWriter, Sender<()>, Arc<Mutex<Vec<u8>>>) {
     let (tx, open) = channel();
     let written = Arc::new(Mutex::default());
-    let gate = Gate { open, written: written.clone() };
+    let gate = GatedOutput { open, written: written.clone() };
     let format = |w: &mut dyn Write, _: &mut DeferredNow, record: &log::Record<'_>| {
         write!(w, "{}", record.args())
     };
@@ -45,26 +45,26 @@
     assert!(result.is_ok());
 }
 
-fn until(holds: impl Fn() -> bool) {
+fn wait_until(holds: impl Fn() -> bool) {
     while !holds() {
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
 }
 
-/// Waits until the thread has written all and ended, which drops its side of the buffer.
-fn until_ended(written: &Arc<Mutex<Vec<u8>>>) {
-    until(|| Arc::strong_count(written) == 1);
+/// Waits until the writer thread has written everything and ended, which drops its reference to the buffer.
+fn wait_until_ended(written: &Arc<Mutex<Vec<u8>>>) {
+    wait_until(|| Arc::strong_count(written) == 1);
 }
 
 fn lines(written: &Mutex<Vec<u8>>) -> Vec<String> {
-    let written = written.lock().expect("no panic while it is held");
+    let written = written.lock().expect("the lock is not poisoned");
     String::from_utf8_lossy(&written).lines().map(str::to_owned).collect()
 }
 
 #[gtest]
-fn a_flood_with_a_reader_that_stands_still_is_bounded_and_does_not_wait() {
-    let (writer, gate, written) = gated();
-    // Were any of these to wait for the reader, the test would never end.
+fn flood_with_a_stalled_reader_is_bounded_and_does_not_block() {
+    let (writer, gate, written) = gated_writer();
+    // If any of these calls blocked on the reader, the test would never end.
     for kind in 0..100 {
         for i in 0..1_000 {
             write_line(&writer, &format!("kind{kind} n={i}"));
@@ -74,7 +74,7 @@
     std::thread::sleep(std::time::Duration::from_millis(1_100));
     write_line(&writer, "kind0 n=last");
     drop(writer);
-    until_ended(&written);
+    wait_until_ended(&written);
     let lines = lines(&written);
     expect_that!(lines.len(), le(5_000));
     let left_out = lines.iter().find(|l| l.starts_with("log step=left-out lines="));
@@ -82,38 +82,38 @@
     expect_that!(lines.last().map(String::as_str), some(eq("kind0 n=last")));
 }
 
-/// CI beside plays, once: the thread took lines off the queue for as long as more came, so that what it held for
-/// the reader had no bound.
+/// Guards against a writer thread that keeps taking lines off the queue while new ones arrive, so that the batch it
+/// holds for the reader has no bound. On a busy machine lines can arrive as fast as they are taken.
 #[gtest]
-fn what_is_taken_off_the_queue_at_once_is_bounded() {
-    let (writer, gate, written) = gated();
+fn batch_taken_off_the_queue_is_bounded() {
+    let (writer, gate, written) = gated_writer();
     for kind in 0..3_000 {
         write_line(&writer, &format!("kind{kind} n=0"));
     }
-    // All wait by now behind the first write, which is let through with one more.
+    // All lines are queued behind the first write, which is let through together with one more.
     for _ in 0..2 {
         expect_that!(gate.send(()), ok(anything()));
     }
     drop(writer);
-    until(|| !lines(&written).is_empty());
+    wait_until(|| !lines(&written).is_empty());
     expect_that!(lines(&written).len(), le(1_000));
     drop(gate);
-    until_ended(&written);
+    wait_until_ended(&written);
     expect_that!(lines(&written), len(eq(3_000)));
 }
 
 #[gtest]
-fn one_kind_that_floods_leaves_the_others_their_lines() {
-    let (writer, gate, written) = gated();
+fn flood_of_one_kind_does_not_suppress_other_kinds() {
+    let (writer, gate, written) = gated_writer();
     drop(gate);
     for i in 0..5_000 {
         write_line(&writer, &format!("start n={i}"));
     }
     write_line(&writer, "store step=lost");
     drop(writer);
-    until_ended(&written);
+    wait_until_ended(&written);
     let lines = lines(&written);
-    // A budget for each second that the flood took.
+    // The flood may span several seconds, each with a budget of its own.
     let started = lines.iter().filter(|l| l.starts_with("start")).count();
     expect_that!(started, all![ge(500), lt(5_000)]);
     expect_that!(lines.iter().any(|l| l == "store step=lost"), eq(true));
--- a/crates/steward/src/appender.rs
+++ b/crates/steward/src/appender.rs
@@ -1,4 +1,4 @@
-//! Appending records: batched, and sent again until they are read back.
+//! Appends records in batches, and repeats a batch until it is read back.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,16 +11,16 @@
 
 use crate::shared::Shared;
 
-/// How long an appended batch may take to be read back before it is sent again.
-const READ_BACK: Duration = Duration::from_millis(1_500);
-/// Pause after an append that failed.
+/// How long an appended batch may take to be read back before it is appended again.
+const READ_BACK_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// The pause after a failed append.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// How long a batch is sent again; later copies would only be rejected as stale.
-const GIVE_UP: Duration = Duration::from_secs(15);
-/// Bytes of a batch, with room for the brackets around it.
-const BATCH_BYTES: usize = MAX_ENTRY_BYTES - 1024;
+/// How long the append of a batch is repeated; later copies would only be rejected as stale.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(15);
+/// The maximum size of a batch in bytes; leaves room for the brackets around the records.
+const MAX_BATCH_BYTES: usize = MAX_ENTRY_BYTES - 1024;
 
-/// Appends what comes in until the channel closes.
+/// Appends the records from a channel until it closes.
 pub async fn run<L: LogService>(
     shared: Arc<Shared>,
     log: Arc<L>,
@@ -42,16 +42,16 @@
     }
 }
 
-/// Adds what waits already, as far as one entry of the log holds it.
+/// Adds the batches that already wait in the channel, up to the size of a log entry.
 fn gather(
     mut batch: Vec<Record>,
     records: &mut mpsc::Receiver<Vec<Record>>,
     carried: &mut Option<Vec<Record>>,
 ) -> Vec<Record> {
-    let mut bytes = size(&batch);
+    let mut bytes = encoded_size(&batch);
     while let Ok(more) = records.try_recv() {
-        bytes += size(&more);
-        if bytes > BATCH_BYTES {
+        bytes += encoded_size(&more);
+        if bytes > MAX_BATCH_BYTES {
             *carried = Some(more);
             return batch;
         }
@@ -60,17 +60,20 @@
     batch
 }
 
-/// Splits records into entries that the log takes; a record too large for one is left out.
+/// Splits records into parts that fit a log entry each; drops a record that is too large for one.
 fn split(records: Vec<Record>) -> Vec<Vec<Record>> {
     let mut parts: Vec<Vec<Record>> = Vec::new();
     let mut bytes = usize::MAX;
     for record in records {
-        let more = size(std::slice::from_ref(&record));
+        let more = encoded_size(std::slice::from_ref(&record));
         if more > MAX_ENTRY_BYTES {
-            log::error!("append record={} bytes={more} too large, left out", record.id);
+            log::error!(
+                "append record={} bytes={more} too large for a log entry, dropped",
+                record.id
+            );
             continue;
         }
-        if bytes.saturating_add(more) > BATCH_BYTES {
+        if bytes.saturating_add(more) > MAX_BATCH_BYTES {
             parts.push(Vec::new());
             bytes = 0;
         }
@@ -82,29 +85,32 @@
     parts
 }
 
-fn size(records: &[Record]) -> usize {
+fn encoded_size(records: &[Record]) -> usize {
     encode(records).len()
 }
 
-/// Appends one entry and waits until its records are read back.
+/// Appends records as one log entry, and repeats the append until the records are read back or
+/// [`RETRY_TIMEOUT`] has passed.
 async fn append<L: LogService>(shared: &Shared, log: &L, records: &[Record]) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let entry = encode(records);
     let ids: Vec<_> = records.iter().map(|r| r.id).collect();
-    while Instant::now().since(began) < GIVE_UP {
+    while Instant::now().since(started_at) < RETRY_TIMEOUT {
         if let Err(e) = log.append(entry.clone()).await {
-            // It may have taken effect; whether it did is found out by reading.
+            // The append may have taken effect nevertheless; only reading the log shows whether it
+            // did.
             log::warn!("append records={} result=unknown reason=\"{e}\"", ids.len());
             tokio::time::sleep(RETRY_PAUSE).await;
         }
-        if read_back(shared, &ids).await {
+        if wait_until_read(shared, &ids).await {
             return;
         }
     }
     log::warn!("append records={} result=given-up", ids.len());
 }
 
-async fn read_back(shared: &Shared, ids: &[RecordId]) -> bool {
+/// Waits until records are read back; returns `false` after the timeout.
+async fn wait_until_read(shared: &Shared, ids: &[RecordId]) -> bool {
     let mut changed = shared.changed.subscribe();
     let all_read = || {
         let core = shared.core();
@@ -117,5 +123,5 @@
             }
         }
     };
-    tokio::time::timeout(READ_BACK, wait).await.is_ok()
+    tokio::time::timeout(READ_BACK_TIMEOUT, wait).await.is_ok()
 }
--- a/crates/steward/src/core.rs
+++ b/crates/steward/src/core.rs
@@ -1,4 +1,4 @@
-//! What a steward knows: the state, its proof, its peers, its entry.
+//! The main data of a steward: the agreed state, its proof, its peers and its entry.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,29 +11,29 @@
 
 use crate::hints::Hints;
 use crate::promise::{Promises, Proof};
-use crate::recent::Recent;
+use crate::recent::RecentEntries;
 use crate::rollout::Rollouts;
 use crate::verdicts::Verdicts;
 
-/// What a peer last said.
+/// The last heartbeat of a peer.
 #[derive(Clone, Debug)]
 pub struct PeerReport {
-    /// When.
-    pub heard: Instant,
-    /// What.
-    pub beat: Heartbeat,
+    /// When the heartbeat was received.
+    pub last_contact: Instant,
+    /// The heartbeat.
+    pub heartbeat: Heartbeat,
 }
 
 /// The entry on this VM.
 #[derive(Debug, Default)]
 pub struct EntryState {
-    /// The number that it drew at its start; `None` before one has called.
+    /// The random ID that the entry drew at its start; `None` before the first call.
     pub id: Option<u64>,
-    /// When it last called.
-    pub heard: Instant,
-    /// From when on its acknowledgements count: an entry before it may act until then.
+    /// When the entry last called.
+    pub last_contact: Instant,
+    /// The time from which acknowledgements count; a previous entry may act until then.
     pub ack_from: Instant,
-    /// What it reported.
+    /// The last report of the entry.
     pub report: EntryReport,
 }
 
@@ -42,64 +42,65 @@
 pub struct SnapshotPoint {
     /// The records of the snapshot.
     pub chunks: Vec<Change>,
-    /// The offset that it covers.
+    /// The first offset that the snapshot does not cover.
     pub at: Offset,
-    /// Its digest.
+    /// The digest of the state.
     pub digest: String,
-    /// The last offset of which a whole snapshot was read in the log.
+    /// The highest offset whose complete snapshot was read from the log.
     pub written: Offset,
 }
 
-/// Everything under a steward's one main lock.
+/// The data under a steward's main lock.
 #[derive(Debug)]
 pub struct Core {
-    /// This member.
+    /// The ID of this member.
     pub me: MemberId,
     /// The agreed state.
     pub state: State,
-    /// The newest entries.
-    pub recent: Recent,
-    /// Whether the log could be read at the last try.
+    /// The newest entries of the log.
+    pub recent: RecentEntries,
+    /// Whether the last read of the log succeeded.
     pub log_up: bool,
-    /// Whether the log was once read to its end, or the state taken from a quorum of peers.
+    /// Whether the log was once read to its end, or the state was restored from peers up to the
+    /// offset of a quorum.
     pub caught_up: bool,
     /// The proof of this member's membership.
     pub proof: Proof,
-    /// Promises to others.
+    /// The promises that this member has given to others.
     pub promises: Promises,
-    /// What peers said.
+    /// The last heartbeats of peers.
     pub peers: BTreeMap<MemberId, PeerReport>,
-    /// Hints of leaving VMs.
+    /// The hints of leaving VMs.
     pub hints: Hints,
     /// The entry on this VM.
     pub entry: EntryState,
-    /// Verdicts on records.
+    /// The verdicts on records.
     pub verdicts: Verdicts,
     /// The revision of the voters whose claims this voter has taken over.
     pub merged: Revision,
-    /// When a `MemberGone` was read.
-    pub gone_read: BTreeMap<MemberId, Instant>,
+    /// When the `MemberGone` record of a member was read.
+    pub gone_read_at: BTreeMap<MemberId, Instant>,
     /// When the set of members last changed.
     pub members_changed: Instant,
-    /// Whether a voter stated against this member, which must join anew.
+    /// Whether a voter refuses promises to this member, which must rejoin.
     pub must_rejoin: bool,
     /// The last snapshot point.
     pub snapshot: SnapshotPoint,
-    /// Snapshots whose digest differed from this steward's own.
+    /// The number of snapshot chunks whose digest differed from this steward's own.
     pub digest_mismatches: u64,
-    /// Operators' changes that are not in force everywhere yet.
+    /// Operators' changes that some entry does not use yet.
     pub rollouts: Rollouts,
     snapshot_every: u64,
 }
 
 impl Core {
-    /// Makes the core of a steward that has read nothing.
+    /// Creates the core of a steward that has read nothing.
     pub fn new(me: MemberId, fence: Duration, snapshot_every: u64, now: Instant) -> Self {
         let entry = EntryState { ack_from: now + fence, ..EntryState::default() };
         Self {
             me,
             state: State::new(),
-            recent: Recent::default(),
+            recent: RecentEntries::default(),
             log_up: false,
             caught_up: false,
             proof: Proof::new(fence),
@@ -109,7 +110,7 @@
             entry,
             verdicts: Verdicts::default(),
             merged: Revision::NONE,
-            gone_read: BTreeMap::new(),
+            gone_read_at: BTreeMap::new(),
             members_changed: now,
             must_rejoin: false,
             snapshot: SnapshotPoint::default(),
@@ -127,29 +128,29 @@
         self.check_snapshot(&records);
         let verdicts = self.state.apply_entry(offset, &entry);
         for (verdict, record) in verdicts.iter().zip(&records) {
-            self.verdicts.note(verdict);
+            self.verdicts.add(verdict);
             if verdict.result.is_ok() {
-                self.rollouts.note(&record.change, offset, now);
+                self.rollouts.track(&record.change, offset, now);
             }
         }
         self.recent.push(offset, entry);
-        self.note_members(&members, now);
+        self.record_member_changes(&members, now);
         if self.state.next.0.is_multiple_of(self.snapshot_every) {
             self.take_snapshot();
         }
     }
 
-    /// Replaces the state by one that was fetched, never by an older one.
+    /// Replaces the state with a fetched one if that is newer.
     pub fn replace_state(&mut self, state: State, now: Instant) {
         if state.next <= self.state.next {
             return;
         }
         self.state = state;
-        self.recent = Recent::default();
-        self.note_members(&BTreeSet::new(), now);
+        self.recent = RecentEntries::default();
+        self.record_member_changes(&BTreeSet::new(), now);
     }
 
-    /// Returns whether this member is joined in the agreed state.
+    /// Returns whether this member is joined by the agreed state.
     pub fn is_member(&self) -> bool {
         let member = self.state.members.get(&self.me);
         member.is_some_and(|m| m.state == MemberState::Joined)
@@ -163,48 +164,52 @@
         self.proof.until(self.me, &self.state.voters, now)
     }
 
-    /// Returns the smallest offset that a joined member's entry uses; `None` while one is silent.
-    pub fn least_entry_offset(&self) -> Option<Offset> {
+    /// Returns the smallest offset that a joined member's entry uses; `None` while the offset of
+    /// one is not known.
+    pub fn min_entry_offset(&self) -> Option<Offset> {
         let joined = self.state.members.iter().filter(|(_, m)| m.state == MemberState::Joined);
         let offset = |id: &MemberId| {
             if *id == self.me {
                 return Some(self.entry.report.offset);
             }
-            self.peers.get(id).map(|p| p.beat.entry.offset)
+            self.peers.get(id).map(|p| p.heartbeat.entry.offset)
         };
         let offsets: Option<Vec<Offset>> = joined.map(|(id, _)| offset(id)).collect();
         offsets?.into_iter().min()
     }
 
-    /// Returns whether a record was read, or superseded by a later one of its writer.
+    /// Returns whether a record, or a later one of its writer, was read.
     pub fn is_read(&self, id: RecordId) -> bool {
         self.state.writers.get(&id.writer).is_some_and(|mark| mark.seq >= id.seq)
     }
 
-    /// Returns the voter that plans: picked by hash among those heard of, to save work only.
-    pub fn duty(&self, span: Duration, now: Instant) -> Option<MemberId> {
-        let live = |id: &MemberId| *id == self.me || self.promises.is_heard(*id, span, now);
-        let joined = |id: &MemberId| {
+    /// Returns the planner on duty: a voter picked by hash among those with contact within
+    /// `contact_timeout`. A single planner only saves work; correctness does not depend on it.
+    pub fn planner_on_duty(&self, contact_timeout: Duration, now: Instant) -> Option<MemberId> {
+        let is_live = |id: &MemberId| {
+            *id == self.me || self.promises.had_contact_within(*id, contact_timeout, now)
+        };
+        let is_joined = |id: &MemberId| {
             self.state.members.get(id).is_some_and(|m| m.state == MemberState::Joined)
         };
         let voters = self.state.voters.current.iter().copied();
-        let live = voters.filter(|id| joined(id) && live(id));
+        let live = voters.filter(|id| is_joined(id) && is_live(id));
         thistle_model::rendezvous::pick(b"duty", live, |id| id.0)
     }
 
-    fn note_members(&mut self, before: &BTreeSet<MemberId>, now: Instant) {
-        let present: BTreeSet<_> = self.state.members.keys().copied().collect();
+    fn record_member_changes(&mut self, before: &BTreeSet<MemberId>, now: Instant) {
+        let member_ids: BTreeSet<_> = self.state.members.keys().copied().collect();
         let gone = self.state.members.iter().filter(|(_, m)| m.state == MemberState::Gone);
         for (&id, _) in gone {
-            self.gone_read.entry(id).or_insert(now);
+            self.gone_read_at.entry(id).or_insert(now);
         }
-        if present == *before {
+        if member_ids == *before {
             return;
         }
         self.members_changed = now;
-        self.gone_read.retain(|id, _| present.contains(id));
-        self.peers.retain(|id, _| present.contains(id));
-        self.promises.retain(&present);
+        self.gone_read_at.retain(|id, _| member_ids.contains(id));
+        self.peers.retain(|id, _| member_ids.contains(id));
+        self.promises.retain(&member_ids);
     }
 
     fn take_snapshot(&mut self) {
--- a/crates/steward/src/duty/jobs.rs
+++ b/crates/steward/src/duty/jobs.rs
@@ -1,4 +1,4 @@
-//! Starting jobs, and making night work yield to urgent jobs.
+//! Starts jobs, and makes night work yield to urgent jobs.
 
 use thistle_fold::MemberState;
 use thistle_model::job::{JobEnd, JobStart};
@@ -8,9 +8,9 @@
 
 use crate::core::Core;
 use crate::shared::Shared;
-use crate::tasks::{Step, ask, ended, task_of};
+use crate::tasks::{TaskCommand, call_worker, job_ended, running_task};
 
-/// Returns records of starts, and of the ends of night work that yielded.
+/// Returns changes for job starts and for the ends of night work that yielded.
 pub async fn proposals(shared: &Shared) -> Vec<Change> {
     let (mut changes, yields) = {
         let core = shared.core();
@@ -23,19 +23,19 @@
         });
         let starts: Vec<_> = starts.collect();
         let yields: Vec<_> =
-            plan.yields.iter().filter_map(|job| task_of(&core.state, job)).collect();
+            plan.yields.iter().filter_map(|job| running_task(&core.state, job)).collect();
         (starts, yields)
     };
     for (addr, id) in yields {
         log::info!("decision step=job-yield job={} worker={addr}", id.job);
-        let answers = ask(addr, Step::Yield, vec![id]).await;
+        let answers = call_worker(addr, TaskCommand::Yield, vec![id]).await;
         let yielded = answers.iter().filter(|(_, s)| *s == Some(TaskState::Yielded));
-        changes.extend(yielded.map(|(id, _)| ended(id, JobEnd::Yielded)));
+        changes.extend(yielded.map(|(id, _)| job_ended(id, JobEnd::Yielded)));
     }
     changes
 }
 
-/// Returns the member that follows the tasks of a VM.
+/// Returns the home of a VM, which is the member that tracks its tasks.
 fn home_of(core: &Core, vm: &VmName) -> Option<MemberId> {
     let joined = core.state.members.iter().filter(|(_, m)| m.state == MemberState::Joined);
     rendezvous::pick(vm.as_str().as_bytes(), joined.map(|(&id, _)| id), |id| id.0)
