--- a/crates/steward/src/heartbeat.rs
+++ b/crates/steward/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats to the voters: proof, acknowledgements, hints.
+//! Sends heartbeats, which carry acknowledgements and hints, to the voters and collects promises.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,33 +17,33 @@
     loop {
         tokio::select! {
             _ = ticks.tick() => {}
-            () = shared.beat_now.notified() => {}
+            () = shared.heartbeat_now.notified() => {}
         }
-        look_around(&shared);
-        for addr in targets(&shared) {
-            tokio::spawn(beat(shared.clone(), addr));
+        check_peers_and_hints(&shared);
+        for addr in other_voter_addrs(&shared) {
+            tokio::spawn(send_heartbeat(shared.clone(), addr));
         }
     }
 }
 
-/// Looks who is silent, and drops old hints.
-fn look_around(shared: &Shared) {
+/// Refuses promises to unresponsive members, records completed rollouts and drops expired hints.
+fn check_peers_and_hints(shared: &Shared) {
     let mut core = shared.core();
     let now = Instant::now();
     let me = core.me;
     let others: Vec<_> = core.state.members.keys().copied().filter(|&id| id != me).collect();
     if core.state.voters.contains(me) {
-        core.promises.refuse_silent(others.into_iter(), shared.settings.silence.0, now);
+        core.promises.refuse_unresponsive(others.into_iter(), shared.settings.silence.0, now);
     } else {
-        core.promises.stop_listening();
+        core.promises.forget_contacts();
     }
     let core = &mut *core;
     if !core.log_up {
-        core.hints.hold(now);
+        core.hints.refresh_all(now);
     }
-    if let Some(least) = core.least_entry_offset() {
-        for took in core.rollouts.done(least, now) {
-            metrics::histogram!("thistle_roll_out_seconds").record(took.as_secs_f64());
+    if let Some(min_offset) = core.min_entry_offset() {
+        for duration in core.rollouts.take_completed(min_offset, now) {
+            metrics::histogram!("thistle_roll_out_seconds").record(duration.as_secs_f64());
         }
     }
     let state = &core.state;
@@ -54,15 +54,15 @@
 }
 
 /// Returns the addresses of the voters other than this one.
-fn targets(shared: &Shared) -> Vec<SocketAddr> {
+fn other_voter_addrs(shared: &Shared) -> Vec<SocketAddr> {
     let core = shared.core();
     let voters = core.state.voters.all().into_iter().filter(|&id| id != core.me);
     let members = &core.state.members;
     voters.filter_map(|id| members.get(&id).map(|m| m.facts.peer_addr)).collect()
 }
 
-/// Returns what this steward says of itself.
-pub fn own_beat(shared: &Shared) -> Heartbeat {
+/// Returns this steward's current heartbeat.
+pub fn own_heartbeat(shared: &Shared) -> Heartbeat {
     let core = shared.core();
     Heartbeat {
         from: core.me,
@@ -76,35 +76,36 @@
     }
 }
 
-async fn beat(shared: Arc<Shared>, addr: SocketAddr) {
-    let line = shared.line(addr);
-    let asked = Instant::now();
-    let Ok(client) = line.client().await else {
+/// Sends a heartbeat to one voter and handles the reply.
+async fn send_heartbeat(shared: Arc<Shared>, addr: SocketAddr) {
+    let connection = shared.connection(addr);
+    let sent_at = Instant::now();
+    let Ok(client) = connection.client().await else {
         return;
     };
-    let beat = own_beat(&shared);
-    let from = beat.from;
-    let call = client.heartbeat(context(shared.settings.heartbeat.0 * 2), beat).await;
-    match line.check(call).await {
-        Ok(reply) => on_reply(&shared, from, &reply, asked),
+    let message = own_heartbeat(&shared);
+    let from = message.from;
+    let call = client.heartbeat(context(shared.settings.heartbeat.0 * 2), message).await;
+    match connection.check(call).await {
+        Ok(reply) => handle_reply(&shared, from, &reply, sent_at),
         Err(e) => log::debug!("heartbeat to={addr} result=failed reason=\"{e}\""),
     }
 }
 
-fn on_reply(shared: &Shared, beat_of: MemberId, reply: &HeartbeatReply, asked: Instant) {
+fn handle_reply(shared: &Shared, sender: MemberId, reply: &HeartbeatReply, sent_at: Instant) {
     let now = Instant::now();
     let mut core = shared.core();
-    if core.me != beat_of {
+    if core.me != sender {
         return;
     }
     if reply.promise {
-        core.proof.on_promise(reply.from, reply.voters, asked);
+        core.proof.on_promise(reply.from, reply.voters, sent_at);
     }
     core.must_rejoin |= reply.stated;
-    let new = core.hints.learn(reply.leaving.iter().cloned(), now);
-    let ahead = reply.offset > core.state.next && !core.log_up;
+    let new = core.hints.add(reply.leaving.iter().cloned(), now);
+    let is_peer_ahead = reply.offset > core.state.next && !core.log_up;
     drop(core);
-    if ahead {
+    if is_peer_ahead {
         shared.peers_ahead.notify_one();
     }
     if !new.is_empty() {
@@ -112,18 +113,18 @@
     }
 }
 
-/// Passes hints on to all voters at once.
-pub fn pass_on(shared: &Arc<Shared>, vms: &[thistle_model::VmName]) {
-    for addr in targets(shared) {
+/// Sends hints to the other voters without waiting for the next heartbeat.
+pub fn broadcast_hints(shared: &Arc<Shared>, vms: &[thistle_model::VmName]) {
+    for addr in other_voter_addrs(shared) {
         let (shared, vms) = (shared.clone(), vms.to_vec());
         tokio::spawn(async move {
-            let line = shared.line(addr);
-            let Ok(client) = line.client().await else {
+            let connection = shared.connection(addr);
+            let Ok(client) = connection.client().await else {
                 return;
             };
             let call = client.leaving(context(shared.settings.heartbeat.0), vms).await;
-            // The next heartbeat carries the hint again.
-            let _ = line.check(call).await;
+            // A failed call needs no retry: the next heartbeat carries the hint again.
+            let _ = connection.check(call).await;
         });
     }
 }
--- a/crates/steward/src/rollout.rs
+++ b/crates/steward/src/rollout.rs
@@ -1,4 +1,4 @@
-//! How long operators' changes take to be in force on every entry.
+//! Measures how long operators' changes take to reach every entry.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,38 +6,38 @@
 use thistle_model::clock::Instant;
 use thistle_model::{Change, Offset};
 
-/// Changes that are followed at one time.
-const MAX_FOLLOWED: usize = 256;
+/// The maximum number of changes that are tracked at a time.
+const MAX_TRACKED: usize = 256;
 
-/// Operators' changes that are not in force everywhere yet.
+/// Operators' changes that some entry does not use yet.
 #[derive(Debug, Default)]
 pub struct Rollouts {
-    open: VecDeque<(Offset, Instant)>,
+    pending: VecDeque<(Offset, Instant)>,
 }
 
 impl Rollouts {
-    /// Follows the change at `offset` if it is an operator's.
-    pub fn note(&mut self, change: &Change, offset: Offset, now: Instant) {
+    /// Starts to track the change at `offset` if an operator made it.
+    pub fn track(&mut self, change: &Change, offset: Offset, now: Instant) {
         let is_operators = matches!(
             change,
             Change::PublishTemplate { .. } | Change::SetWorkspace { .. } | Change::SetQuota { .. }
         );
-        if is_operators && self.open.len() < MAX_FOLLOWED {
-            self.open.push_back((offset, now));
+        if is_operators && self.pending.len() < MAX_TRACKED {
+            self.pending.push_back((offset, now));
         }
     }
 
-    /// Returns how long the changes took that all entries use now; `least` is the smallest offset
-    /// that an entry uses.
-    pub fn done(&mut self, least: Offset, now: Instant) -> Vec<Duration> {
-        let mut took = Vec::new();
-        while let Some(&(offset, since)) = self.open.front() {
-            if offset >= least {
+    /// Removes the changes that all entries use now and returns how long each took; `min_offset` is
+    /// the smallest offset that an entry uses.
+    pub fn take_completed(&mut self, min_offset: Offset, now: Instant) -> Vec<Duration> {
+        let mut durations = Vec::new();
+        while let Some(&(offset, since)) = self.pending.front() {
+            if offset >= min_offset {
                 break;
             }
-            self.open.pop_front();
-            took.push(now.since(since));
+            self.pending.pop_front();
+            durations.push(now.since(since));
         }
-        took
+        durations
     }
 }
--- a/crates/steward/tests/fence_world/mod.rs
+++ b/crates/steward/tests/fence_world/mod.rs
@@ -1,4 +1,4 @@
-//! Stewards with their entries, a log, and the network between them, one step at a time.
+//! A simulation of stewards with their entries, a log and the network, run step by step.
 
 mod steps;
 
@@ -15,13 +15,13 @@
 
 const NODES: usize = 5;
 const FENCE: Duration = Duration::from_millis(40);
-/// Shorter than the fence, which the settings forbid, so that promises do outlast the silence.
+/// Shorter than the fence time, which the settings forbid, so that promises outlast this timeout.
 const SILENCE: Duration = Duration::from_millis(20);
 
-/// A read of the log or a heartbeat on its way back.
-enum Flight {
-    Read { node: usize, asked: Instant, entries: Vec<Vec<u8>>, from: Offset, to_end: bool },
-    Promise { node: usize, from: usize, asked: Instant, voters: Revision },
+/// A reply to a log read or to a heartbeat that has not been delivered yet.
+enum Reply {
+    Read { node: usize, called_at: Instant, entries: Vec<Vec<u8>>, from: Offset, to_end: bool },
+    Promise { node: usize, from: usize, called_at: Instant, voters: Revision },
 }
 
 /// One steward with its entry.
@@ -29,22 +29,23 @@
     state: State,
     proof: Proof,
     promises: Promises,
-    gone_read: Option<(MemberId, Instant)>,
+    gone_read_at: Option<(MemberId, Instant)>,
     log_cut: bool,
     frozen: bool,
 }
 
+/// The simulation; `agreed` is the state after the whole log.
 pub struct World {
     now: Instant,
     log: Vec<Vec<u8>>,
-    pub truth: State,
+    pub agreed: State,
     seq: u64,
     log_down: bool,
     nodes: Vec<Node>,
     cut: [[bool; NODES]; NODES],
-    flights: Vec<Flight>,
+    undelivered: Vec<Reply>,
     pub sends: u32,
-    pub drained_past_silent: u32,
+    pub fenced_out: u32,
 }
 
 fn id(i: usize) -> MemberId {
@@ -55,7 +56,7 @@
     VmName::new("vm").unwrap()
 }
 
-fn set_up() -> Vec<Change> {
+fn initial_changes() -> Vec<Change> {
     let template = TemplateName::new("t").unwrap();
     let pool = PoolName::new("p").unwrap();
     let base = Revision::NONE;
