--- a/crates/scheduler/tests/cancels.rs
+++ b/crates/scheduler/tests/cancels.rs
@@ -6,7 +6,7 @@
 
 use googletest::prelude::*;
 use hyper::Method;
-use system::{System, job, send, submit, until, until_state};
+use system::{System, job, send, submit, wait_until, wait_until_state};
 
 const ID: &str = "5c0e7a21d94b36f8";
 /// Longer than the delay after which a VM executes an order that it did not answer.
@@ -33,9 +33,9 @@
     }
 }
 
-async fn until_order_sent(system: &System) {
+async fn wait_until_order_sent(system: &System) {
     let ordered = async || system.platform.machines.vms().iter().any(|vm| vm.orders() > 0);
-    until("an order was sent", ordered).await;
+    wait_until("an order was sent", ordered).await;
 }
 
 /// Guards against tasks of a cancelled job that start after the cancel. A VM stops answering while starts are sent, the
@@ -46,14 +46,14 @@
 async fn starts_are_not_sent_once_their_runs_are_to_be_stopped() {
     let system = System::start(70, 1, 1).await;
     submit(&system.nodes[0], "00000000000000aa", &job(1, 10)).await;
-    until_state(&system.nodes[0], "00000000000000aa", "completed").await;
+    wait_until_state(&system.nodes[0], "00000000000000aa", "completed").await;
     set_all_unresponsive(&system, true);
     submit(&system.nodes[0], ID, &job(8, 0)).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     cancel(&system, 0).await;
     tokio::time::sleep(Duration::from_millis(600)).await;
     set_all_unresponsive(&system, false);
-    until_state(&system.nodes[0], ID, "cancelled").await;
+    wait_until_state(&system.nodes[0], ID, "cancelled").await;
     tokio::time::sleep(LATE_ORDERS_DONE).await;
     expect_that!(system.starts_of(ID).len(), eq(0));
     expect_that!(runs_somewhere(&system), eq(false));
@@ -65,22 +65,22 @@
     let system = System::start(71, 2, 1).await;
     set_all_execute_late(&system);
     submit(&system.nodes[0], ID, &job(4, 0)).await;
-    until_order_sent(&system).await;
+    wait_until_order_sent(&system).await;
     cancel(&system, 0).await;
     tokio::time::sleep(LATE_ORDERS_DONE).await;
-    until("nothing runs", async || !runs_somewhere(&system)).await;
-    until_state(&system.nodes[0], ID, "cancelled").await;
+    wait_until("nothing runs", async || !runs_somewhere(&system)).await;
+    wait_until_state(&system.nodes[0], ID, "cancelled").await;
 }
 
 /// Cancels a job before or after its owner is killed for good while its starts are sent, and checks that all its tasks end.
 async fn job_ends_without_its_owner(net: u8, cancel_first: bool, unreachable: bool) {
     let mut system = System::start(net, 2, 2).await;
-    until("a node owns the pool", async || system.owner().is_some()).await;
+    wait_until("a node owns the pool", async || system.owner().is_some()).await;
     let owner = system.owner().expect("there is one");
     let other = 1 - owner;
     set_all_execute_late(&system);
     submit(&system.nodes[other], ID, &job(4, 0)).await;
-    until_order_sent(&system).await;
+    wait_until_order_sent(&system).await;
     if cancel_first {
         cancel(&system, other).await;
     }
@@ -89,11 +89,11 @@
     if !cancel_first {
         cancel(&system, other).await;
     }
-    until("the other node owns the pool", async || system.owner() == Some(other)).await;
+    wait_until("the other node owns the pool", async || system.owner() == Some(other)).await;
     set_all_unresponsive(&system, false);
     tokio::time::sleep(LATE_ORDERS_DONE).await;
-    until("nothing runs", async || !runs_somewhere(&system)).await;
-    until_state(&system.nodes[other], ID, "cancelled").await;
+    wait_until("nothing runs", async || !runs_somewhere(&system)).await;
+    wait_until_state(&system.nodes[other], ID, "cancelled").await;
 }
 
 #[gtest]
--- a/crates/scheduler/tests/caps.rs
+++ b/crates/scheduler/tests/caps.rs
@@ -11,7 +11,7 @@
 use googletest::prelude::*;
 use hyper::Method;
 use serde_json::Value;
-use system::{Node, POOL, System, job, request, until};
+use system::{Node, POOL, System, job, request, wait_until};
 use thistle_platform::standin::bodies;
 
 const ID: &str = "5c0e7a21d94b36f8";
@@ -30,10 +30,10 @@
     node.callers().call(call).await.expect("the node answers").status
 }
 
-async fn until_in_force(system: &System, version: u64) {
+async fn wait_until_in_force(system: &System, version: u64) {
     let line = format!("step=in-force version={version} ");
     let all = async || system.nodes.iter().all(|node| node.log().contains(&line));
-    until("the configuration is in force", all).await;
+    wait_until("the configuration is in force", all).await;
 }
 
 fn running(system: &System) -> BTreeSet<String> {
@@ -43,7 +43,7 @@
 /// Polls the running tasks until all tasks of a job have run, and returns the largest number that ran at once.
 async fn max_running_at_once(system: &System, id: &str, tasks: usize) -> usize {
     let max_running = AtomicUsize::new(0);
-    until("all tasks have run", async || {
+    wait_until("all tasks have run", async || {
         let running_now = running(system).len();
         max_running.fetch_max(running_now, Ordering::Relaxed);
         system.starts_of(id).len() == tasks && running_now == 0
@@ -57,7 +57,7 @@
 async fn a_workspace_runs_no_more_than_its_cap() {
     let system = System::start(96, 3, 2).await;
     put_cap(&system, 2, 1_000);
-    until_in_force(&system, 2).await;
+    wait_until_in_force(&system, 2).await;
     // Each task takes half a core, and the VMs have twelve cores.
     expect_that!(submit(&system.nodes[0], ID, &job(8, 300)).await, eq(200));
     expect_that!(max_running_at_once(&system, ID, 8).await, eq(2));
@@ -73,9 +73,9 @@
 async fn a_cap_holds_when_the_owner_dies_and_when_it_is_lowered() {
     let mut system = System::start(97, 3, 3).await;
     put_cap(&system, 2, 2_000);
-    until_in_force(&system, 2).await;
+    wait_until_in_force(&system, 2).await;
     expect_that!(submit(&system.nodes[0], ID, &job(24, 400)).await, eq(200));
-    until("four run", async || running(&system).len() == 4).await;
+    wait_until("four run", async || running(&system).len() == 4).await;
     let owner = system.owner().expect("the pool has an owner");
     system.nodes[owner].kill();
     put_cap(&system, 3, 1_000);
@@ -86,7 +86,7 @@
         expect_that!(running(&system).len(), le(4));
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    until("what ran before has ended", async || running(&system).len() <= 2).await;
+    wait_until("what ran before has ended", async || running(&system).len() <= 2).await;
     expect_that!(max_running_at_once(&system, ID, 24).await, le(2));
 }
 
@@ -95,7 +95,7 @@
 async fn without_caps_no_record_of_caps_is_written() {
     let system = System::start(98, 2, 2).await;
     put_cap(&system, 2, 0);
-    until_in_force(&system, 2).await;
+    wait_until_in_force(&system, 2).await;
     expect_that!(submit(&system.nodes[0], ID, &job(4, 100)).await, eq(200));
     expect_that!(max_running_at_once(&system, ID, 4).await, ge(2));
     let claimed = system.platform.store.newest("control", 0, "owner/#caps");
@@ -108,13 +108,14 @@
 async fn a_gang_larger_than_its_cap_is_refused_at_once() {
     let system = System::start(99, 2, 1).await;
     put_cap(&system, 2, 1_000);
-    until_in_force(&system, 2).await;
+    wait_until_in_force(&system, 2).await;
     let gang = |count: u32| {
         let step = serde_json::json!({ "count": count, "cpu": 500, "memMb": 256, "gang": true });
         bodies::job_of("ms=100", &[step])
     };
     expect_that!(submit(&system.nodes[0], ID, &gang(3)).await, eq(400));
     expect_that!(submit(&system.nodes[0], "6c0e7a21d94b36f8", &gang(2)).await, eq(200));
-    until("the one that fits runs", async || system.starts_of("6c0e7a21d94b36f8").len() == 2).await;
+    wait_until("the one that fits runs", async || system.starts_of("6c0e7a21d94b36f8").len() == 2)
+        .await;
     expect_that!(system.starts_of(ID).len(), eq(0));
 }
--- a/crates/scheduler/tests/copies_of_starts.rs
+++ b/crates/scheduler/tests/copies_of_starts.rs
@@ -4,7 +4,7 @@
 //! may be executed seconds later, even if the VM refuses the next copy. So the refusal of one copy must not count as
 //! the refusal of the order. Here a proxy in front of each VM loses answers, delays copies and refuses others.
 
-mod middle;
+mod proxy;
 mod system;
 
 use std::collections::HashMap;
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use middle::{Asked, answer};
-use system::{System, job, submit, until, until_state};
+use proxy::{ReceivedCall, http_response};
+use system::{System, job, submit, wait_until, wait_until_state};
 use thistle_platform::standin::paths::START;
 
 const ID: &str = "5c0e7a21d94b36f8";
@@ -29,7 +29,7 @@
 
 impl CopyCounts {
     /// Records a copy and returns the number of earlier copies.
-    fn record_copy(&self, request: &Asked) -> usize {
+    fn record_copy(&self, request: &ReceivedCall) -> usize {
         let run = format!("{}#{}", request.field("task"), request.field("attempt"));
         let mut copies = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let copies = copies.entry(run).or_default();
@@ -52,7 +52,7 @@
     let mut system = System::start(net, 2, 0).await;
     for vm in system.platform.machines.vms() {
         let (copies, refusal) = (CopyCounts::default(), refusal.to_owned());
-        let rule = move |request: Asked| {
+        let rule = move |request: ReceivedCall| {
             let (copies, refusal) = (copies.clone(), refusal.clone());
             async move {
                 // A second attempt fails the test anyway and is let through, so that the job completes soon.
@@ -76,10 +76,10 @@
                 }
             }
         };
-        middle::stand_for_vm(&system.platform, &vm, rule).await;
+        proxy::start_vm_proxy(&system.platform, &vm, rule).await;
     }
     system.add_node(system::ip(net, 10));
-    until("the node is ready", || system.nodes[0].is_ready()).await;
+    wait_until("the node is ready", || system.nodes[0].is_ready()).await;
     system
 }
 
@@ -87,7 +87,7 @@
 async fn expect_each_started_once(net: u8, first: FirstCopy, refusal: &str) {
     let system = start_refusing_system(net, first, refusal).await;
     expect_that!(submit(&system.nodes[0], ID, &job(TASKS, 1_500)).await.status, eq(200));
-    until_state(&system.nodes[0], ID, "completed").await;
+    wait_until_state(&system.nodes[0], ID, "completed").await;
     // Late copies have been executed by then.
     tokio::time::sleep(LATE_EXECUTION_DELAY).await;
     let starts = system.starts_of(ID);
@@ -96,7 +96,7 @@
 }
 
 fn refusal_answer(reason: &str) -> String {
-    answer(409, &format!(r#"{{"clockMs":5,"reason":"{reason}"}}"#))
+    http_response(409, &format!(r#"{{"clockMs":5,"reason":"{reason}"}}"#))
 }
 
 #[gtest]
@@ -108,8 +108,8 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_task_is_started_once_if_its_vm_answers_a_copy_with_503_or_429() {
-    expect_each_started_once(96, FirstCopy::CarriedOut, &answer(503, "")).await;
-    expect_each_started_once(97, FirstCopy::CarriedOutLate, &answer(429, "")).await;
+    expect_each_started_once(96, FirstCopy::CarriedOut, &http_response(503, "")).await;
+    expect_each_started_once(97, FirstCopy::CarriedOutLate, &http_response(429, "")).await;
 }
 
 #[gtest]
--- a/crates/scheduler/tests/crashing.rs
+++ b/crates/scheduler/tests/crashing.rs
@@ -7,7 +7,7 @@
 mod system;
 
 use googletest::prelude::*;
-use system::{System, job, submit, until, until_state};
+use system::{System, job, submit, wait_until, wait_until_state};
 use thistle_platform::standin::bodies;
 
 const ID: &str = "5c0e7a21d94b36f8";
@@ -44,12 +44,12 @@
 async fn expect_abandoned(system: &System) {
     expect_that!(submit(&system.nodes[0], OTHER_JOB, &job(4, 600)).await.status, eq(200));
     expect_that!(submit(&system.nodes[0], ID, &crashing_job()).await.status, eq(200));
-    until("the task is abandoned or started too often", async || {
+    wait_until("the task is abandoned or started too often", async || {
         starts_of_task(system) > MAX_STARTS || system::state(&system.nodes[0], ID).await == "failed"
     })
     .await;
     expect_that!(starts_of_task(system), le(MAX_STARTS));
-    until_state(&system.nodes[0], OTHER_JOB, "completed").await;
+    wait_until_state(&system.nodes[0], OTHER_JOB, "completed").await;
     // Operators can see the reason.
     let shown = system.nodes[0].show(&["--job", ID]);
     expect_that!(shown, contains_substring("VMs that crashed under it"));
@@ -67,7 +67,7 @@
             let [one, other] = states;
             tokio::join!(one, other) == ("failed".to_owned(), "failed".to_owned())
         };
-        until("the task is started again or abandoned", async || {
+        wait_until("the task is started again or abandoned", async || {
             starts_of_task(&system) >= round || is_abandoned().await
         })
         .await;
@@ -78,9 +78,9 @@
         let owner = system.owner().unwrap_or(0);
         system.nodes[owner].kill();
         system.nodes[owner].start();
-        until("it is ready again", || system.nodes[owner].is_ready()).await;
+        wait_until("it is ready again", || system.nodes[owner].is_ready()).await;
     }
-    until("the task is abandoned or started too often", async || {
+    wait_until("the task is abandoned or started too often", async || {
         starts_of_task(&system) > MAX_STARTS
             || system::state(&system.nodes[0], ID).await == "failed"
     })
--- a/crates/scheduler/tests/evacuation.rs
+++ b/crates/scheduler/tests/evacuation.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use googletest::prelude::*;
-use system::{System, job, submit, until, until_state};
+use system::{System, job, submit, wait_until, wait_until_state};
 use thistle_platform::standin::Fault;
 
 /// The time within which an evacuation must be in force, as in [`SETTINGS`].
@@ -23,7 +23,7 @@
 /// Starts nodes, and two VMs in each hall.
 async fn start_with_two_halls(net: u8, nodes: u8) -> System {
     let mut system = System::start(net, 0, 0).await;
-    system.further_settings = SETTINGS.to_owned();
+    system.extra_settings = SETTINGS.to_owned();
     for (i, hall) in (0..).zip(HALLS) {
         for host in 0..2 {
             system.add_vm_in(hall, net, 100 + 10 * i + host).await;
@@ -33,7 +33,7 @@
         system.add_node(system::ip(net, 10 + i));
     }
     for node in &system.nodes {
-        until("a node is ready", || node.is_ready()).await;
+        wait_until("a node is ready", || node.is_ready()).await;
     }
     system
 }
@@ -41,7 +41,7 @@
 /// Submits a job of more tasks than all VMs can run at once, and waits until it is completed.
 async fn run_large_job(system: &System, number: u64) {
     submit(&system.nodes[0], &id(number), &job(24, 100)).await;
-    until_state(&system.nodes[0], &id(number), "completed").await;
+    wait_until_state(&system.nodes[0], &id(number), "completed").await;
 }
 
 /// Returns the number of runs started in a hall since `since`.
@@ -49,10 +49,10 @@
     system.starts_in(hall).iter().filter(|(at, _)| *at >= since).count()
 }
 
-async fn until_in_force(system: &System, step: &str, times: usize) {
+async fn wait_until_in_force(system: &System, step: &str, times: usize) {
     let line = format!("step={step}");
     let all = async || system.nodes.iter().all(|node| node.log().matches(&line).count() >= times);
-    until(&format!("all nodes know: {step}"), all).await;
+    wait_until(&format!("all nodes know: {step}"), all).await;
 }
 
 #[gtest]
@@ -88,12 +88,12 @@
 async fn jobs_wait_while_all_halls_are_evacuated() {
     let system = start_with_two_halls(201, 1).await;
     HALLS.iter().for_each(|hall| system.platform.evacuate(hall));
-    until_in_force(&system, "evacuated", 2).await;
+    wait_until_in_force(&system, "evacuated", 2).await;
     expect_that!(submit(&system.nodes[0], &id(1), &job(4, 50)).await.status, eq(200));
     tokio::time::sleep(Duration::from_secs(1)).await;
     expect_that!(system.platform.machines.started(), is_empty());
     system.platform.return_to_service("hall-b");
-    until_state(&system.nodes[0], &id(1), "completed").await;
+    wait_until_state(&system.nodes[0], &id(1), "completed").await;
     expect_that!(system.starts_in("hall-a"), is_empty());
 }
 
@@ -103,7 +103,7 @@
 async fn a_start_without_an_answer_is_not_sent_again_into_an_evacuated_hall() {
     let system = start_with_two_halls(202, 1).await;
     system.platform.evacuate("hall-b");
-    until_in_force(&system, "evacuated", 1).await;
+    wait_until_in_force(&system, "evacuated", 1).await;
     let set_hall_a_unresponsive = |unresponsive| {
         for vm in system.platform.machines.vms().iter().filter(|vm| vm.place.hall == "hall-a") {
             vm.set_unresponsive(unresponsive);
@@ -114,9 +114,9 @@
     tokio::time::sleep(Duration::from_millis(400)).await;
     system.platform.evacuate("hall-a");
     system.platform.return_to_service("hall-b");
-    until_in_force(&system, "taken-back", 1).await;
+    wait_until_in_force(&system, "taken-back", 1).await;
     set_hall_a_unresponsive(false);
-    until_state(&system.nodes[0], &id(1), "completed").await;
+    wait_until_state(&system.nodes[0], &id(1), "completed").await;
     expect_that!(system.starts_in("hall-a"), is_empty());
 }
 
@@ -126,13 +126,13 @@
 async fn a_new_owner_starts_nothing_in_an_evacuated_hall() {
     let mut system = start_with_two_halls(203, 2).await;
     system.platform.evacuate("hall-a");
-    until_in_force(&system, "evacuated", 1).await;
+    wait_until_in_force(&system, "evacuated", 1).await;
     let evacuated_at = Instant::now();
     let owner = system.owner().expect("there is one");
     system.nodes[owner].kill();
     let other = 1 - owner;
     submit(&system.nodes[other], &id(1), &job(8, 50)).await;
-    until_state(&system.nodes[other], &id(1), "completed").await;
+    wait_until_state(&system.nodes[other], &id(1), "completed").await;
     expect_that!(started_since(&system, "hall-a", evacuated_at), eq(0));
 }
 
@@ -152,6 +152,6 @@
     }
     system.platform.evacuate("hall-a");
     system.platform.store.set_part_fault("op", 0, Fault::None);
-    until_state(&system.nodes[0], &id(1), "completed").await;
+    wait_until_state(&system.nodes[0], &id(1), "completed").await;
     expect_that!(started_since(&system, "hall-a", cannot_read_since), eq(0));
 }
--- a/crates/scheduler/tests/faults.rs
+++ b/crates/scheduler/tests/faults.rs
@@ -4,20 +4,20 @@
 
 use googletest::prelude::*;
 use hyper::Method;
-use system::{System, job, send, submit, until, until_state};
+use system::{System, job, send, submit, wait_until, wait_until_state};
 use thistle_platform::standin::Fault;
 
 const ID: &str = "5c0e7a21d94b36f8";
 
-async fn until_owned(system: &System) -> usize {
-    until("the pool has an owner", async || system.owner().is_some()).await;
+async fn wait_until_owned(system: &System) -> usize {
+    wait_until("the pool has an owner", async || system.owner().is_some()).await;
     system.owner().expect("it has one")
 }
 
 /// Submits jobs while the store has a fault. Checks that each job is accepted or its outcome is unknown, and that its
 /// tasks run once.
 async fn expect_jobs_run_once_under(system: &System, fault: Fault) {
-    until_owned(system).await;
+    wait_until_owned(system).await;
     system.platform.store.set_fault(fault);
     let ids: Vec<String> = (0..8).map(|i| format!("{i:016x}")).collect();
     for (i, id) in ids.iter().enumerate() {
@@ -26,7 +26,7 @@
     }
     system.platform.store.set_fault(Fault::None);
     for id in &ids {
-        until_state(&system.nodes[0], id, "completed").await;
+        wait_until_state(&system.nodes[0], id, "completed").await;
         let starts = system.starts_of(id);
         expect_that!(starts.len(), eq(2));
         expect_that!(starts.values().all(|&n| n == 1), eq(true), "{starts:?}");
@@ -37,12 +37,12 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_killed_owner_is_replaced_and_its_tasks_go_on() {
     let mut system = System::start(11, 2, 2).await;
-    let owner = until_owned(&system).await;
+    let owner = wait_until_owned(&system).await;
     let other = 1 - owner;
     submit(&system.nodes[other], ID, &job(4, 5_000)).await;
-    until("all tasks were started", async || system.starts_of(ID).len() == 4).await;
+    wait_until("all tasks were started", async || system.starts_of(ID).len() == 4).await;
     system.nodes[owner].kill();
-    until_state(&system.nodes[other], ID, "completed").await;
+    wait_until_state(&system.nodes[other], ID, "completed").await;
     expect_that!(system.owner(), some(eq(other)));
     expect_that!(system.starts_of(ID).values().all(|&n| n == 1), eq(true));
 }
@@ -51,7 +51,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_job_survives_the_death_of_every_node_right_after_its_acceptance() {
     let mut system = System::start(12, 2, 2).await;
-    until_owned(&system).await;
+    wait_until_owned(&system).await;
     let answer = submit(&system.nodes[0], ID, &job(3, 300)).await;
     for node in &mut system.nodes {
         node.kill();
@@ -60,28 +60,28 @@
     for node in &mut system.nodes {
         node.start();
     }
-    until("a node is ready", || system.nodes[0].is_ready()).await;
-    until_state(&system.nodes[0], ID, "completed").await;
+    wait_until("a node is ready", || system.nodes[0].is_ready()).await;
+    wait_until_state(&system.nodes[0], ID, "completed").await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn while_the_store_is_down_jobs_are_refused_at_once_and_never_run() {
     let system = System::start(13, 2, 1).await;
-    until_owned(&system).await;
+    wait_until_owned(&system).await;
     system.platform.store.set_fault(Fault::Busy);
     let refused = submit(&system.nodes[0], ID, &job(1, 10)).await;
     expect_that!(refused.status, eq(503));
-    until("it is not ready", async || !system.nodes[0].is_ready().await).await;
+    wait_until("it is not ready", async || !system.nodes[0].is_ready().await).await;
     system.platform.store.set_fault(Fault::None);
-    until("it is ready again", || system.nodes[0].is_ready()).await;
+    wait_until("it is ready again", || system.nodes[0].is_ready()).await;
     expect_that!(
         send(&system.nodes[0], Method::GET, &format!("/quotes/{ID}")).await.status,
         eq(410)
     );
     let later = "00000000000000ab";
     submit(&system.nodes[0], later, &job(1, 10)).await;
-    until_state(&system.nodes[0], later, "completed").await;
+    wait_until_state(&system.nodes[0], later, "completed").await;
     expect_that!(system.starts_of(ID).len(), eq(0));
 }
 
@@ -96,13 +96,13 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn tasks_run_once_when_the_owners_claim_lapses_during_a_store_outage() {
     let system = System::start(15, 2, 2).await;
-    until_owned(&system).await;
+    wait_until_owned(&system).await;
     submit(&system.nodes[0], ID, &job(2, 6_000)).await;
-    until("both tasks were started", async || system.starts_of(ID).len() == 2).await;
+    wait_until("both tasks were started", async || system.starts_of(ID).len() == 2).await;
     system.platform.store.set_fault(Fault::Unresponsive);
     tokio::time::sleep(std::time::Duration::from_secs(4)).await;
     system.platform.store.set_fault(Fault::None);
-    until_state(&system.nodes[0], ID, "completed").await;
+    wait_until_state(&system.nodes[0], ID, "completed").await;
     expect_that!(system.starts_of(ID).values().all(|&n| n == 1), eq(true));
 }
 
@@ -115,11 +115,11 @@
     system.put_config(5, &["/quotes/", "/plans/"]);
     system.platform.store.drop_history("op");
     let status = async |path: &str| send(node, Method::GET, path).await.status;
-    until("the new queue is there", async || status("/plans/").await == 200).await;
+    wait_until("the new queue is there", async || status("/plans/").await == 200).await;
     // An older version that arrives late has no effect.
     system.put_config(4, &["/quotes/"]);
     system.put_config(6, &["/plans/"]);
-    until("the old queue is gone", async || status("/quotes/").await == 404).await;
+    wait_until("the old queue is gone", async || status("/quotes/").await == 404).await;
     expect_that!(status("/plans/").await, eq(200));
 }
 
@@ -129,25 +129,25 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn tasks_of_an_unresponsive_vm_run_on_another_once_their_lease_expires() {
     let system = System::start(18, 2, 1).await;
-    until_owned(&system).await;
+    wait_until_owned(&system).await;
     submit(&system.nodes[0], ID, &job(4, 1_500)).await;
-    until("all tasks were started", async || system.starts_of(ID).len() == 4).await;
+    wait_until("all tasks were started", async || system.starts_of(ID).len() == 4).await;
     let busy = system.platform.machines.vms().into_iter().find(|vm| !vm.running().is_empty());
     busy.expect("one runs them").set_unresponsive(true);
-    until_state(&system.nodes[0], ID, "completed").await;
+    wait_until_state(&system.nodes[0], ID, "completed").await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn tasks_of_a_vm_that_crashes_run_on_another() {
     let system = System::start(17, 2, 1).await;
-    until_owned(&system).await;
+    wait_until_owned(&system).await;
     submit(&system.nodes[0], ID, &job(4, 1_500)).await;
-    until("all tasks were started", async || system.starts_of(ID).len() == 4).await;
+    wait_until("all tasks were started", async || system.starts_of(ID).len() == 4).await;
     let busy = system.platform.machines.vms().into_iter().find(|vm| !vm.running().is_empty());
     let name = busy.expect("one runs them").place.name.clone();
     system.platform.machines.crash(&name).await.expect("it comes back");
-    until_state(&system.nodes[0], ID, "completed").await;
+    wait_until_state(&system.nodes[0], ID, "completed").await;
 }
 
 /// Guards against submissions that are refused or not answered while the store is slow, because appends that time out
@@ -156,7 +156,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_slow_store_accepts_every_job() {
     let system = System::start(19, 2, 2).await;
-    until_owned(&system).await;
+    wait_until_owned(&system).await;
     system.platform.store.set_fault(Fault::Slow);
     // The nodes notice that the store is slow.
     tokio::time::sleep(std::time::Duration::from_secs(1)).await;
@@ -184,7 +184,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn nodes_forward_submissions_to_the_owner_while_the_store_is_slow() {
     let system = System::start(45, 1, 2).await;
-    let owner = until_owned(&system).await;
+    let owner = wait_until_owned(&system).await;
     // The nodes receive the heartbeats of each other.
     tokio::time::sleep(std::time::Duration::from_secs(3)).await;
     system.platform.store.set_fault(Fault::Slow);
@@ -198,7 +198,7 @@
     expect_that!(other.metrics().await, contains_substring("thistle_handed_over"));
     system.platform.store.set_fault(Fault::None);
     for i in 0..6 {
-        until_state(other, &format!("{i:016x}"), "completed").await;
+        wait_until_state(other, &format!("{i:016x}"), "completed").await;
     }
 }
 
@@ -211,7 +211,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_slow_store_accepts_jobs_while_their_first_partition_is_full() {
     let system = System::start(46, 1, 2).await;
-    let owner = until_owned(&system).await;
+    let owner = wait_until_owned(&system).await;
     // The nodes receive the heartbeats of each other.
     tokio::time::sleep(std::time::Duration::from_secs(3)).await;
     system.platform.store.set_fault(Fault::Slow);
@@ -236,7 +236,7 @@
     }
     system.platform.store.set_fault(Fault::None);
     for i in 0..12 {
-        until_state(&system.nodes[owner], &format!("{i:016x}"), "completed").await;
+        wait_until_state(&system.nodes[owner], &format!("{i:016x}"), "completed").await;
     }
 }
 
@@ -246,13 +246,13 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_job_that_cannot_be_looked_up_is_not_reported_as_unknown() {
     let system = System::start(20, 1, 2).await;
-    until_owned(&system).await;
+    wait_until_owned(&system).await;
     expect_that!(submit(&system.nodes[0], ID, &job(1, 0)).await.status, eq(200));
     system.platform.store.set_fault(Fault::Busy);
     let unknown = send(&system.nodes[1], Method::GET, "/quotes/00000000000000ac").await;
     expect_that!(unknown.status, eq(503));
     system.platform.store.set_fault(Fault::None);
-    until_state(&system.nodes[1], ID, "running").await;
+    wait_until_state(&system.nodes[1], ID, "running").await;
 }
 
 #[gtest]
@@ -266,7 +266,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn orders_that_are_executed_late_run_no_task_twice() {
     let system = System::start(22, 2, 1).await;
-    until_owned(&system).await;
+    wait_until_owned(&system).await;
     for vm in system.platform.machines.vms() {
         vm.execute_late(true);
     }
@@ -275,7 +275,7 @@
         submit(&system.nodes[0], id, &job(2, 300)).await;
     }
     for id in &ids {
-        until_state(&system.nodes[0], id, "completed").await;
+        wait_until_state(&system.nodes[0], id, "completed").await;
     }
     // Late copies have been executed by then.
     tokio::time::sleep(std::time::Duration::from_secs(3)).await;
@@ -290,11 +290,11 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_count_that_cannot_be_read_is_not_reported() {
     let system = System::start(23, 1, 1).await;
-    until_owned(&system).await;
+    wait_until_owned(&system).await;
     expect_that!(send(&system.nodes[0], Method::GET, "/quotes/").await.status, eq(200));
     system.platform.store.set_fault(Fault::Busy);
     let status = async || send(&system.nodes[0], Method::GET, "/quotes/").await.status;
-    until("the count is not reported", async || status().await == 503).await;
+    wait_until("the count is not reported", async || status().await == 503).await;
 }
 
 /// Guards against a pool that has no owner for 1.5 s after its owner gave it up, when the store is 46 times slower than
@@ -304,13 +304,13 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_node_whose_heartbeat_has_no_answer_still_receives_heartbeats() {
     let system = System::start(100, 2, 3).await;
-    until("the pool has an owner", async || system.owner().is_some()).await;
+    wait_until("the pool has an owner", async || system.owner().is_some()).await;
     // One partition loses answers, and the other one does not respond.
     system.platform.store.set_part_fault("control", 1, Fault::LosesAnswers);
     system.platform.store.set_part_fault("control", 4, Fault::Unresponsive);
     let failed =
         async || system.nodes.iter().all(|node| node.log().contains("heartbeat step=failed"));
-    until("each node has sent one that was not answered", failed).await;
+    wait_until("each node has sent one that was not answered", failed).await;
     tokio::time::sleep(std::time::Duration::from_secs(4)).await;
     for node in &system.nodes {
         // A node logs this once at its start, when it has not received anything yet.
--- a/crates/scheduler/tests/fleet_orders.rs
+++ b/crates/scheduler/tests/fleet_orders.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use system::{System, job, submit, until, until_state};
+use system::{System, job, submit, wait_until, wait_until_state};
 use thistle_platform::standin::{Fault, bodies};
 
 const ID: &str = "5c0e7a21d94b36f8";
@@ -31,17 +31,17 @@
 async fn tokens_across_pause(net: u8) -> Vec<u64> {
     let system = System::start(net, 4, 2).await;
     expect_that!(submit(&system.nodes[0], ID, &job(1, 10)).await.status, eq(200));
-    until_state(&system.nodes[0], ID, "completed").await;
-    until("the fleet has an owner", async || fleet_owner(&system).is_some()).await;
+    wait_until_state(&system.nodes[0], ID, "completed").await;
+    wait_until("the fleet has an owner", async || fleet_owner(&system).is_some()).await;
     let first = fleet_owner(&system).expect("an owner");
     let machines = &system.platform.machines;
     machines.refuse_orders(true);
     system.platform.store.put("op", "wave/1", bodies::wave(1, &["m-0".to_owned()], 1));
-    until("an order was refused", async || !machines.orders().is_empty()).await;
+    wait_until("an order was refused", async || !machines.orders().is_empty()).await;
     system.nodes[first].signal("STOP");
     let name = &system.nodes[1 - first].name;
     let next_has_ordered = async || machines.orders().iter().any(|o| o.holder == *name);
-    until("the next owner has given the order", next_has_ordered).await;
+    wait_until("the next owner has given the order", next_has_ordered).await;
     system.platform.store.set_part_fault("control", 0, Fault::Unresponsive);
     system.nodes[first].signal("CONT");
     tokio::time::sleep(WATCH_TIME).await;
--- a/crates/scheduler/tests/fleet_record.rs
+++ b/crates/scheduler/tests/fleet_record.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use system::{System, job, submit, until, until_state};
+use system::{System, job, submit, wait_until, wait_until_state};
 use thistle_platform::standin::bodies;
 
 /// The number of a wave's VMs that the machine service does not know. Two such waves exceed the size limit of one record.
@@ -35,21 +35,21 @@
         let request = bodies::wave(wave, &wave_vms(wave, &known), 1);
         system.platform.store.put("op", &format!("wave/{wave}"), request);
     }
-    until("a VM is maintained", async || machines.maintained(1) > 0).await;
+    wait_until("a VM is maintained", async || machines.maintained(1) > 0).await;
     // The next owner reads the rows and continues from the state recorded there.
     let owner = fleet_owner(&system).expect("an owner");
     system.nodes[owner].kill();
     for wave in [1, 2] {
-        until("the wave's VMs are maintained", async || machines.maintained(wave) == 2).await;
+        wait_until("the wave's VMs are maintained", async || machines.maintained(wave) == 2).await;
         let reported = async || {
             let status = system.platform.store.newest("status", 0, &format!("wave/{wave}"));
             status.is_some_and(|value| String::from_utf8_lossy(&value).contains("completed"))
         };
-        until("the wave is reported as completed", reported).await;
+        wait_until("the wave is reported as completed", reported).await;
     }
     let left = &system.nodes[1 - owner];
     expect_that!(submit(left, "00000000000000aa", &job(2, 50)).await.status, eq(200));
-    until_state(left, "00000000000000aa", "completed").await;
+    wait_until_state(left, "00000000000000aa", "completed").await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     let rows = system.platform.store.keys("control", 2);
     expect_that!(rows.iter().filter(|key| key.contains("gone")).count(), eq(0), "rows are dropped");
--- a/crates/scheduler/tests/foreign_entries.rs
+++ b/crates/scheduler/tests/foreign_entries.rs
@@ -7,7 +7,7 @@
 mod system;
 
 use googletest::prelude::*;
-use system::{POOL, System, job, submit, until, until_state};
+use system::{POOL, System, job, submit, wait_until, wait_until_state};
 
 const FIRST: &str = "5c0e7a21d94b36f8";
 const SECOND: &str = "00000000000000b2";
@@ -35,7 +35,7 @@
     let system = System::start(62, 2, 1).await;
     let node = &system.nodes[0];
     expect_that!(submit(node, FIRST, &job(2, 3_000)).await.status, eq(200));
-    until("it runs", async || system.starts_of(FIRST).len() == 2).await;
+    wait_until("it runs", async || system.starts_of(FIRST).len() == 2).await;
     let vms = system.platform.machines.vms();
     let (busy, idle) = match vms[0].running().is_empty() {
         true => (&vms[1], &vms[0]),
@@ -51,15 +51,15 @@
         r#"{"service":7,"state":null}"#,
     );
     let reported = async || node.log().contains("step=unreadable");
-    until("it is reported", reported).await;
+    wait_until("it is reported", reported).await;
     tokio::time::sleep(std::time::Duration::from_millis(600)).await;
     expect_that!(submit(node, SECOND, &job(2, 100)).await.status, eq(200));
-    until_state(node, SECOND, "completed").await;
+    wait_until_state(node, SECOND, "completed").await;
     let is_second = |(task, _): &(String, u32)| task.starts_with(SECOND);
     expect_that!(busy.started().iter().filter(|s| is_second(s)).count(), eq(0));
     expect_that!(idle.started().iter().filter(|s| is_second(s)).count(), eq(2));
     // The tasks on the VM whose entry became unreadable have gone on.
-    until_state(node, FIRST, "completed").await;
+    wait_until_state(node, FIRST, "completed").await;
     expect_that!(system.starts_of(FIRST).values().all(|&n| n == 1), eq(true));
     let lines = node.log().lines().filter(|line| line.contains("step=unreadable")).count();
     expect_that!(lines, eq(foreign_entries().len() + 1), "one line for each entry");
--- a/crates/scheduler/tests/jobs.rs
+++ b/crates/scheduler/tests/jobs.rs
@@ -6,7 +6,7 @@
 
 use googletest::prelude::*;
 use hyper::Method;
-use system::{System, job, send, state, submit, until, until_state};
+use system::{System, job, send, state, submit, wait_until, wait_until_state};
 use thistle_platform::CallError;
 use thistle_platform::standin::bodies;
 
@@ -21,7 +21,7 @@
     // A copy that is submitted to another node is the same job.
     expect_that!(submit(&system.nodes[1], ID, &job(3, 200)).await.status, eq(200));
     for node in &system.nodes {
-        until_state(node, ID, "completed").await;
+        wait_until_state(node, ID, "completed").await;
     }
     let starts = system.starts_of(ID);
     expect_that!(starts.len(), eq(3));
@@ -57,18 +57,18 @@
 async fn a_cancelled_job_is_stopped_and_one_cancelled_before_it_arrives_never_starts() {
     let system = System::start(3, 2, 2).await;
     submit(&system.nodes[0], ID, &job(2, 0)).await;
-    until("both tasks run", async || running_tasks(&system, ID) == 2).await;
+    wait_until("both tasks run", async || running_tasks(&system, ID) == 2).await;
     let cancelled = send(&system.nodes[1], Method::DELETE, &format!("/quotes/{ID}")).await;
     expect_that!(cancelled.status, eq(200));
-    until("nothing runs", async || running_tasks(&system, ID) == 0).await;
+    wait_until("nothing runs", async || running_tasks(&system, ID) == 0).await;
     for node in &system.nodes {
-        until_state(node, ID, "cancelled").await;
+        wait_until_state(node, ID, "cancelled").await;
     }
     let unknown = "00000000000000aa";
     let early = send(&system.nodes[0], Method::DELETE, &format!("/quotes/{unknown}")).await;
     expect_that!(early.status, eq(410));
     submit(&system.nodes[1], unknown, &job(1, 10)).await;
-    until_state(&system.nodes[1], unknown, "cancelled").await;
+    wait_until_state(&system.nodes[1], unknown, "cancelled").await;
     expect_that!(system.starts_of(unknown).len(), eq(0));
 }
 
@@ -81,16 +81,16 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_stopping_node_hands_its_pool_over_and_exits_successfully() {
     let mut system = System::start(4, 2, 2).await;
-    until("the pool has an owner", async || system.owner().is_some()).await;
+    wait_until("the pool has an owner", async || system.owner().is_some()).await;
     submit(&system.nodes[0], ID, &job(4, 1_500)).await;
-    until("all tasks run", async || running_tasks(&system, ID) == 4).await;
+    wait_until("all tasks run", async || running_tasks(&system, ID) == 4).await;
     let owner = system.owner().expect("it has one");
     system.nodes[owner].signal("TERM");
-    until("the other node owns it", async || system.owner().is_some_and(|o| o != owner)).await;
+    wait_until("the other node owns it", async || system.owner().is_some_and(|o| o != owner)).await;
     // The stopping node answers until it exits.
     expect_that!(state(&system.nodes[owner], ID).await, any![eq("running"), eq("completed")]);
     expect_that!(system.nodes[owner].is_ready().await, eq(false));
-    until_state(&system.nodes[1 - owner], ID, "completed").await;
+    wait_until_state(&system.nodes[1 - owner], ID, "completed").await;
     expect_that!(system.nodes[owner].wait(), eq(true));
     expect_that!(system.starts_of(ID).values().all(|&n| n == 1), eq(true));
 }
@@ -100,15 +100,15 @@
 async fn a_wave_maintains_each_vm_and_moves_lasting_tasks_elsewhere() {
     let system = System::start(5, 4, 2).await;
     submit(&system.nodes[0], ID, &job(2, 0)).await;
-    until("both tasks run", async || running_tasks(&system, ID) == 2).await;
+    wait_until("both tasks run", async || running_tasks(&system, ID) == 2).await;
     let vms: Vec<String> = (0..4).map(|i| format!("m-{i}")).collect();
     system.platform.store.put("op", "wave/1", bodies::wave(1, &vms, 1));
     let wave_status = || system.platform.store.newest("status", 0, "wave/1");
-    until("the wave is reported", async || wave_status().is_some()).await;
+    wait_until("the wave is reported", async || wave_status().is_some()).await;
     let wave_status = wave_status().expect("it was reported");
     expect_that!(String::from_utf8_lossy(&wave_status), contains_substring("completed"));
     expect_that!(system.platform.machines.maintained(1), eq(4));
-    until("both tasks run again", async || running_tasks(&system, ID) == 2).await;
+    wait_until("both tasks run again", async || running_tasks(&system, ID) == 2).await;
 }
 
 #[gtest]
@@ -116,7 +116,7 @@
 async fn the_command_line_shows_pools_owners_and_a_job_from_the_store() {
     let system = System::start(6, 2, 1).await;
     submit(&system.nodes[0], ID, &job(1, 0)).await;
-    until("the task runs", async || running_tasks(&system, ID) == 1).await;
+    wait_until("the task runs", async || running_tasks(&system, ID) == 1).await;
     let text = system.nodes[0].show(&["--job", ID]);
     expect_that!(text, contains_substring("configuration 1"));
     expect_that!(text, contains_substring("owned by node-10 token"));
--- a/crates/scheduler/tests/keys.rs
+++ b/crates/scheduler/tests/keys.rs
@@ -7,7 +7,7 @@
 
 use googletest::prelude::*;
 use hyper::Method;
-use system::{Node, POOL, System, job, request, until};
+use system::{Node, POOL, System, job, request, wait_until};
 use thistle_platform::http::Answer;
 use thistle_platform::standin::bodies;
 
@@ -41,10 +41,10 @@
     node.callers().call(call).await.expect("the node answers").status
 }
 
-async fn until_status(node: &Node, key: &str, status: u16) {
+async fn wait_until_status(node: &Node, key: &str, status: u16) {
     let is_in_force =
         async || call(node, Method::GET, "/quotes/", Some(key)).await.status == status;
-    until("the newest configuration is in force", is_in_force).await;
+    wait_until("the newest configuration is in force", is_in_force).await;
 }
 
 #[gtest]
@@ -53,7 +53,7 @@
     let system = System::start(92, 2, 1).await;
     let node = &system.nodes[0];
     put_workspaces(&system, 2, &["key-a", "key-b"], &["key-n"]);
-    until_status(node, "no-such-key", 401).await;
+    wait_until_status(node, "no-such-key", 401).await;
     for key in [None, Some("no-such-key"), Some("key-"), Some("")] {
         expect_that!(submit(node, &format!("/quotes/{ID}"), key).await, eq(401), "{key:?}");
         for method in [Method::GET, Method::DELETE] {
@@ -65,8 +65,10 @@
     expect_that!(system.starts_of(ID).len(), eq(0));
     expect_that!(submit(node, &format!("/quotes/{ID}"), Some("key-b")).await, eq(200));
     expect_that!(submit(node, &format!("/open/{OTHER_ID}"), None).await, eq(200));
-    until("both run", async || system.starts_of(ID).len() + system.starts_of(OTHER_ID).len() == 2)
-        .await;
+    wait_until("both run", async || {
+        system.starts_of(ID).len() + system.starts_of(OTHER_ID).len() == 2
+    })
+    .await;
     expect_that!(node.log(), not(contains_substring("key-")));
     expect_that!(node.show(&["--job", ID]), not(contains_substring("key-")));
     expect_that!(node.metrics().await, contains_substring("thistle_denied"));
@@ -80,11 +82,11 @@
     let system = System::start(93, 2, 2).await;
     put_workspaces(&system, 2, &["key-a"], &["key-n"]);
     for node in &system.nodes {
-        until_status(node, "no-such-key", 401).await;
+        wait_until_status(node, "no-such-key", 401).await;
     }
     let path = format!("/quotes/{ID}");
     expect_that!(submit(&system.nodes[0], &path, Some("key-a")).await, eq(200));
-    until("it runs", async || system.starts_of(ID).len() == 1).await;
+    wait_until("it runs", async || system.starts_of(ID).len() == 1).await;
     for node in &system.nodes {
         expect_that!(call(node, Method::GET, &path, Some("key-n")).await.status, eq(410));
         expect_that!(call(node, Method::DELETE, &path, Some("key-n")).await.status, eq(410));
@@ -101,7 +103,7 @@
     expect_that!(running().await, eq(true));
     let cancelled = call(&system.nodes[1], Method::DELETE, &path, Some("key-a")).await;
     expect_that!(cancelled.status, eq(200));
-    until("it is stopped", async || !running().await).await;
+    wait_until("it is stopped", async || !running().await).await;
 }
 
 /// A withdrawn key gives no access. A job that was submitted with it goes on and is visible with other keys of its workspace.
@@ -111,18 +113,18 @@
     let system = System::start(94, 2, 1).await;
     let node = &system.nodes[0];
     put_workspaces(&system, 2, &["key-a", "key-b"], &["key-n"]);
-    until_status(node, "no-such-key", 401).await;
+    wait_until_status(node, "no-such-key", 401).await;
     let path = format!("/quotes/{ID}");
     expect_that!(submit(node, &path, Some("key-a")).await, eq(200));
     expect_that!(node.metrics().await, contains_substring("outcome=\"Kept\""));
     put_workspaces(&system, 3, &["key-b"], &["key-n"]);
-    until_status(node, "key-a", 401).await;
+    wait_until_status(node, "key-a", 401).await;
     expect_that!(submit(node, &path, Some("key-a")).await, eq(401));
     expect_that!(call(node, Method::GET, &path, Some("key-a")).await.status, eq(401));
     expect_that!(call(node, Method::GET, &path, Some("key-b")).await.status, eq(200));
-    until("it runs", async || system.starts_of(ID).len() == 1).await;
+    wait_until("it runs", async || system.starts_of(ID).len() == 1).await;
     put_workspaces(&system, 4, &["key-b", "key-c"], &["key-n"]);
-    until_status(node, "key-c", 200).await;
+    wait_until_status(node, "key-c", 200).await;
 }
 
 /// A key of two workspaces, a repeated key, one that is too long and one that is not ASCII give no access, and other callers
@@ -133,7 +135,7 @@
     let system = System::start(95, 2, 1).await;
     let node = &system.nodes[0];
     put_workspaces(&system, 2, &["key-a", "same"], &["key-n", "same"]);
-    until_status(node, "no-such-key", 401).await;
+    wait_until_status(node, "no-such-key", 401).await;
     let long = "k".repeat(8_000);
     for key in ["same", "key-a,key-a", "key-a ,", "k\u{e9}y", &long] {
         let answer = call(node, Method::GET, "/quotes/", Some(key)).await;
--- a/crates/scheduler/tests/late_starts.rs
+++ b/crates/scheduler/tests/late_starts.rs
@@ -12,7 +12,7 @@
 
 use googletest::prelude::*;
 use serde_json::Value;
-use system::{System, job, submit, until, until_state};
+use system::{System, job, submit, wait_until, wait_until_state};
 use thistle_platform::standin::{Fault, VmFake, bodies};
 
 const ID: &str = "5c0e7a21d94b36f8";
@@ -40,7 +40,7 @@
     let lost = format!("vm step=lost vm={} ", vm.incarnation());
     let started_at = std::time::Instant::now();
     while !system.nodes[0].log().contains(&lost) {
-        assert!(started_at.elapsed() < system::PATIENCE, "{lost}");
+        assert!(started_at.elapsed() < system::WAIT_TIMEOUT, "{lost}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     vm.set_unresponsive(false);
@@ -51,13 +51,13 @@
     let system = System::start(net, vms, 1).await;
     let first = "00000000000000b1";
     expect_that!(submit(&system.nodes[0], first, &job(1, 10)).await.status, eq(200));
-    until_state(&system.nodes[0], first, "completed").await;
+    wait_until_state(&system.nodes[0], first, "completed").await;
     system
 }
 
 /// Checks that each task of the job was started once.
 async fn expect_each_started_once(system: &System, tasks: usize) {
-    until_state(&system.nodes[0], ID, "completed").await;
+    wait_until_state(&system.nodes[0], ID, "completed").await;
     // Starts that still wait are sent within this time.
     tokio::time::sleep(QUERIED_WITHIN).await;
     let starts = system.starts_of(ID);
@@ -79,7 +79,8 @@
     expect_that!(submit(node, ID, &filling).await.status, eq(200));
     let ordered = format!("start step=ordered run={ID}");
     let all = (TASKS_PER_VM * u32::from(UNRESPONSIVE_VMS)) as usize;
-    until("all starts were ordered", async || node.log().matches(&ordered).count() >= all).await;
+    wait_until("all starts were ordered", async || node.log().matches(&ordered).count() >= all)
+        .await;
     // The tasks are done on this VM meanwhile.
     let ip = system::ip(90, 120);
     system.platform.machines.add("m-late", system::POOL, ip).await.expect("the VM starts");
--- a/crates/scheduler/tests/misleading_replies.rs
+++ b/crates/scheduler/tests/misleading_replies.rs
@@ -1,6 +1,6 @@
 //! Replies that misrepresent whether an operation was done, with real nodes.
 
-mod middle;
+mod proxy;
 mod system;
 
 use std::sync::Arc;
@@ -10,8 +10,8 @@
 use bytes::{BufMut, BytesMut};
 use googletest::prelude::*;
 use hyper::Method;
-use middle::{Asked, answer};
-use system::{System, job, submit, until, until_state};
+use proxy::{ReceivedCall, http_response};
+use system::{System, job, submit, wait_until, wait_until_state};
 use thistle_platform::http::{Call, HttpClient};
 use thistle_platform::standin::paths::{APPEND, HOLD};
 use thistle_platform::{NOT_ANSWERED, NOT_FORWARDED};
@@ -35,15 +35,15 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_502_of_the_store_to_a_relayed_append_leaves_the_outcome_unknown() {
     let mut system = System::start(102, 0, 0).await;
-    let rule = |request: Asked| async move {
+    let rule = |request: ReceivedCall| async move {
         let is_ours = request.path.starts_with(APPEND) && request.path.contains("keyed.passed");
         let reply = request.forward().await;
-        if is_ours { Some(answer(NOT_FORWARDED, "")) } else { reply }
+        if is_ours { Some(http_response(NOT_FORWARDED, "")) } else { reply }
     };
     let store = system.platform.store_addr();
-    let endpoint = middle::stand_for(store, system::ip(102, 2), rule).await;
+    let endpoint = proxy::start_proxy(store, system::ip(102, 2), rule).await;
     system.add_node_at(system::ip(102, 10), endpoint);
-    until("the node is ready", || system.nodes[0].is_ready()).await;
+    wait_until("the node is ready", || system.nodes[0].is_ready()).await;
     let path = format!("{APPEND}?topic=keyed.passed&part=0");
     let call = Call::new(Method::POST, path, Duration::from_secs(2));
     let call = call.with_bytes(record("key", "value").freeze());
@@ -64,31 +64,31 @@
     let fence_next = Arc::new(AtomicBool::new(false));
     let vm = system.platform.machines.vms().remove(0);
     let fence = fence_next.clone();
-    let rule = move |request: Asked| {
+    let rule = move |request: ReceivedCall| {
         let fence = fence.clone();
         async move {
             if request.path == HOLD && fence.swap(false, Ordering::Relaxed) {
-                return Some(answer(409, r#"{"clockMs":5,"reason":"fence"}"#));
+                return Some(http_response(409, r#"{"clockMs":5,"reason":"fence"}"#));
             }
             request.forward().await
         }
     };
-    middle::stand_for_vm(&system.platform, &vm, rule).await;
+    proxy::start_vm_proxy(&system.platform, &vm, rule).await;
     system.add_node(system::ip(net, 10));
-    until("the node is ready", || system.nodes[0].is_ready()).await;
+    wait_until("the node is ready", || system.nodes[0].is_ready()).await;
     let (first, second) = ("00000000000000a1", "00000000000000a2");
     expect_that!(submit(&system.nodes[0], first, &job(1, 10)).await.status, eq(200));
-    until_state(&system.nodes[0], first, "completed").await;
+    wait_until_state(&system.nodes[0], first, "completed").await;
     fence_next.store(true, Ordering::Relaxed);
     let has_restarted = || async { system.nodes[0].log().matches(TOOK_OVER).count() >= 2 };
-    until("the owner has restarted", has_restarted).await;
+    wait_until("the owner has restarted", has_restarted).await;
     expect_that!(submit(&system.nodes[0], second, &job(1, 10)).await.status, eq(200));
-    until_state(&system.nodes[0], second, "completed").await;
+    wait_until_state(&system.nodes[0], second, "completed").await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     system.nodes[0].kill();
     system.nodes[0].start();
-    until("the node is ready", || system.nodes[0].is_ready()).await;
-    until_state(&system.nodes[0], second, "completed").await;
+    wait_until("the node is ready", || system.nodes[0].is_ready()).await;
+    wait_until_state(&system.nodes[0], second, "completed").await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     for id in [first, second] {
         let starts = system.starts_of(id);
--- a/crates/scheduler/tests/mixed_builds.rs
+++ b/crates/scheduler/tests/mixed_builds.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use system::{System, job, send, state, submit, until, until_state};
+use system::{System, job, send, state, submit, wait_until, wait_until_state};
 
 /// The number of tasks of each job.
 const TASKS: u32 = 6;
@@ -31,19 +31,19 @@
         expect_that!(answer.status, eq(200), "{id} at {}", system.nodes[node].name);
     }
     for id in &ids[..2] {
-        until_state(&system.nodes[0], id, "completed").await;
-        until_state(&system.nodes[1], id, "completed").await;
+        wait_until_state(&system.nodes[0], id, "completed").await;
+        wait_until_state(&system.nodes[1], id, "completed").await;
     }
-    until("the long tasks have started", async || {
+    wait_until("the long tasks have started", async || {
         ids[2..].iter().all(|id| !system.starts_of(id).is_empty())
     })
     .await;
     tokio::time::sleep(STARTS_WITHIN).await;
     system.nodes[owner].kill();
     let other = 1 - owner;
-    until("the other node owns the pool", async || system.owner() == Some(other)).await;
+    wait_until("the other node owns the pool", async || system.owner() == Some(other)).await;
     for id in &ids {
-        until_state(&system.nodes[other], id, "completed").await;
+        wait_until_state(&system.nodes[other], id, "completed").await;
         let starts = system.starts_of(id);
         expect_that!(starts.len(), eq(TASKS as usize), "{id}");
         expect_that!(starts.values().all(|&n| n == 1), eq(true), "{id}: {starts:?}");
@@ -59,30 +59,30 @@
     let new = std::mem::replace(&mut system.program, old.clone());
     // Only the older build runs at first, so the first records of the store are its own.
     system.add_node(system::ip(108, 10));
-    until("the older node is ready", || system.nodes[0].is_ready()).await;
+    wait_until("the older node is ready", || system.nodes[0].is_ready()).await;
     let id = "00000000000000a1";
     expect_that!(submit(&system.nodes[0], id, &job(TASKS, 20)).await.status, eq(200));
-    until_state(&system.nodes[0], id, "completed").await;
+    wait_until_state(&system.nodes[0], id, "completed").await;
 
     system.program = new.clone();
     system.add_node(system::ip(108, 11));
-    until("the newer node is ready", || system.nodes[1].is_ready()).await;
+    wait_until("the newer node is ready", || system.nodes[1].is_ready()).await;
     expect_that!(state(&system.nodes[1], id).await, eq("completed"), "a job of the older node");
     expect_that!(system.owner(), eq(Some(0)), "the older node owns the pool");
 
     expect_takeover_by_other_build(&mut system, 0xb1).await;
     system.nodes[0].start();
-    until("the older node is ready again", || system.nodes[0].is_ready()).await;
+    wait_until("the older node is ready again", || system.nodes[0].is_ready()).await;
     expect_takeover_by_other_build(&mut system, 0xc1).await;
 
     // The newer build replaces the older node with the same settings and reads the stored records.
     system.nodes[0].kill();
     system.nodes[1].start();
-    until("the newer node is ready again", || system.nodes[1].is_ready()).await;
+    wait_until("the newer node is ready again", || system.nodes[1].is_ready()).await;
     system.nodes[0].program = new;
     expect_that!(system.nodes[0].show(&["--job", id]), contains_substring("completed"));
     system.nodes[0].start();
-    until("its node runs the newer build", || system.nodes[0].is_ready()).await;
+    wait_until("its node runs the newer build", || system.nodes[0].is_ready()).await;
     for id in ["00000000000000a1", "00000000000000b3", "00000000000000c4"] {
         for node in &system.nodes {
             expect_that!(state(node, id).await, eq("completed"), "{id} at {}", node.name);
@@ -93,7 +93,7 @@
     expect_that!(submit(&system.nodes[1], id, &job(TASKS, 20_000)).await.status, eq(200));
     let cancelled = send(&system.nodes[0], hyper::Method::DELETE, &format!("/quotes/{id}")).await;
     expect_that!(cancelled.status, eq(200));
-    until_state(&system.nodes[1], id, "cancelled").await;
+    wait_until_state(&system.nodes[1], id, "cancelled").await;
     // The older build reads the records of both builds.
     let shown = Command::new(&old).arg("show").arg(system.nodes[0].settings_path()).output();
     let shown = String::from_utf8_lossy(&shown.expect("the program runs").stdout).into_owned();
--- a/crates/scheduler/tests/partitions.rs
+++ b/crates/scheduler/tests/partitions.rs
@@ -4,7 +4,7 @@
 
 use googletest::prelude::*;
 use hyper::Method;
-use system::{System, job, send, submit, until, until_state};
+use system::{System, job, send, submit, wait_until, wait_until_state};
 use thistle_platform::standin::Fault;
 
 const ID: &str = "5c0e7a21d94b36f8";
@@ -14,11 +14,11 @@
 const FALLBACK_PROGRESS: u32 = 3;
 
 /// Waits until the pool's owner has completed a job: then it has read all jobs, which it cannot do while the partition is down.
-async fn until_served(system: &System) {
-    until("the pool has an owner", async || system.owner().is_some()).await;
+async fn wait_until_served(system: &System) {
+    wait_until("the pool has an owner", async || system.owner().is_some()).await;
     let first = "00000000000000ff";
     expect_that!(submit(&system.nodes[0], first, &job(1, 10)).await.status, eq(200));
-    until_state(&system.nodes[0], first, "completed").await;
+    wait_until_state(&system.nodes[0], first, "completed").await;
 }
 
 /// All of a pool's jobs are refused if they depend on one partition, which may be down while the store serves the others.
@@ -26,18 +26,18 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn jobs_are_accepted_and_run_while_their_first_partition_is_down() {
     let system = System::start(30, 2, 2).await;
-    until_served(&system).await;
+    wait_until_served(&system).await;
     for (i, fault) in [Fault::Busy, Fault::Unresponsive].into_iter().enumerate() {
         system.platform.store.set_part_fault(TOPIC, SUBMISSIONS, fault);
         for (n, node) in system.nodes.iter().enumerate() {
             let id = format!("{:016x}", 10 * (i + 1) + n);
             expect_that!(submit(node, &id, &job(2, 100)).await.status, eq(200), "{fault:?}");
-            until_state(node, &id, "completed").await;
+            wait_until_state(node, &id, "completed").await;
             expect_that!(system.starts_of(&id).values().all(|&n| n == 1), eq(true));
         }
     }
     system.platform.store.set_part_fault(TOPIC, SUBMISSIONS, Fault::None);
-    until_state(&system.nodes[0], &format!("{:016x}", 11), "completed").await;
+    wait_until_state(&system.nodes[0], &format!("{:016x}", 11), "completed").await;
 }
 
 /// Callers wait too long if the fallback partition is tried only after the append to the first one has timed out: 0.6 s while
@@ -47,14 +47,14 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_fallback_partition_is_tried_in_parallel_with_an_unresponsive_first_one() {
     let system = System::start(38, 2, 2).await;
-    until_served(&system).await;
+    wait_until_served(&system).await;
     system.platform.store.set_part_fault(TOPIC, SUBMISSIONS, Fault::Unresponsive);
     let node = &system.nodes[0];
     expect_that!(submit(node, ID, &job(2, 100)).await.status, eq(200));
     let log = node.log();
     expect_that!(log, contains_substring(format!("accept id={ID}")));
     expect_that!(log, not(contains_substring("submit step=failed")));
-    until_state(node, ID, "completed").await;
+    wait_until_state(node, ID, "completed").await;
     expect_that!(system.starts_of(ID).values().all(|&n| n == 1), eq(true));
 }
 
@@ -62,10 +62,10 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_job_in_the_fallback_partition_is_known_to_all_nodes_and_survives_their_crash() {
     let mut system = System::start(31, 2, 2).await;
-    until_served(&system).await;
+    wait_until_served(&system).await;
     system.platform.store.set_part_fault(TOPIC, SUBMISSIONS, Fault::Busy);
     expect_that!(submit(&system.nodes[0], ID, &job(3, 1_500)).await.status, eq(200));
-    until("all tasks were started", async || system.starts_of(ID).len() == 3).await;
+    wait_until("all tasks were started", async || system.starts_of(ID).len() == 3).await;
     for node in &mut system.nodes {
         node.kill();
     }
@@ -73,12 +73,12 @@
     for node in &mut system.nodes {
         node.start();
     }
-    until("a node is ready", || system.nodes[1].is_ready()).await;
+    wait_until("a node is ready", || system.nodes[1].is_ready()).await;
     expect_that!(
         send(&system.nodes[1], Method::GET, &format!("/quotes/{ID}")).await.status,
         eq(200)
     );
-    until_state(&system.nodes[1], ID, "completed").await;
+    wait_until_state(&system.nodes[1], ID, "completed").await;
     expect_that!(system.starts_of(ID).values().all(|&n| n == 1), eq(true));
 }
 
@@ -86,22 +86,22 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_cancel_reaches_the_owner_while_the_first_partition_is_down() {
     let system = System::start(32, 2, 2).await;
-    until_served(&system).await;
+    wait_until_served(&system).await;
     expect_that!(submit(&system.nodes[0], ID, &job(2, 60_000)).await.status, eq(200));
-    until("all tasks were started", async || system.starts_of(ID).len() == 2).await;
+    wait_until("all tasks were started", async || system.starts_of(ID).len() == 2).await;
     system.platform.store.set_part_fault(TOPIC, SUBMISSIONS, Fault::Busy);
     let path = format!("/quotes/{ID}");
     let cancelled = send(&system.nodes[1], Method::DELETE, &path).await;
     expect_that!(cancelled.status, eq(200));
     let stopped = async || system.platform.machines.vms().iter().all(|vm| vm.running().is_empty());
-    until("all tasks are stopped", stopped).await;
+    wait_until("all tasks are stopped", stopped).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn jobs_are_refused_and_never_run_while_no_partition_accepts_them() {
     let system = System::start(33, 2, 1).await;
-    until_served(&system).await;
+    wait_until_served(&system).await;
     for part in [0, 2] {
         system.platform.store.set_part_fault(TOPIC, part, Fault::Busy);
     }
@@ -111,7 +111,7 @@
     }
     let later = "00000000000000ab";
     expect_that!(submit(&system.nodes[0], later, &job(1, 10)).await.status, eq(200));
-    until_state(&system.nodes[0], later, "completed").await;
+    wait_until_state(&system.nodes[0], later, "completed").await;
     expect_that!(system.starts_of(ID).len(), eq(0));
 }
 
@@ -120,17 +120,17 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_owner_runs_tasks_while_its_first_progress_partition_is_down() {
     let system = System::start(34, 2, 2).await;
-    until_served(&system).await;
+    wait_until_served(&system).await;
     for (i, fault) in [Fault::Busy, Fault::Unresponsive, Fault::Late].into_iter().enumerate() {
         system.platform.store.set_part_fault(TOPIC, PROGRESS, fault);
         let id = format!("{:016x}", i + 1);
         expect_that!(submit(&system.nodes[0], &id, &job(3, 200)).await.status, eq(200));
-        until("all tasks were started", async || system.starts_of(&id).len() == 3).await;
+        wait_until("all tasks were started", async || system.starts_of(&id).len() == 3).await;
         // Each task ends 200 ms after its start, and its job is settled in the fallback partition.
         tokio::time::sleep(std::time::Duration::from_millis(1_500)).await;
         system.platform.store.set_part_fault(TOPIC, PROGRESS, Fault::None);
         for node in &system.nodes {
-            until_state(node, &id, "completed").await;
+            wait_until_state(node, &id, "completed").await;
         }
         expect_that!(system.starts_of(&id).values().all(|&n| n == 1), eq(true));
     }
@@ -140,10 +140,10 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn work_recorded_in_the_fallback_partition_is_taken_over_and_not_run_again() {
     let mut system = System::start(35, 2, 2).await;
-    until_served(&system).await;
+    wait_until_served(&system).await;
     system.platform.store.set_part_fault(TOPIC, PROGRESS, Fault::Busy);
     expect_that!(submit(&system.nodes[0], ID, &job(3, 3_000)).await.status, eq(200));
-    until("all tasks were started", async || system.starts_of(ID).len() == 3).await;
+    wait_until("all tasks were started", async || system.starts_of(ID).len() == 3).await;
     for node in &mut system.nodes {
         node.kill();
     }
@@ -153,13 +153,13 @@
     for node in &mut system.nodes {
         node.start();
     }
-    until("a node is ready", || system.nodes[1].is_ready()).await;
-    until_state(&system.nodes[1], ID, "completed").await;
+    wait_until("a node is ready", || system.nodes[1].is_ready()).await;
+    wait_until_state(&system.nodes[1], ID, "completed").await;
     expect_that!(system.starts_of(ID).values().all(|&n| n == 1), eq(true));
     let gone = async || {
         system.platform.store.newest(TOPIC, FALLBACK_PROGRESS, &format!("q{ID}")).is_none()
     };
-    until("the fallback partition is empty again", gone).await;
+    wait_until("the fallback partition is empty again", gone).await;
 }
 
 /// Owners that depend on the partition of heartbeats lose their right to act within 2.2 s while it is down.
@@ -167,14 +167,14 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn owners_keep_their_pools_while_the_partition_of_heartbeats_is_down() {
     let system = System::start(36, 2, 2).await;
-    until_served(&system).await;
+    wait_until_served(&system).await;
     let owner = system.owner();
     for (i, fault) in [Fault::Busy, Fault::Unresponsive].into_iter().enumerate() {
         system.platform.store.set_part_fault("control", 1, fault);
         tokio::time::sleep(std::time::Duration::from_secs(4)).await;
         let id = format!("{:016x}", i + 1);
         expect_that!(submit(&system.nodes[0], &id, &job(2, 100)).await.status, eq(200));
-        until_state(&system.nodes[1], &id, "completed").await;
+        wait_until_state(&system.nodes[1], &id, "completed").await;
         expect_that!(system.owner(), eq(owner), "{fault:?}");
         system.platform.store.set_part_fault("control", 1, Fault::None);
         tokio::time::sleep(std::time::Duration::from_secs(4)).await;
@@ -188,19 +188,19 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn tasks_run_while_both_progress_partitions_are_down() {
     let system = System::start(101, 2, 2).await;
-    until_served(&system).await;
+    wait_until_served(&system).await;
     for (i, fault) in [Fault::Busy, Fault::Unresponsive].into_iter().enumerate() {
         for part in [PROGRESS, FALLBACK_PROGRESS] {
             system.platform.store.set_part_fault(TOPIC, part, fault);
         }
         let id = format!("{:016x}", i + 1);
         expect_that!(submit(&system.nodes[0], &id, &job(4, 100)).await.status, eq(200));
-        until("its tasks have run", async || system.starts_of(&id).len() == 4).await;
+        wait_until("its tasks have run", async || system.starts_of(&id).len() == 4).await;
         expect_that!(system.starts_of(&id).values().all(|&n| n == 1), eq(true));
         for part in [PROGRESS, FALLBACK_PROGRESS] {
             system.platform.store.set_part_fault(TOPIC, part, Fault::None);
         }
-        until_state(&system.nodes[1], &id, "completed").await;
+        wait_until_state(&system.nodes[1], &id, "completed").await;
     }
 }
 
@@ -209,20 +209,20 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn work_recorded_in_overflow_partitions_is_taken_over_and_not_run_again() {
     let mut system = System::start(102, 2, 3).await;
-    until_served(&system).await;
+    wait_until_served(&system).await;
     for part in [PROGRESS, FALLBACK_PROGRESS] {
         system.platform.store.set_part_fault(TOPIC, part, Fault::Busy);
     }
     expect_that!(submit(&system.nodes[0], ID, &job(4, 4_000)).await.status, eq(200));
-    until("its tasks were started", async || system.starts_of(ID).len() == 4).await;
+    wait_until("its tasks were started", async || system.starts_of(ID).len() == 4).await;
     let owner = system.owner().expect("it has one");
     system.nodes[owner].kill();
     for part in [PROGRESS, FALLBACK_PROGRESS] {
         system.platform.store.set_part_fault(TOPIC, part, Fault::None);
     }
-    until_state(&system.nodes[(owner + 1) % 3], ID, "completed").await;
+    wait_until_state(&system.nodes[(owner + 1) % 3], ID, "completed").await;
     expect_that!(system.starts_of(ID).values().all(|&n| n == 1), eq(true));
     // Once all progress is in its regular partitions, the overflow partitions are released.
     let released = async || system.platform.store.newest("control", 0, "lanes/desk").is_none();
-    until("the overflow partitions are released", released).await;
+    wait_until("the overflow partitions are released", released).await;
 }
--- a/crates/scheduler/tests/paused_owners.rs
+++ b/crates/scheduler/tests/paused_owners.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use system::{System, submit, until, until_state};
+use system::{System, submit, wait_until, wait_until_state};
 use thistle_platform::standin::{Fault, bodies};
 
 const ID: &str = "5c0e7a21d94b36f8";
@@ -30,21 +30,21 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_start_queued_while_its_node_loses_the_pool_is_not_sent() {
     let system = System::start(114, 1, 2).await;
-    until("the pool has an owner", async || system.owner().is_some()).await;
+    wait_until("the pool has an owner", async || system.owner().is_some()).await;
     let first = system.owner().expect("an owner");
     let (node, next) = (&system.nodes[first], &system.nodes[1 - first]);
     let vm = system.platform.machines.vms().remove(0);
     let warm_up = "00000000000000b1";
     expect_that!(submit(node, warm_up, &system::job(1, 10)).await.status, eq(200));
-    until_state(node, warm_up, "completed").await;
+    wait_until_state(node, warm_up, "completed").await;
     let ending = "00000000000000b2";
     expect_that!(submit(node, ending, &system::job(1, 600)).await.status, eq(200));
-    until("its task runs", async || system.starts_of(ending).len() == 1).await;
+    wait_until("its task runs", async || system.starts_of(ending).len() == 1).await;
     vm.lose_starts(true);
     let step = serde_json::json!({"count": TASKS, "cpu": 3_500, "memMb": 256, "estimatedMs": 100});
     expect_that!(submit(node, ID, &bodies::job_of("ms=100", &[step])).await.status, eq(200));
     let ordered = format!("start step=ordered run={ID}");
-    until("all were ordered", async || node.log().matches(&ordered).count() == TASKS).await;
+    wait_until("all were ordered", async || node.log().matches(&ordered).count() == TASKS).await;
     // The owner waits for the store to record the end of another task.
     let progress_fails = |fault| {
         for part in PROGRESS_PARTITIONS {
@@ -53,7 +53,7 @@
     };
     progress_fails(Fault::Unresponsive);
     let end = format!("end run={ending}");
-    until("it has received the end", async || node.log().contains(&end)).await;
+    wait_until("it has received the end", async || node.log().contains(&end)).await;
     tokio::time::sleep(PAUSE_DELAY).await;
     node.signal("STOP");
     progress_fails(Fault::None);
@@ -62,7 +62,7 @@
     vm.lose_tokens_from(claim + 2);
     let late = system::ip(114, 120);
     system.platform.machines.add("m-late", system::POOL, late).await.expect("the VM starts");
-    until_state(next, ID, "completed").await;
+    wait_until_state(next, ID, "completed").await;
     vm.lose_starts(false);
     progress_fails(Fault::Unresponsive);
     vm.delay_starts(START_DELAY);
--- a/crates/scheduler/tests/middle/mod.rs
+++ b/crates/scheduler/tests/proxy/mod.rs
@@ -19,7 +19,7 @@
 
 /// A request as received by the proxy.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct ReceivedCall {
     pub method: Method,
     pub path: String,
     pub body: Bytes,
@@ -27,7 +27,7 @@
     upstream: SocketAddr,
 }
 
-impl Asked {
+impl ReceivedCall {
     /// Returns a field of the body as text.
     pub fn field(&self, name: &str) -> String {
         let body: Value = serde_json::from_slice(&self.body).unwrap_or_default();
@@ -52,20 +52,20 @@
             call = call.with_header(INCARNATION, incarnation);
         }
         let reply = HttpClient::new(self.upstream, 0).call(call).await.ok()?;
-        Some(answer(reply.status, &String::from_utf8_lossy(&reply.body)))
+        Some(http_response(reply.status, &String::from_utf8_lossy(&reply.body)))
     }
 }
 
 /// Returns an HTTP response as text.
-pub fn answer(status: u16, body: &str) -> String {
+pub fn http_response(status: u16, body: &str) -> String {
     format!("HTTP/1.1 {status} Told\r\ncontent-length: {}\r\n\r\n{body}", body.len())
 }
 
 /// Starts a proxy for an address and returns the proxy's address. The rule returns the answer to each request, and the
 /// proxy closes the connection if there is none.
-pub async fn stand_for<F, R>(upstream: SocketAddr, ip: Ipv4Addr, rule: F) -> SocketAddr
+pub async fn start_proxy<F, R>(upstream: SocketAddr, ip: Ipv4Addr, rule: F) -> SocketAddr
 where
-    F: Fn(Asked) -> R + Clone + Send + Sync + 'static,
+    F: Fn(ReceivedCall) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = Option<String>> + Send + 'static,
 {
     let listener = TcpListener::bind((ip, 0)).await.expect("it listens");
@@ -89,14 +89,14 @@
 }
 
 /// Starts a proxy for a VM, which nodes use that start from now on.
-pub async fn stand_for_vm<F, R>(platform: &FakePlatform, vm: &VmFake, rule: F)
+pub async fn start_vm_proxy<F, R>(platform: &FakePlatform, vm: &VmFake, rule: F)
 where
-    F: Fn(Asked) -> R + Clone + Send + Sync + 'static,
+    F: Fn(ReceivedCall) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = Option<String>> + Send + 'static,
 {
     let mut entry: Value = serde_json::from_slice(&vm.entry()).expect("an entry");
     let upstream = entry["address"].as_str().and_then(|a| a.parse().ok()).expect("an address");
-    let addr = stand_for(upstream, vm.place.ip, rule).await;
+    let addr = start_proxy(upstream, vm.place.ip, rule).await;
     entry["address"] = addr.to_string().into();
     platform.store.put(listing::TOPIC, &vm.id, entry.to_string());
 }
@@ -105,7 +105,7 @@
     stream: &mut TcpStream,
     buf: &mut Vec<u8>,
     upstream: SocketAddr,
-) -> Option<Asked> {
+) -> Option<ReceivedCall> {
     loop {
         if let Some(request) = parse_request(buf, upstream) {
             return Some(request);
@@ -116,7 +116,7 @@
     }
 }
 
-fn parse_request(buf: &mut Vec<u8>, upstream: SocketAddr) -> Option<Asked> {
+fn parse_request(buf: &mut Vec<u8>, upstream: SocketAddr) -> Option<ReceivedCall> {
     let end = buf.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
     let head = String::from_utf8_lossy(&buf[..end]).into_owned();
     let header = |name: &str| {
@@ -135,5 +135,5 @@
     let path = line.next().unwrap_or_default().to_owned();
     let body = Bytes::copy_from_slice(&buf[end..end + length]);
     buf.drain(..end + length);
-    Some(Asked { method, path, body, incarnation: header(INCARNATION), upstream })
+    Some(ReceivedCall { method, path, body, incarnation: header(INCARNATION), upstream })
 }
--- a/crates/scheduler/tests/refused_copies.rs
+++ b/crates/scheduler/tests/refused_copies.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use system::{System, job, submit, until, until_state};
+use system::{System, job, submit, wait_until, wait_until_state};
 
 const ID: &str = "5c0e7a21d94b36f8";
 
@@ -21,7 +21,7 @@
     let node = &system.nodes[0];
     let first = "00000000000000ff";
     expect_that!(submit(node, first, &job(1, 10)).await.status, eq(200));
-    until_state(node, first, "completed").await;
+    wait_until_state(node, first, "completed").await;
     let vms = system.platform.machines.vms();
     for vm in &vms {
         vm.execute_late(true);
@@ -29,7 +29,7 @@
     }
     expect_that!(submit(node, ID, &job(1, 6_000)).await.status, eq(200));
     let refused = format!("start step=refused run={ID}");
-    until("a copy was refused", async || node.log().contains(&refused)).await;
+    wait_until("a copy was refused", async || node.log().contains(&refused)).await;
     for vm in &vms {
         vm.reject_starts(false);
         vm.execute_late(false);
@@ -38,5 +38,5 @@
     tokio::time::sleep(Duration::from_secs(4)).await;
     let starts = system.starts_of(ID);
     expect_that!(starts.values().all(|&n| n == 1), eq(true), "{starts:?}");
-    until_state(node, ID, "completed").await;
+    wait_until_state(node, ID, "completed").await;
 }
--- a/crates/scheduler/tests/relay.rs
+++ b/crates/scheduler/tests/relay.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use system::{System, job, submit, until, until_state};
+use system::{System, job, submit, wait_until, wait_until_state};
 use thistle_platform::standin::{Fault, StoreEndpoint};
 
 const ID: &str = "5c0e7a21d94b36f8";
@@ -16,10 +16,10 @@
     let endpoint = system.platform.open_endpoint(system::ip(net, 2)).await;
     let endpoint = endpoint.expect("the endpoint opens");
     system.add_node_at(system::ip(net, 10), endpoint.addr);
-    until("the first node owns the pool", async || system.owner() == Some(0)).await;
+    wait_until("the first node owns the pool", async || system.owner() == Some(0)).await;
     system.add_node(system::ip(net, 11));
     for node in &system.nodes {
-        until("a node is ready", || node.is_ready()).await;
+        wait_until("a node is ready", || node.is_ready()).await;
     }
     // The nodes learn of each other.
     tokio::time::sleep(Duration::from_secs(3)).await;
@@ -41,9 +41,9 @@
     expect_that!(system.owner(), some(eq(0)), "it keeps its pool");
     expect_that!(system.nodes[0].is_ready().await, eq(true));
     expect_that!(submit(&system.nodes[0], ID, &job(1, 10)).await.status, eq(200));
-    until_state(&system.nodes[1], ID, "completed").await;
+    wait_until_state(&system.nodes[1], ID, "completed").await;
     endpoint.set_fault(Fault::None);
-    until_state(&system.nodes[0], "0000000000000004", "completed").await;
+    wait_until_state(&system.nodes[0], "0000000000000004", "completed").await;
     for i in 0..5 {
         let starts = system.starts_of(&format!("{i:016x}"));
         expect_that!(starts.values().all(|&n| n == 1), eq(true), "{starts:?}");
@@ -75,7 +75,7 @@
         assert_that!(answer.status, eq(200), "job {i}");
     }
     for i in 0..4 {
-        until_state(&system.nodes[0], &format!("{i:016x}"), "completed").await;
+        wait_until_state(&system.nodes[0], &format!("{i:016x}"), "completed").await;
     }
     expect_that!(system.owner(), some(eq(0)), "it keeps its pool");
 }
--- a/crates/scheduler/tests/reordered_replies.rs
+++ b/crates/scheduler/tests/reordered_replies.rs
@@ -5,7 +5,7 @@
 //! proxy in front of the VM holds a list back until the start is answered. The node may also be paused in between, so that it
 //! receives both at once.
 
-mod middle;
+mod proxy;
 mod system;
 
 use std::sync::Arc;
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use middle::Asked;
-use system::{System, job, submit, until, until_state};
+use proxy::ReceivedCall;
+use system::{System, job, submit, wait_until, wait_until_state};
 use thistle_platform::standin::paths::{HOLD, START};
 use tokio::sync::watch;
 
@@ -38,7 +38,7 @@
     let _ = flag.wait_for(|&set| set).await;
 }
 
-async fn forward_through(gate: Arc<Gate>, request: Asked) -> Option<String> {
+async fn forward_through(gate: Arc<Gate>, request: ReceivedCall) -> Option<String> {
     // A list that is requested without waiting is not held back, as its request soon times out.
     let waits = request.path == HOLD && request.field("waitMs") != "null";
     if waits && gate.armed.swap(false, Ordering::Relaxed) {
@@ -63,13 +63,13 @@
     let vms = system.platform.machines.vms();
     for (vm, gate) in vms.iter().zip(&gates) {
         let gate = gate.clone();
-        middle::stand_for_vm(&system.platform, vm, move |request| {
+        proxy::start_vm_proxy(&system.platform, vm, move |request| {
             forward_through(gate.clone(), request)
         })
         .await;
     }
     system.add_node(system::ip(net, 10));
-    until("the node is ready", || system.nodes[0].is_ready()).await;
+    wait_until("the node is ready", || system.nodes[0].is_ready()).await;
     // Lists of both VMs are held back, as the node decides which VM gets the task.
     for gate in &gates {
         gate.armed.store(true, Ordering::Relaxed);
@@ -90,7 +90,7 @@
 }
 
 async fn expect_one_start(system: &System) {
-    until_state(&system.nodes[0], ID, "completed").await;
+    wait_until_state(&system.nodes[0], ID, "completed").await;
     let starts = system.platform.machines.started();
     expect_that!(starts.len(), eq(1), "{starts:?}");
     expect_that!(system.nodes[0].log().contains("step=not-listed"), eq(false));
--- a/crates/scheduler/tests/restarted_owners.rs
+++ b/crates/scheduler/tests/restarted_owners.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use system::{System, job, submit, until, until_state};
+use system::{System, job, submit, wait_until, wait_until_state};
 use thistle_platform::standin::{RunEventKind, VmFake};
 
 const ID: &str = "5c0e7a21d94b36f8";
@@ -34,7 +34,7 @@
 async fn restart_owner(system: &System, vm: &VmFake) {
     let before = count_takeovers(system);
     vm.report_fenced_once();
-    until("the owner is restarted", async || count_takeovers(system) > before).await;
+    wait_until("the owner is restarted", async || count_takeovers(system) > before).await;
 }
 
 fn is_acknowledged_as_done(system: &System) -> bool {
@@ -50,12 +50,12 @@
     for i in 1..=earlier_jobs {
         let other = format!("{i:016x}");
         expect_that!(submit(owner, &other, &job(1, 10)).await.status, eq(200));
-        until_state(owner, &other, "completed").await;
+        wait_until_state(owner, &other, "completed").await;
     }
     expect_that!(submit(owner, ID, &job(1, 1_500)).await.status, eq(200));
-    until("its task runs", async || system.starts_of(ID).len() == 1).await;
+    wait_until("its task runs", async || system.starts_of(ID).len() == 1).await;
     restart_owner(system, &system.platform.machines.vms()[0]).await;
-    until("its end is acknowledged", async || is_acknowledged_as_done(system)).await;
+    wait_until("its end is acknowledged", async || is_acknowledged_as_done(system)).await;
     // An owner writes its records before it acknowledges an end to the VM.
     expect_that!(
         system::state(owner, ID).await,
@@ -77,7 +77,7 @@
     run_under_two_owners(&system, earlier_jobs).await;
     let (owner, before) = (system.owner().expect("an owner"), count_takeovers(&system));
     system.nodes[owner].kill();
-    until("the other node owns the pool", async || count_takeovers(&system) > before).await;
+    wait_until("the other node owns the pool", async || count_takeovers(&system) > before).await;
     tokio::time::sleep(SETTLING_TIME).await;
     let starts = system.starts_of(ID).values().sum::<usize>();
     expect_that!(starts, eq(1), "another node after {earlier_jobs} earlier jobs");
@@ -106,7 +106,7 @@
     let waiting_since = std::time::Instant::now();
     // The start is sent again after 0.2 s and would then be executed as usual.
     while !node.log().contains(&unanswered) {
-        assert!(waiting_since.elapsed() < system::PATIENCE, "{unanswered}");
+        assert!(waiting_since.elapsed() < system::WAIT_TIMEOUT, "{unanswered}");
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     let ordered = vms.iter().position(|vm| vm.orders() > 0).expect("one was ordered to start it");
@@ -118,7 +118,7 @@
     restart_owner(&system, &vms[(ordered + 1) % vms.len()]).await;
     tokio::time::sleep(Duration::from_millis(300)).await;
     vms[ordered].set_unresponsive(false);
-    until_state(node, ID, "completed").await;
+    wait_until_state(node, ID, "completed").await;
     tokio::time::sleep(SETTLING_TIME).await;
     expect_that!(system.starts_of(ID).values().sum::<usize>(), eq(1));
 }
--- a/crates/scheduler/tests/simultaneous_restarts.rs
+++ b/crates/scheduler/tests/simultaneous_restarts.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use system::{System, job, state, submit, until, until_state};
+use system::{System, job, state, submit, wait_until, wait_until_state};
 
 /// The number of standby nodes that follow a pool's records besides its owner.
 const READERS: u64 = 8;
@@ -28,7 +28,7 @@
     let mut system = System::start(91, 2, 13).await;
     expect_that!(submit(&system.nodes[0], &id(1), &job(1, 10)).await.status, eq(200));
     for node in &system.nodes {
-        until_state(node, &id(1), "completed").await;
+        wait_until_state(node, &id(1), "completed").await;
     }
     // Standbys read at least every four seconds.
     tokio::time::sleep(Duration::from_secs(7)).await;
@@ -62,7 +62,7 @@
         let node = &system.nodes[usize::from(n as u8 % NODES)];
         expect_that!(submit(node, &id(n), &largest_job()).await.status, eq(200), "job {n}");
     }
-    until_state(&system.nodes[0], &id(JOBS - 1), "completed").await;
+    wait_until_state(&system.nodes[0], &id(JOBS - 1), "completed").await;
     for node in &mut system.nodes {
         node.kill();
     }
@@ -73,14 +73,14 @@
         node.start();
     }
     for node in &system.nodes {
-        until("a node is ready", || node.is_ready()).await;
+        wait_until("a node is ready", || node.is_ready()).await;
     }
     for (node, n) in system.nodes.iter().zip((0..JOBS).rev()) {
-        until_state(node, &id(n), "completed").await;
+        wait_until_state(node, &id(n), "completed").await;
     }
     let new_job = "00000000000fffff";
     expect_that!(submit(&system.nodes[1], new_job, &largest_job()).await.status, eq(200));
-    until_state(&system.nodes[2], new_job, "completed").await;
+    wait_until_state(&system.nodes[2], new_job, "completed").await;
     // The standbys have read the records by then, too.
     tokio::time::sleep(Duration::from_secs(5)).await;
     let read = system.platform.store.reads.bytes() - before;
--- a/crates/scheduler/tests/slow_links.rs
+++ b/crates/scheduler/tests/slow_links.rs
@@ -6,7 +6,7 @@
 
 use googletest::prelude::*;
 use hyper::Method;
-use system::{System, job, send, submit, until, until_state};
+use system::{System, job, send, submit, wait_until, wait_until_state};
 use thistle_platform::standin::Fault;
 
 const ID: &str = "5c0e7a21d94b36f8";
@@ -21,10 +21,10 @@
     system.put_config(version, &paths);
 }
 
-async fn until_in_force(system: &System, node: usize) {
+async fn wait_until_in_force(system: &System, node: usize) {
     let node = &system.nodes[node];
     let status = async || send(node, Method::GET, "/plans/").await.status;
-    until("the new queue is there", async || status().await == 200).await;
+    wait_until("the new queue is there", async || status().await == 200).await;
 }
 
 /// A queue is refused with 404 long after the configuration that adds it was acknowledged, if each read of a large record
@@ -36,7 +36,7 @@
     let system = System::start(50, 1, 1).await;
     system.platform.store.set_fault(Fault::SlowLinks);
     put_large_config(&system, 2);
-    until_in_force(&system, 0).await;
+    wait_until_in_force(&system, 0).await;
 }
 
 /// The same for a node that the store refuses: the record arrives as slowly at the node that relays it, which must not read
@@ -48,7 +48,7 @@
     let endpoint = system.platform.open_endpoint(system::ip(51, 2)).await;
     let endpoint = endpoint.expect("the endpoint opens");
     system.add_node_at(system::ip(51, 11), endpoint.addr);
-    until("the second node is ready", || system.nodes[1].is_ready()).await;
+    wait_until("the second node is ready", || system.nodes[1].is_ready()).await;
     // The nodes learn of each other.
     tokio::time::sleep(Duration::from_secs(3)).await;
     endpoint.set_fault(Fault::Busy);
@@ -56,7 +56,7 @@
     tokio::time::sleep(Duration::from_secs(2)).await;
     system.platform.store.set_fault(Fault::SlowLinks);
     put_large_config(&system, 2);
-    until_in_force(&system, 1).await;
+    wait_until_in_force(&system, 1).await;
 }
 
 /// If an append may take 0.6 s regardless of its size and is repeated unchanged when it has no reply, large ones never
@@ -80,5 +80,5 @@
     }
     expect_that!(kept, eq(100));
     expect_that!(submit(&system.nodes[0], ID, &job(1, 10)).await.status, eq(200));
-    until_state(&system.nodes[0], ID, "completed").await;
+    wait_until_state(&system.nodes[0], ID, "completed").await;
 }
--- a/crates/scheduler/tests/slow_onset.rs
+++ b/crates/scheduler/tests/slow_onset.rs
@@ -7,7 +7,7 @@
 
 use futures::future::join_all;
 use googletest::prelude::*;
-use system::{System, job, submit, until};
+use system::{System, job, submit, wait_until};
 use thistle_platform::standin::Fault;
 use thistle_platform::{Guard, KeyedRecord, Store};
 
@@ -36,7 +36,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn as_the_store_becomes_slow_only_the_owner_uses_the_fallback_partition() {
     let system = System::start(49, 1, 2).await;
-    until("the pool has an owner", async || system.owner().is_some()).await;
+    wait_until("the pool has an owner", async || system.owner().is_some()).await;
     let owner = system.owner().expect("it has one");
     // The nodes learn of each other.
     tokio::time::sleep(Duration::from_secs(3)).await;
--- a/crates/scheduler/tests/soak.rs
+++ b/crates/scheduler/tests/soak.rs
@@ -284,7 +284,7 @@
     soak.return_all_halls_to_service();
     soak.repair_all().await;
     let mut jobs = callers.stop().await;
-    soak.until_settled(&jobs).await;
+    soak.wait_until_settled(&jobs).await;
     jobs.extend(soak.crashing_jobs());
     let mut broken = checks::broken_promises(&soak.system, &jobs);
     broken.extend(soak.started_too_often());
--- a/crates/scheduler/tests/soak/caps.rs
+++ b/crates/scheduler/tests/soak/caps.rs
@@ -7,7 +7,7 @@
 
 use super::checks::BrokenPromise;
 use super::faults::Soak;
-use super::system::until;
+use super::system::wait_until;
 
 /// The caps that a run draws from, in thousandths of a core. A task takes 500.
 const CAPS: [u32; 4] = [6_000, 2_000, 1_000, 3_500];
@@ -35,7 +35,7 @@
         let all = async || {
             self.system.nodes.iter().all(|node| node.log().contains("step=in-force version=2 "))
         };
-        until("the first cap is in force", all).await;
+        wait_until("the first cap is in force", all).await;
     }
 
     /// Puts the largest cap in force, so that all waiting tasks are done soon.
--- a/crates/scheduler/tests/soak/faults.rs
+++ b/crates/scheduler/tests/soak/faults.rs
@@ -10,7 +10,7 @@
 
 use super::bursts::Repair;
 use super::evacuations::Evacuation;
-use super::system::{System, ip, until};
+use super::system::{System, ip, wait_until};
 
 const VMS: u8 = 6;
 /// The number of the signal that has a node reload its settings.
@@ -49,7 +49,7 @@
 impl Soak {
     pub async fn start(seed: u64, net: u8, nodes: u8, settings: &str) -> Self {
         let mut system = System::start(net, VMS, 0).await;
-        system.further_settings = settings.to_owned();
+        system.extra_settings = settings.to_owned();
         let mut store_proxies = Vec::new();
         for i in 0..nodes {
             let proxy_addr = (ip(net, 50 + i), STORE_PROXY_PORT).into();
@@ -59,7 +59,7 @@
             store_proxies.push(proxy);
         }
         for node in &system.nodes {
-            until("a node is ready", || node.is_ready()).await;
+            wait_until("a node is ready", || node.is_ready()).await;
         }
         let seen_versions = vec![0; store_proxies.len()];
         let rng = StdRng::seed_from_u64(seed);
--- a/crates/scheduler/tests/soak/repairs.rs
+++ b/crates/scheduler/tests/soak/repairs.rs
@@ -6,7 +6,7 @@
 
 use super::callers::{Job, SubmitOutcome};
 use super::faults::{SIGHUP, Soak, path_of};
-use super::system::{send, state, until};
+use super::system::{send, state, wait_until};
 
 impl Soak {
     pub async fn repair_some(&mut self) -> String {
@@ -90,19 +90,19 @@
         }
         for &node in &self.down {
             let node = &mut self.system.nodes[node];
-            until("it has ended", || std::future::ready(node.has_ended())).await;
+            wait_until("it has ended", || std::future::ready(node.has_ended())).await;
         }
         self.system.platform.store.set_fault(Fault::None);
         self.store_proxies.iter().for_each(|proxy| proxy.set_cut_off(false));
         self.repair_vms();
         self.resume_and_start_nodes().await;
         for node in &self.system.nodes {
-            until("a node is ready again", || node.is_ready()).await;
+            wait_until("a node is ready again", || node.is_ready()).await;
         }
     }
 
     /// Waits until every accepted job is settled, no task runs and the newest configuration is in force.
-    pub async fn until_settled(&self, jobs: &[Job]) {
+    pub async fn wait_until_settled(&self, jobs: &[Job]) {
         let node = &self.system.nodes[0];
         for job in jobs.iter().filter(|job| job.outcome == SubmitOutcome::Accepted) {
             let is_settled = async || {
@@ -111,15 +111,15 @@
                     || job.cancelled && state == "cancelled"
                     || state == "failed" && self.was_abandoned(&job.id)
             };
-            until(&format!("{} is settled", job.id), is_settled).await;
+            wait_until(&format!("{} is settled", job.id), is_settled).await;
         }
         let vms = || self.system.platform.machines.vms();
-        until("nothing runs", async || vms().iter().all(|vm| vm.running().is_empty())).await;
+        wait_until("nothing runs", async || vms().iter().all(|vm| vm.running().is_empty())).await;
         if self.version > 1 {
             for node in &self.system.nodes {
                 let path = path_of(self.version);
                 let is_in_force = async || send(node, Method::GET, &path).await.status == 200;
-                until("the newest version is in force", is_in_force).await;
+                wait_until("the newest version is in force", is_in_force).await;
             }
         }
     }
--- a/crates/scheduler/tests/stalled_connections.rs
+++ b/crates/scheduler/tests/stalled_connections.rs
@@ -7,7 +7,7 @@
 
 use googletest::prelude::*;
 use hyper::Method;
-use system::{System, job, send, submit, until, until_state};
+use system::{System, job, send, submit, wait_until, wait_until_state};
 use thistle_platform::standin::{Stall, TcpProxy};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -22,10 +22,10 @@
     let from = (system::ip(net, 2), PROXY_PORT).into();
     let proxy = TcpProxy::open(from, system.platform.store_addr()).await.expect("it opens");
     system.add_node_at(system::ip(net, 10), proxy.addr);
-    until("the first node owns the pool", async || system.owner() == Some(0)).await;
+    wait_until("the first node owns the pool", async || system.owner() == Some(0)).await;
     system.add_node(system::ip(net, 11));
     for node in &system.nodes {
-        until("a node is ready", || node.is_ready()).await;
+        wait_until("a node is ready", || node.is_ready()).await;
     }
     submit_all(&system, 0, 40).await;
     (system, proxy)
@@ -59,13 +59,13 @@
         let statuses = submit_all(&system, round * 100 + 50, 10).await;
         expect_that!(statuses, each(eq(&200)), "all jobs are accepted again");
         for i in 0..10 {
-            until_state(&system.nodes[1], &id(round * 100 + 50 + i), "completed").await;
+            wait_until_state(&system.nodes[1], &id(round * 100 + 50 + i), "completed").await;
         }
     }
     let claims = system.platform.store.offset_of("control", 0, "owner/desk");
     expect_that!(claims, some(eq(0)), "it was claimed once");
     for i in 0..40 {
-        until_state(&system.nodes[1], &id(i), "completed").await;
+        wait_until_state(&system.nodes[1], &id(i), "completed").await;
         expect_that!(system.starts_of(&id(i)).values().all(|&n| n == 1), eq(true));
     }
 }
@@ -95,7 +95,7 @@
         }
     }
     for round in 0..6 {
-        until_state(node, &id(round), "completed").await;
+        wait_until_state(node, &id(round), "completed").await;
         let starts = system.starts_of(&id(round));
         expect_that!(starts.len(), eq(6));
         expect_that!(starts.values().all(|&n| n == 1), eq(true), "{starts:?}");
@@ -122,7 +122,7 @@
     proxy.stall(Stall::BothWays);
     system.put_config(2, &["/quotes/", "/plans/"]);
     let status = async || send(&system.nodes[0], Method::GET, "/plans/").await.status;
-    until("the new queue is there", async || status().await == 200).await;
+    wait_until("the new queue is there", async || status().await == 200).await;
 }
 
 /// The number of stalled connections that are open at once.
@@ -182,8 +182,9 @@
     expect_that!(most, ge(before + STALLED_CONNECTIONS / 2), "they are held");
     // Other callers are served meanwhile.
     expect_that!(submit(node, &id(1), &job(1, 10)).await.status, eq(200));
-    until("they are closed", async || node.descriptors() < before + STALLED_CONNECTIONS / 10).await;
-    until_state(node, &id(1), "completed").await;
+    wait_until("they are closed", async || node.descriptors() < before + STALLED_CONNECTIONS / 10)
+        .await;
+    wait_until_state(node, &id(1), "completed").await;
     drop(open);
     node.log()
 }
--- a/crates/scheduler/tests/system/mod.rs
+++ b/crates/scheduler/tests/system/mod.rs
@@ -16,7 +16,7 @@
 pub use thistle_platform::standin::bodies::job;
 
 /// How long a test waits for a condition, far longer than necessary on an idle machine.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 pub const POOL: &str = "desk";
 /// The API key of callers. It is not checked if no workspace is configured.
@@ -151,7 +151,7 @@
     /// The cap of the only workspace of later configurations, in thousandths of a core. Without a cap there is no workspace.
     pub cap: Option<u32>,
     /// Additional lines in the settings of nodes added from now on.
-    pub further_settings: String,
+    pub extra_settings: String,
     /// The program of nodes added from now on.
     pub program: PathBuf,
     dir: PathBuf,
@@ -179,16 +179,16 @@
         }
         let dir = std::env::temp_dir().join(format!("thistle-{}-{net}", std::process::id()));
         std::fs::create_dir_all(&dir).expect("the folder is made");
-        let further_settings = String::new();
+        let extra_settings = String::new();
         let program = PathBuf::from(env!("CARGO_BIN_EXE_thistle-scheduler"));
         let mut system =
-            Self { platform, nodes: Vec::new(), cap: None, further_settings, program, dir };
+            Self { platform, nodes: Vec::new(), cap: None, extra_settings, program, dir };
         system.put_config(1, &["/quotes/"]);
         for i in 0..nodes {
             system.add_node(ip(10 + i));
         }
         for node in &system.nodes {
-            until("a node is ready", || node.is_ready()).await;
+            wait_until("a node is ready", || node.is_ready()).await;
         }
         system
     }
@@ -220,7 +220,7 @@
              metrics_listen: {ip}:9464\nrelay_listen: {ip}:7060\nstore: {store}\n\
              machine_service: {}\nlog:\n  output: stdout\n{}",
             self.platform.machines_addr(),
-            self.further_settings,
+            self.extra_settings,
         );
         std::fs::write(&settings, text).expect("the settings are written");
         let program = self.program.clone();
@@ -286,7 +286,7 @@
 }
 
 /// Waits until a condition holds. The timeout covers also a check that never returns.
-pub async fn until<F, R>(what: &str, mut holds: F)
+pub async fn wait_until<F, R>(what: &str, mut holds: F)
 where
     F: FnMut() -> R,
     R: Future<Output = bool>,
@@ -296,10 +296,10 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    let result = tokio::time::timeout(PATIENCE, all).await;
-    assert!(result.is_ok(), "not within {PATIENCE:?}: {what}");
+    let result = tokio::time::timeout(WAIT_TIMEOUT, all).await;
+    assert!(result.is_ok(), "not within {WAIT_TIMEOUT:?}: {what}");
 }
 
-pub async fn until_state(node: &Node, id: &str, wanted: &str) {
-    until(&format!("{id} is {wanted}"), async || state(node, id).await == wanted).await;
+pub async fn wait_until_state(node: &Node, id: &str, wanted: &str) {
+    wait_until(&format!("{id} is {wanted}"), async || state(node, id).await == wanted).await;
 }
--- a/crates/scheduler/tests/unlisted_vms.rs
+++ b/crates/scheduler/tests/unlisted_vms.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use system::{System, job, submit, until, until_state};
+use system::{System, job, submit, wait_until, wait_until_state};
 use thistle_platform::listing;
 use thistle_platform::standin::Stall;
 
@@ -37,9 +37,9 @@
         format!("vm step=reachable vm={older} reachable=false"),
     ];
     let known = async || both.iter().all(|line| node.log().contains(line));
-    until("the older one is known as unresponsive and the newer one is listed", known).await;
+    wait_until("the older one is known as unresponsive and the newer one is listed", known).await;
     expect_that!(submit(node, ID, &job(TASKS, 1_000)).await.status, eq(200));
-    until("its tasks run", async || system.starts_of(ID).len() == TASKS as usize).await;
+    wait_until("its tasks run", async || system.starts_of(ID).len() == TASKS as usize).await;
     let vms = platform.machines.vms();
     let vm = vms.iter().find(|vm| &*vm.id == "i-m-0-2").expect("it is up");
     platform.store.put(listing::TOPIC, &vm.id, "");
@@ -48,7 +48,7 @@
     tokio::time::sleep(UNLISTED_FOR).await;
     vm.set_unresponsive(false);
     platform.store.put(listing::TOPIC, &vm.id, vm.entry());
-    until_state(node, ID, "completed").await;
+    wait_until_state(node, ID, "completed").await;
     tokio::time::sleep(UNLISTED_FOR).await;
     let starts = system.starts_of(ID);
     expect_that!(starts.len(), eq(TASKS as usize));
--- a/crates/scheduler/tests/vm_incarnations.rs
+++ b/crates/scheduler/tests/vm_incarnations.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use system::{System, job, submit, until, until_state};
+use system::{System, job, submit, wait_until, wait_until_state};
 use thistle_platform::standin::{Connectivity, bodies};
 
 /// Ends that the VM has listed before its restart: more than it lists afterwards.
@@ -50,18 +50,18 @@
     system.platform.machines.add("m-0", system::POOL, ip).await.expect("the VM starts");
     let (node, machines) = (&system.nodes[0], &system.platform.machines);
     expect_that!(submit(node, ID, &job(4, 20)).await.status, eq(200));
-    until_state(node, ID, "completed").await;
+    wait_until_state(node, ID, "completed").await;
     system.platform.store.put("op", "wave/1", bodies::wave(1, &["m-0".to_owned()], 1));
-    until("it is emptied and maintained", async || machines.maintained(1) == 1).await;
+    wait_until("it is emptied and maintained", async || machines.maintained(1) == 1).await;
     let second = "00000000000000b2";
-    until("its next incarnation is up", async || !machines.vms().is_empty()).await;
+    wait_until("its next incarnation is up", async || !machines.vms().is_empty()).await;
     expect_that!(submit(node, second, &job(4, 20)).await.status, eq(200));
-    until_state(node, second, "completed").await;
+    wait_until_state(node, second, "completed").await;
     machines.restart_with_same_ids();
     machines.restart(&machines.vms().remove(0), DOWNTIME).await;
     let third = "00000000000000b3";
     expect_that!(submit(node, third, &job(4, 20)).await.status, eq(200));
-    until_state(node, third, "completed").await;
+    wait_until_state(node, third, "completed").await;
 }
 
 #[gtest]
@@ -80,11 +80,11 @@
     let node = &system.nodes[0];
     let first = "00000000000000b1";
     expect_that!(submit(node, first, &job(ENDS_BEFORE, 10)).await.status, eq(200));
-    until_state(node, first, "completed").await;
+    wait_until_state(node, first, "completed").await;
     let vm = system.platform.machines.vms().remove(0);
     system.platform.machines.restart(&vm, DOWNTIME).await;
     expect_that!(submit(node, ID, &job(TASKS, 300)).await.status, eq(200));
-    until_state(node, ID, "completed").await;
+    wait_until_state(node, ID, "completed").await;
     let starts = system.starts_of(ID);
     assert!(starts.values().all(|&n| n == 1), "{starts:?}");
 }
@@ -99,17 +99,17 @@
     let node = &system.nodes[0];
     let first = "00000000000000b1";
     expect_that!(submit(node, first, &job(1, 10)).await.status, eq(200));
-    until_state(node, first, "completed").await;
+    wait_until_state(node, first, "completed").await;
     let vm = system.platform.machines.vms().remove(0);
     vm.set_connectivity(Connectivity::LateOrders);
     expect_that!(submit(node, ID, &job(1, 100)).await.status, eq(200));
-    until("it is ordered", async || node.log().contains(&format!("no-answer run={ID}"))).await;
+    wait_until("it is ordered", async || node.log().contains(&format!("no-answer run={ID}"))).await;
     let ip = system::ip(113, 120);
     system.platform.machines.add("m-late", system::POOL, ip).await.expect("the VM starts");
     // Its entry is still that of the previous incarnation, so that the task goes to the other VM.
     vm.restart_with_same_id();
     vm.set_connectivity(Connectivity::All);
-    until_state(node, ID, "completed").await;
+    wait_until_state(node, ID, "completed").await;
     tokio::time::sleep(LATE_ORDERS_WITHIN).await;
     assert_eq!(system.starts_of(ID).into_values().collect::<Vec<_>>(), [1]);
 }
