--- a/crates/scheduler/tests/cancels.rs
+++ b/crates/scheduler/tests/cancels.rs
@@ -72,7 +72,8 @@
     wait_until_state(&system.nodes[0], ID, "cancelled").await;
 }
 
-/// Cancels a job before or after its owner is killed for good while its starts are sent, and checks that all its tasks end.
+/// Cancels a job before or after its owner is killed and not restarted while its starts are sent, and checks that all its
+/// tasks end.
 async fn job_ends_without_its_owner(net: u8, cancel_first: bool, unreachable: bool) {
     let mut system = System::start(net, 2, 2).await;
     wait_until("a node owns the pool", async || system.owner().is_some()).await;
--- a/crates/scheduler/tests/copies_of_starts.rs
+++ b/crates/scheduler/tests/copies_of_starts.rs
@@ -88,7 +88,7 @@
     let system = start_refusing_system(net, first, refusal).await;
     expect_that!(submit(&system.nodes[0], ID, &job(TASKS, 1_500)).await.status, eq(200));
     wait_until_state(&system.nodes[0], ID, "completed").await;
-    // Late copies have been executed by then.
+    // Late copies have been executed after this delay.
     tokio::time::sleep(LATE_EXECUTION_DELAY).await;
     let starts = system.starts_of(ID);
     expect_that!(starts.len(), eq(TASKS as usize));
--- a/crates/scheduler/tests/dropped_records.rs
+++ b/crates/scheduler/tests/dropped_records.rs
@@ -40,7 +40,7 @@
 
 /// Guards against a completed job that runs again. Its submission is in the fallback partition, which refuses writes
 /// while the owner drops the job. The owner drops the job in the first partition, and every reader of that record,
-/// including the owner, forgets the job and its progress, so that nobody drops the submission later. After ten seconds
+/// including the owner, discards the job and its progress, so that no node drops the submission later. After ten seconds
 /// without reads the fallback partition is read from its newest records, and the submission there counts as a new one.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/crates/scheduler/tests/faults.rs
+++ b/crates/scheduler/tests/faults.rs
@@ -277,7 +277,7 @@
     for id in &ids {
         wait_until_state(&system.nodes[0], id, "completed").await;
     }
-    // Late copies have been executed by then.
+    // Late copies have been executed after this delay.
     tokio::time::sleep(std::time::Duration::from_secs(3)).await;
     for id in &ids {
         let starts = system.starts_of(id);
@@ -297,7 +297,7 @@
     wait_until("the count is not reported", async || status().await == 503).await;
 }
 
-/// Guards against a pool that has no owner for 1.5 s after its owner gave it up, when the store is 46 times slower than
+/// Guards against a pool that has no owner for 1.5 s after its owner released it, when the store is 46 times slower than
 /// usual. If a node reads the heartbeats of others only after its own was answered or timed out, it concludes that it
 /// cannot receive, and such a node claims no pool.
 #[gtest]
--- a/crates/scheduler/tests/fleet_orders.rs
+++ b/crates/scheduler/tests/fleet_orders.rs
@@ -4,8 +4,8 @@
 //! refused waits to be repeated. Another node claims the fleet and gives that order under its higher token. The first
 //! node resumes: the store accepts its heartbeat, which renews its right to act, before it has read the new claim. A
 //! repeated order needs no new record that the store could refuse, so it would go out under the lower token. Here the
-//! partition of claims does not answer, so that the first node cannot read the claim and both would go on giving the
-//! order in turn.
+//! partition of claims does not answer, so that the first node cannot read the claim and both nodes would give the
+//! order alternately.
 
 mod system;
 
--- a/crates/scheduler/tests/partitions.rs
+++ b/crates/scheduler/tests/partitions.rs
@@ -41,7 +41,7 @@
 }
 
 /// Callers wait too long if the fallback partition is tried only after the append to the first one has timed out: 0.6 s while
-/// the first one leaves appends unanswered, and 1.2 s while both do. The job is to be kept before that, so the log shows no
+/// the first one leaves appends unanswered, and 1.2 s while both do. The job must be kept earlier, so the log must show no
 /// failed append.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/crates/scheduler/tests/simultaneous_restarts.rs
+++ b/crates/scheduler/tests/simultaneous_restarts.rs
@@ -81,7 +81,7 @@
     let new_job = "00000000000fffff";
     expect_that!(submit(&system.nodes[1], new_job, &largest_job()).await.status, eq(200));
     wait_until_state(&system.nodes[2], new_job, "completed").await;
-    // The standbys have read the records by then, too.
+    // The standbys have also read the records after this time.
     tokio::time::sleep(Duration::from_secs(5)).await;
     let read = system.platform.store.reads.bytes() - before;
     // The owner and the standbys each read the pool once, and all nodes together may read as much as one more pool.
--- a/crates/scheduler/tests/soak.rs
+++ b/crates/scheduler/tests/soak.rs
@@ -66,8 +66,8 @@
 
 /// Seeds of a short run with a cap.
 ///
-/// 955 (a fault of the check): the last cap allowed two tasks at once, so that the waiting tasks took 156 s. By then a
-/// job that had been cancelled at the beginning was reported as unknown, 150 s after it was settled.
+/// 955 (a fault of the check): the last cap allowed two tasks at once, so that the waiting tasks took 156 s. A job
+/// that had been cancelled at the beginning was then reported as unknown, 150 s after it was settled.
 const CAP_SEEDS: [u64; 2] = [20, 955];
 
 /// Seeds of a short run with bursts of work.
@@ -132,7 +132,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn promises_hold_beside_jobs_that_crash_their_vms() {
     for seed in seeds_or_default(CRASHING_JOB_SEEDS) {
-        run_seed(seed, Kind::Harm).await;
+        run_seed(seed, Kind::CrashingJobs).await;
     }
 }
 
@@ -181,7 +181,7 @@
     /// Any fault, with more nodes than follow a pool's records.
     FaultsOfMany,
     /// Any fault, and jobs that crash their VMs and entries of another writer.
-    Harm,
+    CrashingJobs,
     /// Any fault, and changes of the cap of the callers' workspace.
     Cap,
     /// Any fault, and bursts of work, VMs that are cut off together, entries that vanish, and nodes that are replaced.
@@ -197,7 +197,7 @@
 }
 
 impl Kind {
-    /// Returns the first of its networks and their number. The seeds of one process use them in turn, so this is also
+    /// Returns the first of its networks and their number. The seeds of one process cycle through them, so this is also
     /// the number of seeds that one process may run.
     const fn nets(self) -> (u8, u64) {
         match self {
@@ -205,7 +205,7 @@
             Self::FaultsOfMany => (160, 20),
             Self::PlannedWork => (180, 50),
             Self::Evacuations => (230, 10),
-            Self::Harm => (240, 15),
+            Self::CrashingJobs => (240, 15),
             Self::Cap => (10, 60),
             Self::Bursts => (70, 20),
             Self::Restarts => (1, 9),
@@ -217,7 +217,7 @@
         match self {
             Self::Faults
             | Self::PlannedWork
-            | Self::Harm
+            | Self::CrashingJobs
             | Self::Cap
             | Self::Restarts
             | Self::Evacuations => 3,
@@ -267,7 +267,7 @@
         match kind {
             Kind::Faults | Kind::FaultsOfMany => soak.inject_fault().await,
             Kind::PlannedWork => soak.planned_work().await,
-            Kind::Harm => soak.crashing_job_or_fault().await,
+            Kind::CrashingJobs => soak.crashing_job_or_fault().await,
             Kind::Restarts => soak.restart_or_fault().await,
             Kind::Cap => soak.cap_or_fault().await,
             Kind::Evacuations => soak.evacuation_or_fault().await,
@@ -275,7 +275,7 @@
         }
         soak.check_newest_config().await;
     }
-    if kind == Kind::Harm {
+    if kind == Kind::CrashingJobs {
         soak.restore_entries();
     }
     if kind == Kind::Cap {
--- a/crates/scheduler/tests/soak/checks.rs
+++ b/crates/scheduler/tests/soak/checks.rs
@@ -17,11 +17,11 @@
     /// Two runs of one task overlapped.
     TwoAtOnce { task: String },
     /// A task was started after a run of it was done, and that end was acknowledged before or after the start.
-    RunAgain { task: String, noted: AckTiming },
+    RunAgain { task: String, acknowledged: AckTiming },
     /// A node replied that there is no such job, long after its acceptance.
     Denied { job: String },
-    /// A task ran whose job nobody submitted.
-    Unasked { task: String },
+    /// A task ran whose job no caller submitted.
+    NotSubmitted { task: String },
     /// Tasks of a completed job never ran.
     NotRun { job: String },
     /// A task that crashes its VMs was started more often than the platform allows.
@@ -58,7 +58,7 @@
     for (task, runs) in &runs {
         let id = task.split('.').next().unwrap_or_default();
         match jobs.iter().find(|job| job.id == id) {
-            None => broken.push(BrokenPromise::Unasked { task: task.clone() }),
+            None => broken.push(BrokenPromise::NotSubmitted { task: task.clone() }),
             Some(job) if job.outcome == SubmitOutcome::Refused => {
                 broken.push(BrokenPromise::RefusedButRun { task: task.clone() });
             }
@@ -105,10 +105,10 @@
         if runs[..i].iter().any(at_once) {
             broken.push(BrokenPromise::TwoAtOnce { task: task.to_owned() });
         }
-        if let Some(noted) =
+        if let Some(acknowledged) =
             runs.iter().find_map(|other| acknowledgement_of_earlier_run(other, run))
         {
-            broken.push(BrokenPromise::RunAgain { task: task.to_owned(), noted });
+            broken.push(BrokenPromise::RunAgain { task: task.to_owned(), acknowledged });
         }
     }
     broken
@@ -117,8 +117,8 @@
 /// Returns whether the end of a completed run was acknowledged before or after the start of another run. Returns `None`
 /// if the end was never acknowledged or came after that start.
 fn acknowledgement_of_earlier_run(ended: &Run, started: &Run) -> Option<AckTiming> {
-    let noted = ended.done_acknowledged_at?;
-    if noted < started.started_at {
+    let acknowledged = ended.done_acknowledged_at?;
+    if acknowledged < started.started_at {
         return Some(AckTiming::BeforeTheStart);
     }
     ended
@@ -206,8 +206,8 @@
         RunEventKind::Acknowledged("done".to_owned())
     }
 
-    fn run_again(noted: AckTiming) -> BrokenPromise {
-        BrokenPromise::RunAgain { task: TASK.to_owned(), noted }
+    fn run_again(acknowledged: AckTiming) -> BrokenPromise {
+        BrokenPromise::RunAgain { task: TASK.to_owned(), acknowledged }
     }
 
     #[googletest::test]
--- a/crates/scheduler/tests/soak/repairs.rs
+++ b/crates/scheduler/tests/soak/repairs.rs
@@ -43,7 +43,7 @@
             self.system.nodes[node].signal("CONT");
         }
         for node in std::mem::take(&mut self.down) {
-            // A node that was told to stop may still be running.
+            // A node that was signalled to stop may still be running.
             self.system.nodes[node].kill();
             self.system.nodes[node].start();
             self.seen_versions[node] = 0;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Repairs all faults and waits until all nodes are ready. Nodes that were told to stop may exit first.
+    /// Repairs all faults and waits until all nodes are ready. Nodes that were signalled to stop may exit first.
     pub async fn repair_all(&mut self) {
         self.apply_all_repairs();
         for node in 0..self.system.nodes.len() {
