--- a/crates/schedule/src/vm.rs
+++ b/crates/schedule/src/vm.rs
@@ -8,10 +8,10 @@
 use crate::Ms;
 use crate::id::{RunId, VmIncarnation};
 
-/// An amount of processor, memory and accelerators, as a VM has it or a task requires it.
+/// An amount of CPU, memory and accelerators, as a VM has it or a task requires it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Room {
-    /// Processor in thousandths of a core.
+    /// CPU in thousandths of a core.
     pub cpu: u32,
     /// Memory in megabytes.
     pub mem_mb: u32,
@@ -104,8 +104,8 @@
     /// The completed share of its work, in percent. For a lasting task only the start counts: it is serving at 100. The
     /// share of its full speed at which a task works is not reported.
     pub percent: u32,
-    /// The tail response time in milliseconds for a serving task, the processor in use for other tasks, or `None` if the VM
-    /// does not report it.
+    /// The tail latency in milliseconds for a serving task, the CPU in use for other tasks, or `None` if the VM does not
+    /// report it.
     pub metric: Option<u64>,
 }
 
--- a/crates/schedule/tests/histories/mod.rs
+++ b/crates/schedule/tests/histories/mod.rs
@@ -1,4 +1,4 @@
-//! A pool of VMs over simulated time, and what happens to them.
+//! A pool of VMs over simulated time, with random faults.
 
 mod machine;
 
@@ -16,62 +16,63 @@
 use crate::common::{at, job, lasting, step};
 use machine::{Ended, Machine, State};
 
-/// Simulated milliseconds of one turn.
-const TURN: Ms = 50;
-/// Jobs come and things fail until then.
-const CALM_AT: Ms = 30_000;
-/// Then everything must come to an end.
+/// The simulated milliseconds of one tick.
+const TICK: Ms = 50;
+/// Jobs are submitted and faults are injected until this time.
+const FAULT_FREE_AT: Ms = 30_000;
+/// All jobs must have ended by this time.
 const END: Ms = 75_000;
 const VMS: usize = 12;
-const RACK: usize = 4;
-/// How long a VM that crashed is away.
-const AWAY: Ms = 3_300;
-/// When a lease is surely over after a VM was last heard.
+const VMS_PER_RACK: usize = 4;
+/// The downtime of a VM that crashed.
+const DOWNTIME: Ms = 3_300;
+/// The time after the last contact with a VM when its lease has expired for certain.
 const LEASE: Ms = 6_300;
 
-/// What is varied.
+/// The parameters of a history.
 #[derive(Clone, Copy, Debug)]
 pub struct Setting {
-    /// Jobs in a hundred that have a task that crashes its VMs.
-    pub guilty_percent: u32,
-    /// Suspects are kept apart.
-    pub apart: bool,
+    /// The percentage of jobs that have a task that crashes its VMs.
+    pub faulty_percent: u32,
+    /// Whether suspects are kept apart.
+    pub suspects_apart: bool,
 }
 
-/// What came of a history, or of many.
+/// The results of one history, or the sum over many.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Figures {
-    /// Guilty tasks that were started more than twice after their third crash.
+    /// Starts of faulty tasks beyond the two that are allowed after the third crash.
     pub started_too_often: u32,
-    /// Jobs without a guilty task that were shown as failed.
-    pub given_up_wrongly: u32,
-    /// Jobs without a guilty task that were not done at the end.
+    /// Jobs without a faulty task that failed.
+    pub failed_wrongly: u32,
+    /// Jobs without a faulty task that had not settled at the end.
     pub unfinished: u32,
-    /// Crashes by guilty tasks.
+    /// Crashes by faulty tasks.
     pub crashes: u32,
-    /// Most VMs that guilty tasks held down at once.
-    pub most_down: usize,
-    /// Core-milliseconds of others that went with those VMs.
-    pub lost_beside: u64,
-    /// Jobs without a guilty task that were done, and their milliseconds from acceptance.
+    /// The largest number of VMs that faulty tasks kept down at once.
+    pub max_down: usize,
+    /// Core-milliseconds of tasks of other jobs that were lost with those VMs.
+    pub lost_work_of_others: u64,
+    /// Jobs without a faulty task that were completed.
     pub done: u32,
-    pub took: u64,
+    /// The sum over these jobs of the milliseconds from acceptance to completion.
+    pub total_ms: u64,
 }
 
 impl Figures {
     pub fn add(&mut self, other: Self) {
         self.started_too_often += other.started_too_often;
-        self.given_up_wrongly += other.given_up_wrongly;
+        self.failed_wrongly += other.failed_wrongly;
         self.unfinished += other.unfinished;
         self.crashes += other.crashes;
-        self.most_down = self.most_down.max(other.most_down);
-        self.lost_beside += other.lost_beside;
+        self.max_down = self.max_down.max(other.max_down);
+        self.lost_work_of_others += other.lost_work_of_others;
         self.done += other.done;
-        self.took += other.took;
+        self.total_ms += other.total_ms;
     }
 }
 
-/// One history.
+/// One random history.
 pub struct History {
     rng: StdRng,
     setting: Setting,
@@ -80,23 +81,23 @@
     pool: Pool,
     log: JobLog,
     token: u64,
-    written: u64,
+    records_written: u64,
     steps: BTreeMap<JobId, Vec<Step>>,
     accepted: BTreeMap<JobId, Ms>,
-    guilty: BTreeSet<TaskId>,
-    /// How often VMs crashed under a guilty task, and how often it was started since the third time.
-    crashed: BTreeMap<TaskId, (u32, u32)>,
-    /// Lasting jobs, and when their callers cancel them.
-    ends: BTreeMap<JobId, Ms>,
+    faulty_tasks: BTreeSet<TaskId>,
+    /// The number of VM crashes under each faulty task, and of its starts since the third crash.
+    crash_counts: BTreeMap<TaskId, (u32, u32)>,
+    /// Lasting jobs and the times at which their callers cancel them.
+    cancel_times: BTreeMap<JobId, Ms>,
     settled: BTreeSet<JobId>,
-    /// VMs that are gone and on which a new owner knows of runs, and when their lease is surely over.
+    /// VMs that are gone and on which a new owner knows of runs, and when their leases have expired for certain.
     orphans: BTreeMap<VmIncarnation, Ms>,
     figures: Figures,
 }
 
 impl History {
     pub fn new(seed: u64, setting: Setting) -> Self {
-        let machines = (0..VMS).map(|i| Machine::new(i, i / RACK)).collect();
+        let machines = (0..VMS).map(|i| Machine::new(i, i / VMS_PER_RACK)).collect();
         let mut history = Self {
             rng: StdRng::seed_from_u64(seed),
             setting,
@@ -105,12 +106,12 @@
             pool: Pool::new(),
             log: JobLog::default(),
             token: 0,
-            written: 0,
+            records_written: 0,
             steps: BTreeMap::new(),
             accepted: BTreeMap::new(),
-            guilty: BTreeSet::new(),
-            crashed: BTreeMap::new(),
-            ends: BTreeMap::new(),
+            faulty_tasks: BTreeSet::new(),
+            crash_counts: BTreeMap::new(),
+            cancel_times: BTreeMap::new(),
             settled: BTreeSet::new(),
             orphans: BTreeMap::new(),
             figures: Figures::default(),
@@ -119,46 +120,46 @@
         history
     }
 
-    pub fn play(mut self) -> Figures {
+    pub fn run(mut self) -> Figures {
         while self.now < END {
-            self.now += TURN;
-            if self.now < CALM_AT {
-                self.submit_some();
-                self.trouble();
+            self.now += TICK;
+            if self.now < FAULT_FREE_AT {
+                self.submit_jobs();
+                self.inject_faults();
             }
             self.cancel_lasting();
-            self.move_machines();
+            self.advance_machines();
             self.report();
-            self.give_up_orphans();
+            self.expire_orphans();
             self.plan();
         }
         for id in self.steps.keys() {
-            let innocent = !self.guilty.iter().any(|task| task.job == *id);
-            self.figures.unfinished += u32::from(innocent && !self.settled.contains(id));
+            let has_no_faulty_task = !self.faulty_tasks.iter().any(|task| task.job == *id);
+            self.figures.unfinished += u32::from(has_no_faulty_task && !self.settled.contains(id));
         }
         self.figures
     }
 
-    fn submit_some(&mut self) {
+    fn submit_jobs(&mut self) {
         if !self.rng.random_bool(0.1) {
             return;
         }
         let id = JobId(u64::try_from(self.steps.len()).unwrap_or(0) + 1);
-        let lasts = self.rng.random_bool(0.08);
+        let is_lasting = self.rng.random_bool(0.08);
         let width = self.rng.random_range(2..9);
-        let steps = match (lasts, self.rng.random_bool(0.4)) {
+        let steps = match (is_lasting, self.rng.random_bool(0.4)) {
             (true, _) => vec![lasting(3, 1)],
             (false, true) => {
                 vec![step(width, 900), Step { depends_on: vec![0], ..step(width, 900) }]
             }
             (false, false) => vec![step(width, 900)],
         };
-        if self.rng.random_range(0..100) < self.setting.guilty_percent {
+        if self.rng.random_range(0..100) < self.setting.faulty_percent {
             let index = self.rng.random_range(0..steps[0].count);
-            self.guilty.insert(TaskId { job: id, time: 0, step: 0, index });
+            self.faulty_tasks.insert(TaskId { job: id, time: 0, step: 0, index });
         }
-        if lasts {
-            self.ends.insert(id, self.now + self.rng.random_range(10_000..40_000));
+        if is_lasting {
+            self.cancel_times.insert(id, self.now + self.rng.random_range(10_000..40_000));
         }
         let spec =
             JobSpec { accepted_ms: at(self.now).wall, ..job(steps.clone()).as_ref().clone() };
@@ -171,26 +172,30 @@
     }
 
     fn cancel_lasting(&mut self) {
-        let over: Vec<JobId> =
-            self.ends.iter().filter(|(_, end)| **end <= self.now).map(|(&id, _)| id).collect();
-        for id in over {
-            self.ends.remove(&id);
+        let due: Vec<JobId> = self
+            .cancel_times
+            .iter()
+            .filter(|(_, end)| **end <= self.now)
+            .map(|(&id, _)| id)
+            .collect();
+        for id in due {
+            self.cancel_times.remove(&id);
             self.settled.insert(id);
             self.pool.cancel(id, at(self.now));
         }
     }
 
-    /// Another node takes over, knowing the records only.
+    /// Replaces the owner by another node, which knows only the records.
     fn replace_owner(&mut self) {
         self.token += 1;
         let mut policy = Policy::default();
-        policy.tasks.keep_suspects_apart = self.setting.apart;
+        policy.tasks.keep_suspects_apart = self.setting.suspects_apart;
         self.pool = Pool::with_policy(policy);
         for (id, entry) in self.log.iter().filter(|(id, _)| !self.settled.contains(id)) {
             self.pool.adopt(id, entry, at(self.now));
         }
         for machine in &mut self.machines {
-            machine.heard = self.now;
+            machine.last_contact = self.now;
             if machine.is_listed(self.now) {
                 self.pool.list_vm(machine.facts());
             }
@@ -198,13 +203,15 @@
         self.pool.set_listing_is_complete(true);
     }
 
-    fn trouble(&mut self) {
+    fn inject_faults(&mut self) {
         let i = self.rng.random_range(0..VMS);
         match self.rng.random_range(0..1_000) {
-            0..2 => self.crash(i, AWAY),
+            0..2 => self.crash(i, DOWNTIME),
             2 if self.rng.random_bool(0.5) => {
-                let rack = i / RACK;
-                (0..VMS).filter(|i| i / RACK == rack).for_each(|i| self.crash(i, 2 * AWAY));
+                let rack = i / VMS_PER_RACK;
+                (0..VMS)
+                    .filter(|i| i / VMS_PER_RACK == rack)
+                    .for_each(|i| self.crash(i, 2 * DOWNTIME));
             }
             3..5 => self.machines[i].cut_until = self.now + self.rng.random_range(500..12_000),
             5 => self.machines[i].leave(self.now),
@@ -213,16 +220,16 @@
         }
     }
 
-    fn crash(&mut self, i: usize, away: Ms) {
-        let dark = self.rng.random_bool(0.3);
-        self.machines[i].crash(self.now, away, dark);
+    fn crash(&mut self, i: usize, downtime: Ms) {
+        let unresponsive = self.rng.random_bool(0.3);
+        self.machines[i].crash(self.now, downtime, unresponsive);
     }
 
-    /// Brings VMs up again and ends what is done or over.
-    fn move_machines(&mut self) {
+    /// Restarts VMs that are due and ends runs that are done or whose lease has expired.
+    fn advance_machines(&mut self) {
         for i in 0..VMS {
             let before = self.machines[i].facts().id.clone();
-            if self.machines[i].come_back(self.now) {
+            if self.machines[i].restart_if_due(self.now) {
                 let facts = self.machines[i].facts();
                 self.pool.list_vm(facts);
                 self.pool.vm_lost(&before, VmLoss::Replaced, at(self.now));
@@ -232,7 +239,7 @@
         }
         let down =
             self.machines.iter().filter(|m| m.crashed_by_task && m.state != State::Up).count();
-        self.figures.most_down = self.figures.most_down.max(down);
+        self.figures.max_down = self.figures.max_down.max(down);
     }
 
     fn report(&mut self) {
@@ -240,27 +247,27 @@
         for machine in &mut self.machines {
             let id = machine.facts().id.clone();
             if !machine.answers(now) {
-                // A closed connection is heard of at once, silence after a while.
-                if !machine.dark || now >= machine.heard + 600 {
+                // A closed connection is noticed at once, unresponsiveness after a while.
+                if !machine.unresponsive || now >= machine.last_contact + 600 {
                     self.pool.set_reachable(&id, false, at(now));
                 }
-                if now >= machine.heard + LEASE && !machine.given_up {
-                    machine.given_up = true;
+                if now >= machine.last_contact + LEASE && !machine.is_lost {
+                    machine.is_lost = true;
                     self.pool.vm_lost(&id, VmLoss::LeaseOver, at(now));
                 }
                 continue;
             }
-            machine.heard = now;
-            machine.given_up = false;
+            machine.last_contact = now;
+            machine.is_lost = false;
             self.pool.set_reachable(&id, true, at(now));
             self.pool.apply_report(&id, &machine.report(now), at(now));
         }
     }
 
-    fn give_up_orphans(&mut self) {
-        let there: Vec<VmIncarnation> =
+    fn expire_orphans(&mut self) {
+        let present: Vec<VmIncarnation> =
             self.machines.iter().map(|m| m.facts().id.clone()).collect();
-        for id in self.pool.unlisted_with_runs().into_iter().filter(|id| !there.contains(id)) {
+        for id in self.pool.unlisted_with_runs().into_iter().filter(|id| !present.contains(id)) {
             self.orphans.entry(id).or_insert(self.now + LEASE);
         }
         let now = self.now;
@@ -272,12 +279,12 @@
     fn plan(&mut self) {
         let orders = self.pool.plan(at(self.now));
         for (id, progress) in self.pool.take_records() {
-            self.written += 1;
-            let version = Version { token: self.token, number: self.written };
+            self.records_written += 1;
+            let version = Version { token: self.token, number: self.records_written };
             let record = encode_progress(version, &progress);
             assert!(self.log.apply(&progress_key(id), Some(&record)).is_ok());
             if progress.phase != Phase::Open && self.settled.insert(id) {
-                self.note_settled(id, progress.phase);
+                self.record_settled(id, progress.phase);
             }
         }
         for (id, sequence) in self.pool.take_acks() {
@@ -299,16 +306,16 @@
         }
     }
 
-    fn note_settled(&mut self, id: JobId, phase: Phase) {
-        if self.guilty.iter().any(|task| task.job == id) {
+    fn record_settled(&mut self, id: JobId, phase: Phase) {
+        if self.faulty_tasks.iter().any(|task| task.job == id) {
             return;
         }
         match phase {
             Phase::Completed => {
                 self.figures.done += 1;
-                self.figures.took += self.now - self.accepted[&id];
+                self.figures.total_ms += self.now - self.accepted[&id];
             }
-            Phase::Failed => self.figures.given_up_wrongly += 1,
+            Phase::Failed => self.figures.failed_wrongly += 1,
             Phase::Open | Phase::Cancelled => (),
         }
     }
@@ -323,20 +330,20 @@
         }
         let task = start.run.task;
         let shape = &self.steps[&task.job][usize::from(task.step)];
-        let lasts = if shape.lasting { Ms::MAX } else { self.rng.random_range(300..1_500) };
+        let duration = if shape.lasting { Ms::MAX } else { self.rng.random_range(300..1_500) };
         let machine = &mut self.machines[i];
-        machine.start(start.run, shape, now, now.saturating_add(lasts));
-        if !self.guilty.contains(&task) {
+        machine.start(start.run, shape, now, now.saturating_add(duration));
+        if !self.faulty_tasks.contains(&task) {
             self.pool.apply_start_result(&start.vm, start.run, StartResult::Started, at(now));
             return;
         }
-        let (crashes, since) = self.crashed.entry(task).or_default();
-        *since += u32::from(*crashes >= 3);
-        self.figures.started_too_often += u32::from(*since > 2);
+        let (crashes, starts) = self.crash_counts.entry(task).or_default();
+        *starts += u32::from(*crashes >= 3);
+        self.figures.started_too_often += u32::from(*starts > 2);
         *crashes += 1;
         self.figures.crashes += 1;
-        self.figures.lost_beside += machine.work_of_others(task, now);
-        self.crash(i, AWAY);
+        self.figures.lost_work_of_others += machine.work_of_others(task, now);
+        self.crash(i, DOWNTIME);
         self.machines[i].crashed_by_task = true;
     }
 }
--- a/crates/schedule/tests/link_world/owner.rs
+++ b/crates/schedule/tests/link_world/owner.rs
@@ -1,37 +1,37 @@
-//! The owner: it takes in what it is told, decides, writes, and only then orders and acknowledges.
+//! The owner, which applies events, plans, writes records, and only then sends orders and acknowledgements.
 
 use super::*;
 
 impl World {
-    /// The owner ends by itself, by a panic or a VM's mistaken word, and its node begins another one.
-    pub(super) fn end_owner(&mut self) {
-        self.ownership.record_owner_end(&self.shard, self.token, self.now);
-        match self.ownership.my_token(&self.shard) {
-            // It goes on under the token that it has.
-            Some(token) => self.begin_owner(token),
+    /// The owner ends on its own, by a panic or an invalid answer of a VM, and its node starts another one.
+    pub(super) fn restart_owner(&mut self) {
+        self.ownership.record_owner_end(&self.pool_name, self.token, self.now);
+        match self.ownership.my_token(&self.pool_name) {
+            // The new owner continues under the same token.
+            Some(token) => self.start_owner(token),
             None => self.replace_owner(),
         }
     }
 
-    /// The node claims the pool anew, as does any other node that takes over.
+    /// The node claims the pool again, as any other node that takes over does.
     pub(super) fn replace_owner(&mut self) {
         let owner = NodeIncarnation { name: "a".to_owned(), incarnation: 1 };
         let claim = Claim { owner, released: false };
         // The offset of a claim is one below its token.
-        self.ownership.record_claim(&self.shard, claim, self.token, self.now);
-        self.begin_owner(self.token + 1);
+        self.ownership.record_claim(&self.pool_name, claim, self.token, self.now);
+        self.start_owner(self.token + 1);
     }
 
-    /// Another owner begins, from the records only. What the one before has sent stays under way.
-    fn begin_owner(&mut self, token: u64) {
-        // What it was writing is there, or is not.
-        if let Some(step) = self.writing.take()
+    /// Starts another owner, which knows only the records. Calls that the previous owner sent stay in flight.
+    fn start_owner(&mut self, token: u64) {
+        // The records that the previous owner was writing are stored or lost.
+        if let Some(pending) = self.pending_write.take()
             && self.rng.random_bool(0.5)
         {
-            self.write(step.records);
+            self.write(pending.records);
         }
-        (self.token, self.number) = (token, 0);
-        self.tell(|| format!("an owner begins, token {}", self.token));
+        (self.token, self.record_number) = (token, 0);
+        self.trace(|| format!("owner starts, token {}", self.token));
         self.pool = Pool::new();
         self.links.clear();
         self.events.clear();
@@ -42,55 +42,56 @@
         self.list_vms();
     }
 
-    /// The owner reads which VMs there are.
+    /// The owner reads the list of VMs.
     pub(super) fn list_vms(&mut self) {
         let names: Vec<String> = self.vms.keys().cloned().collect();
         let listed = self.pool.vm_summaries();
-        let mut there = BTreeMap::new();
+        let mut present = BTreeMap::new();
         let names = names.iter().filter(|n| self.vms[*n].listed).collect::<Vec<_>>();
         for name in names {
             let facts = self.facts(name);
-            there.insert(facts.id.clone(), name.clone());
+            present.insert(facts.id.clone(), name.clone());
             self.orphans.remove(&facts.id);
             let (id, now) = (facts.id.clone(), self.now);
             self.pool.list_vm(facts);
             match self.links.get_mut(id.id()) {
                 Some(link) if link.vm == id => (),
-                Some(link) if !link.over => link.ask_at_once(now),
+                Some(link) if !link.closed => link.query_at_once(now),
                 Some(_) | None => self.open_link(id),
             }
         }
-        for vm in listed.iter().filter(|vm| !there.contains_key(&vm.id)) {
+        for vm in listed.iter().filter(|vm| !present.contains_key(&vm.id)) {
             self.pool.unlist_vm(&vm.id);
-            if vm.reachable && self.link(&vm.id).is_some_and(|link| !link.over) {
+            if vm.reachable && self.link(&vm.id).is_some_and(|link| !link.closed) {
                 continue;
             }
-            // Another life of it is listed.
+            // Another incarnation of the VM is listed.
             let other =
-                there.iter().find(|(id, name)| ***name == *vm.name || id.id() == vm.id.id());
-            let Some((life, _)) = other else { continue };
-            if !life.is_other_incarnation_of(&vm.id) {
+                present.iter().find(|(id, name)| ***name == *vm.name || id.id() == vm.id.id());
+            let Some((incarnation, _)) = other else { continue };
+            if !incarnation.is_other_incarnation_of(&vm.id) {
                 self.events.push(Event::Lost(vm.id.clone(), VmLoss::Replaced));
-            } else if life.started_at() > vm.id.started_at() {
-                let (life, mut events) = (life.clone(), std::mem::take(&mut self.events));
+            } else if incarnation.started_at() > vm.id.started_at() {
+                let (incarnation, mut events) =
+                    (incarnation.clone(), std::mem::take(&mut self.events));
                 match self.link_mut(&vm.id) {
-                    Some(link) => link.end_with(life, &mut events),
-                    None => events.push(Event::Restarted(vm.id.clone(), life)),
+                    Some(link) => link.close_as_restarted(incarnation, &mut events),
+                    None => events.push(Event::Restarted(vm.id.clone(), incarnation)),
                 }
                 self.events = events;
             }
         }
         for id in self.pool.unlisted_with_runs() {
             if self.link(&id).is_none() {
-                self.orphans.entry(id).or_insert(self.now + ORPHANS_OVER);
+                self.orphans.entry(id).or_insert(self.now + ORPHAN_TIMEOUT);
             }
         }
     }
 
-    fn open_link(&mut self, life: VmIncarnation) {
+    fn open_link(&mut self, incarnation: VmIncarnation) {
         let token = (self.token << 24) | self.links_opened;
         self.links_opened += 1;
-        self.links.insert(life.id().clone(), Link::new(life, token, self.now));
+        self.links.insert(incarnation.id().clone(), Link::new(incarnation, token, self.now));
     }
 
     fn link(&self, vm: &VmIncarnation) -> Option<&Link> {
@@ -101,36 +102,36 @@
         self.links.get_mut(vm.id()).filter(|link| link.vm == *vm)
     }
 
-    pub(super) fn own(&mut self, calm: bool) {
-        if let Some(step) = self.writing.take() {
-            if step.until > self.now {
-                self.writing = Some(step);
+    pub(super) fn run_owner(&mut self, fault_free: bool) {
+        if let Some(pending) = self.pending_write.take() {
+            if pending.until > self.now {
+                self.pending_write = Some(pending);
                 return;
             }
-            self.carry_out(step);
+            self.carry_out(pending);
         }
-        if self.events.is_empty() && self.now < self.looked_at + LOOK_EVERY {
+        if self.events.is_empty() && self.now < self.planned_at + PLAN_INTERVAL {
             return;
         }
-        self.looked_at = self.now;
+        self.planned_at = self.now;
         for event in std::mem::take(&mut self.events) {
-            self.take(event);
+            self.apply_event(event);
         }
         self.drop_orphans();
         let orders = self.pool.plan(at(self.now));
         let records = self.pool.take_records();
         let acks = self.pool.take_acks();
-        let slow = self.troubles.slow_store && !calm && self.rng.random_bool(0.02);
-        let takes = match records.is_empty() {
+        let slow = self.faults.slow_store && !fault_free && self.rng.random_bool(0.02);
+        let write_time = match records.is_empty() {
             true => 0,
             false if slow => self.rng.random_range(200..12_000),
             false => self.rng.random_range(0..3) * TICK,
         };
-        let step = Decided { until: self.now + takes, records, acks, orders };
-        if takes > 0 {
-            self.writing = Some(step);
+        let pending = PendingWrite { until: self.now + write_time, records, acks, orders };
+        if write_time > 0 {
+            self.pending_write = Some(pending);
         } else {
-            self.carry_out(step);
+            self.carry_out(pending);
         }
         let known: BTreeSet<VmIncarnation> =
             self.pool.vm_summaries().into_iter().map(|vm| vm.id).collect();
@@ -139,21 +140,21 @@
 
     pub(super) fn write(&mut self, records: Vec<(JobId, Progress)>) {
         for (id, progress) in records {
-            self.number += 1;
-            let version = Version { token: self.token, number: self.number };
+            self.record_number += 1;
+            let version = Version { token: self.token, number: self.record_number };
             let value = encode_progress(version, &progress);
             assert!(self.log.apply(&progress_key(id), Some(&value)).is_ok());
         }
     }
 
-    pub(super) fn carry_out(&mut self, step: Decided) {
-        self.write(step.records);
-        for (vm, sequence) in step.acks {
+    pub(super) fn carry_out(&mut self, pending: PendingWrite) {
+        self.write(pending.records);
+        for (vm, sequence) in pending.acks {
             if let Some(link) = self.link_mut(&vm) {
                 link.acked = link.acked.max(sequence);
             }
         }
-        for order in step.orders {
+        for order in pending.orders {
             self.dispatch(order);
         }
     }
@@ -168,16 +169,16 @@
             return;
         };
         match order {
-            // It was decided before a loss that was told since, whose taking in releases it.
-            Order::Start(_) if link.lapses != link.losses_taken => (),
+            // The start was decided before a loss that was reported since; applying the loss releases the run.
+            Order::Start(_) if link.losses != link.losses_applied => (),
             Order::Start(start) => {
-                if self.loud {
+                if self.verbose {
                     println!("{} ordered {} on {vm}", self.now, start.run);
                 }
                 link.start(start);
             }
             Order::Stop { run, .. } => {
-                if self.loud {
+                if self.verbose {
                     println!("{} ordered to stop {run} on {vm}", self.now);
                 }
                 link.stop(run);
@@ -186,22 +187,23 @@
         }
     }
 
-    pub(super) fn take(&mut self, event: Event) {
+    pub(super) fn apply_event(&mut self, event: Event) {
         let now = at(self.now);
         if !matches!(event, Event::Report(..)) {
-            self.tell(|| format!("told {event:?}"));
+            self.trace(|| format!("applies {event:?}"));
         }
         match event {
             Event::Report(vm, _) if self.link(&vm).is_none() => (),
             Event::Report(vm, report) => {
-                let news = self.pool.apply_report(&vm, &report, now);
-                if !report.ended.is_empty() || !news.not_listed.is_empty() {
+                let changes = self.pool.apply_report(&vm, &report, now);
+                if !report.ended.is_empty() || !changes.not_listed.is_empty() {
                     let ended = report.ended.iter().map(|e| format!("{} {:?}", e.run, e.kind));
                     let ended: Vec<String> = ended.collect();
-                    let gone: Vec<String> = news.not_listed.iter().map(RunId::to_string).collect();
-                    self.tell(|| {
+                    let not_listed: Vec<String> =
+                        changes.not_listed.iter().map(RunId::to_string).collect();
+                    self.trace(|| {
                         format!(
-                            "{vm}, asked {}: ended {ended:?}, not listed {gone:?}",
+                            "{vm}, requested {}: ended {ended:?}, not listed {not_listed:?}",
                             report.requested_at
                         )
                     });
@@ -217,18 +219,18 @@
             }
             Event::Lost(vm, loss) => {
                 if let Some(link) = self.link_mut(&vm) {
-                    link.losses_taken = link.lapses.min(link.losses_taken + 1);
+                    link.losses_applied = link.losses.min(link.losses_applied + 1);
                 }
                 self.pool.vm_lost(&vm, loss, now);
             }
-            Event::Restarted(vm, life) => {
+            Event::Restarted(vm, incarnation) => {
                 if let Some(link) = self.link_mut(&vm) {
-                    link.losses_taken = link.lapses.min(link.losses_taken + 1);
+                    link.losses_applied = link.losses.min(link.losses_applied + 1);
                 }
-                self.pool.vm_restarted(&vm, &life, now);
+                self.pool.vm_restarted(&vm, &incarnation, now);
                 if self.link(&vm).is_some() {
-                    self.orphans.remove(&life);
-                    self.open_link(life);
+                    self.orphans.remove(&incarnation);
+                    self.open_link(incarnation);
                 }
             }
         }
@@ -236,9 +238,9 @@
 
     pub(super) fn drop_orphans(&mut self) {
         let now = self.now;
-        let over = self.orphans.iter().filter(|(_, at)| **at <= now);
-        let over: Vec<VmIncarnation> = over.map(|(vm, _)| vm.clone()).collect();
-        for vm in over {
+        let expired = self.orphans.iter().filter(|(_, at)| **at <= now);
+        let expired: Vec<VmIncarnation> = expired.map(|(vm, _)| vm.clone()).collect();
+        for vm in expired {
             self.orphans.remove(&vm);
             self.pool.vm_lost(&vm, VmLoss::LeaseOver, at(now));
         }
@@ -246,7 +248,7 @@
 
     pub(super) fn facts(&self, name: &str) -> std::sync::Arc<VmFacts> {
         let vm = &self.vms[name];
-        let usual = vm_facts(name, vm.life);
+        let usual = vm_facts(name, vm.incarnation);
         let facts = VmFacts { id: vm.id.clone(), room: vm.room, ..usual.as_ref().clone() };
         std::sync::Arc::new(facts)
     }
