--- a/crates/bench/src/slopes/requests.rs
+++ b/crates/bench/src/slopes/requests.rs
@@ -48,7 +48,7 @@
     micros(5, 5_000, || {
         n += 1;
         let now = Instant::from_micros(n);
-        let ask = RouteRequest {
+        let request = RouteRequest {
             ticket: Ticket(n),
             pool,
             tier: Tier::Gold,
@@ -56,7 +56,7 @@
             repeatable: true,
             failed_vms: FailedVms::default(),
         };
-        if let Decision::Send(vm) = router.submit(ask, now) {
+        if let Decision::Send(vm) = router.submit(request, now) {
             black_box(router.finish(vm, SendResult::Success, Duration::from_millis(1), now));
         }
     })
--- a/crates/e2e/tests/cluster/mod.rs
+++ b/crates/e2e/tests/cluster/mod.rs
@@ -215,7 +215,7 @@
             return false;
         };
         let members = status["members"].as_array().cloned().unwrap_or_default();
-        // Killing a voter while the sets change may lose the quorum for good.
+        // Killing a voter while the sets change may lose the quorum permanently.
         status["voters_changing"] == false
             && members.len() == self.entries.len()
             && members.iter().all(|m| m["voter"] == true && m["ready"] == true)
--- a/crates/e2e/tests/voters.rs
+++ b/crates/e2e/tests/voters.rs
@@ -83,7 +83,7 @@
     // Only the first and the third voter hold the claim.
     cluster.stewards[1].signal("-STOP");
     expect_that!(cluster.book(0, &key, "").map(|a| a.status), some(eq(200)));
-    // By then the claim request that waits at the frozen voter has timed out.
+    // The claim request that waits at the frozen voter times out within this time.
     std::thread::sleep(Duration::from_millis(1_000));
     cluster.stewards[2].signal("-STOP");
     cluster.stewards[1].signal("-CONT");
--- a/crates/entry/src/backend.rs
+++ b/crates/entry/src/backend.rs
@@ -34,7 +34,7 @@
     pub body: Bytes,
 }
 
-/// Why an exchange ended without a complete answer. The gate tells whether bytes were written.
+/// Why an exchange ended without a complete answer. The gate reports whether bytes were written.
 #[derive(Debug)]
 pub struct ExchangeError {
     /// The reason reported to the caller.
--- a/crates/model/src/record.rs
+++ b/crates/model/src/record.rs
@@ -205,7 +205,7 @@
         /// Its own description of itself.
         facts: MemberFacts,
     },
-    /// A steward reports that its entry has stopped for good.
+    /// A steward reports that its entry has stopped permanently.
     MemberLeave {
         /// Its identity.
         member: MemberId,
@@ -224,7 +224,7 @@
         /// The member.
         member: MemberId,
     },
-    /// An operator confirms that a member's VM is switched off for good.
+    /// An operator confirms that a member's VM is switched off permanently.
     MemberForget {
         /// The member.
         member: MemberId,
@@ -243,7 +243,7 @@
         /// The voters that adopted it.
         adopted: Vec<MemberId>,
     },
-    /// An operator appoints new voters after a quorum is lost for good, together with its claims.
+    /// An operator appoints new voters after a quorum is lost permanently, together with its claims.
     VotersReset {
         /// The revision of the current voters.
         base: Revision,
--- a/crates/plan/src/refill.rs
+++ b/crates/plan/src/refill.rs
@@ -24,7 +24,7 @@
     below_target.sort();
     let mut spares = spare_vms(scope);
     let mut spreads: Vec<_> = below_target.iter().map(|s| Spread::of(scope.state, s.1)).collect();
-    // Each pool gets one VM in turn, so that the last pool is not left with VMs of one rack only.
+    // Each pool gets one VM per round, so that the last pool is not left with VMs of one rack only.
     while !spares.is_empty() && below_target.iter().any(|s| s.2 > 0) {
         for ((_, pool, missing), spread) in below_target.iter_mut().zip(&mut spreads) {
             if *missing > 0 && assign_one(scope, cfg, *pool, spread, &mut spares, proposals) {
--- a/crates/replay/src/event.rs
+++ b/crates/replay/src/event.rs
@@ -37,8 +37,8 @@
 pub(crate) enum Event {
     /// A request arrives at its entry.
     Arrive(usize),
-    /// An attempt reaches its worker.
-    ReachWorker(Attempt),
+    /// An attempt arrives at its worker.
+    ArriveAtWorker(Attempt),
     /// A worker has finished an attempt: the attempt, and the incarnation of the worker at its start.
     RunDone(Attempt, u64),
     /// The end of an attempt reaches its entry.
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -132,13 +132,13 @@
     fn handle(&mut self, at: u64, event: Event) {
         match event {
             Event::Arrive(r) => self.handle_arrival(r, at),
-            Event::ReachWorker(attempt) => self.handle_reach(attempt, at),
+            Event::ArriveAtWorker(attempt) => self.admit_attempt(attempt, at),
             Event::RunDone(attempt, incarnation) => self.handle_run_done(attempt, incarnation, at),
             Event::End(attempt, end) => self.handle_end(attempt, end, at),
             Event::Deadline(r) => self.handle_deadline(r),
             Event::Poll(e) => self.handle_poll(e, at),
             Event::RequestSlots(e, number) => self.request_slots(e, number, at),
-            Event::Wants(e, home, asked, wants) => {
+            Event::Wants(e, home, requested_at, wants) => {
                 let now = Instant::from_micros(at);
                 let slots = thistle_model::vm::DEFAULT_SLOTS;
                 let home = &mut self.entries[home].home;
@@ -147,11 +147,11 @@
                     home.grant(member(e), want, slots, now)
                 });
                 let grants = grants.collect();
-                self.events.add(at + self.hop(), Event::Grants(e, asked, grants));
+                self.events.add(at + self.hop(), Event::Grants(e, requested_at, grants));
             }
-            Event::Grants(e, asked, grants) => {
+            Event::Grants(e, requested_at, grants) => {
                 for grant in &grants {
-                    self.entries[e].router.apply_grant(grant, Instant::from_micros(asked));
+                    self.entries[e].router.apply_grant(grant, Instant::from_micros(requested_at));
                 }
                 let wakes = self.entries[e].router.poll(Instant::from_micros(at));
                 self.apply_wakes(wakes, at);
@@ -164,7 +164,7 @@
         self.trace.setup.hop_us
     }
 
-    fn ask(&self, r: usize) -> RouteRequest {
+    fn route_request(&self, r: usize) -> RouteRequest {
         let a = &self.trace.arrivals[r];
         RouteRequest {
             ticket: Ticket(r as u64),
@@ -180,8 +180,8 @@
         let a = self.trace.arrivals[r];
         self.report.offered[a.tier as usize] += 1;
         self.events.add(at + a.deadline_ms * 1_000, Event::Deadline(r));
-        let ask = self.ask(r);
-        let decision = self.entries[a.entry].router.submit(ask, Instant::from_micros(at));
+        let request = self.route_request(r);
+        let decision = self.entries[a.entry].router.submit(request, Instant::from_micros(at));
         self.apply_decision(r, decision, at);
     }
 
@@ -219,7 +219,7 @@
         }
         let gate = SendGate::new(Instant::from_micros(u64::MAX));
         self.requests[r].state = Some(State::Sent(pending.start_send(), gate));
-        self.events.add(at + self.hop(), Event::ReachWorker(attempt));
+        self.events.add(at + self.hop(), Event::ArriveAtWorker(attempt));
     }
 
     /// Handles the end of an attempt at its entry.
@@ -256,11 +256,11 @@
     fn resend(&mut self, attempt: Attempt, back: Pending, at: u64) {
         let r = attempt.request;
         self.requests[r].avoid.add(attempt.vm);
-        let ask = self.ask(r);
+        let request = self.route_request(r);
         let entry = self.trace.arrivals[r].entry;
         let now = Instant::from_micros(at);
         let refuse = Decision::Refuse(thistle_model::RefusalReason::Broken, Duration::ZERO);
-        let decision = self.entries[entry].router.resubmit(ask, &back, now).unwrap_or(refuse);
+        let decision = self.entries[entry].router.resubmit(request, &back, now).unwrap_or(refuse);
         self.requests[r].state = Some(State::Pending(back));
         self.apply_decision(r, decision, at);
     }
--- a/crates/replay/src/serve.rs
+++ b/crates/replay/src/serve.rs
@@ -14,7 +14,7 @@
 const FAIL_US: u64 = 500;
 
 impl Replay<'_> {
-    pub fn handle_reach(&mut self, attempt: Attempt, at: u64) {
+    pub fn admit_attempt(&mut self, attempt: Attempt, at: u64) {
         let admission = self.workers[attempt.worker].admit(attempt);
         let back = at + self.hop();
         match admission {
--- a/crates/request/tests/gate.rs
+++ b/crates/request/tests/gate.rs
@@ -130,7 +130,7 @@
             };
         }
         let refusal = pending.refuse(RefusalReason::Broken, Duration::ZERO);
-        let said_not_run = refusal.outcome == Outcome::NotRun;
-        prop_assert_eq!(said_not_run, !may_have_run);
+        let reported_not_run = refusal.outcome == Outcome::NotRun;
+        prop_assert_eq!(reported_not_run, !may_have_run);
     }
 }
--- a/crates/schedule/src/crash_history.rs
+++ b/crates/schedule/src/crash_history.rs
@@ -25,7 +25,7 @@
 /// The number of crashes at which any task is abandoned. The platform allows two starts after the third crash.
 const MAX_CRASHES: u32 = 5;
 /// How long a VM may be unresponsive before it counts as crashed, in milliseconds. VMs restart within seconds, and network
-/// partitions last up to 12 s, so that a VM that is unresponsive for longer does not come back.
+/// partitions last up to 12 s, so that a VM that is unresponsive for longer will not respond again.
 const UNCLEAR_TIMEOUT_MS: u64 = 30_000;
 /// The delay before a suspect is started again after its first crash, in milliseconds. It doubles with each crash.
 const FIRST_RESTART_DELAY_MS: Ms = 250;
--- a/crates/schedule/src/job_log.rs
+++ b/crates/schedule/src/job_log.rs
@@ -216,9 +216,9 @@
 
     /// Returns whether some open job has started though its submission has not been read.
     pub fn has_started_without_submission(&self) -> bool {
-        let begun =
+        let has_started =
             |e: &JobEntry| e.spec.is_none() && e.progress.begun && e.progress.phase == Phase::Open;
-        self.jobs.values().any(begun)
+        self.jobs.values().any(has_started)
     }
 
     /// Applies one record whose partition does not matter.
--- a/crates/schedule/src/pool/throttle.rs
+++ b/crates/schedule/src/pool/throttle.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollReason {
     /// The metrics of serving tasks that share the VM with filling tasks.
-    Figures,
+    Metrics,
     /// The ends of tasks that end by themselves.
     Ends,
     /// The lease of its present or future runs.
@@ -51,7 +51,7 @@
         let Some(vm) = vm else { return PollReason::Lease };
         let any = |is: fn(&Run) -> bool| vm.runs.values().any(is);
         if any(|run| run.fills) && any(|run| run.tail_target_ms > 0) {
-            PollReason::Figures
+            PollReason::Metrics
         } else if any(|run| !run.lasting) {
             PollReason::Ends
         } else {
--- a/crates/schedule/src/pool/vms.rs
+++ b/crates/schedule/src/pool/vms.rs
@@ -49,7 +49,7 @@
     }
 
     /// Stops unconfirmed runs on VMs whose room has shrunk until the remaining runs fit. A start order is repeated for up to a
-    /// lease and could otherwise exceed the room that its VM has by then.
+    /// lease and could otherwise exceed the room that its VM has when it arrives.
     pub(super) fn cancel_starts_beyond_room(&mut self, now: Now) {
         let shrunk = |(key, vm): (VmKey, &mut Vm)| std::mem::take(&mut vm.shrunk).then_some(key);
         let shrunk: Vec<VmKey> = self.vms.iter_mut().filter_map(shrunk).collect();
--- a/crates/schedule/src/quota/ledger.rs
+++ b/crates/schedule/src/quota/ledger.rs
@@ -247,7 +247,7 @@
         reports
     }
 
-    /// Forgets all reports, as they may not have arrived, so that they are sent again.
+    /// Discards all reports, as they may not have arrived, so that they are sent again.
     pub fn forget_reported(&mut self) {
         for entry in self.arena.values_mut() {
             entry.reported = None;
--- a/crates/schedule/tests/caps_of_settled_jobs.rs
+++ b/crates/schedule/tests/caps_of_settled_jobs.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{at, job, pool_with, report, row, starts, step, vm};
+use common::{at, job, pool_with_vms, report, row, starts, step, vm};
 use googletest::prelude::*;
 use thistle_schedule::job_log::JobEntry;
 use thistle_schedule::quota::{LentCap, Share};
@@ -13,7 +13,7 @@
 
 /// Returns a pool with a cap of two tasks for the workspace `lunch`, all of it lent to this pool.
 fn pool_with_cap() -> Pool {
-    let mut pool = pool_with(&["a", "b"]).with_name(POOL.into());
+    let mut pool = pool_with_vms(&["a", "b"]).with_name(POOL.into());
     let name = "lunch".into();
     pool.set_workspaces(1, &[Workspace { name, weight: 100, cap: CAP, limited_since: 1 }]);
     let shares = vec![Share { pool: POOL.to_owned(), room: CAP, bound: CAP }];
--- a/crates/schedule/tests/common/mod.rs
+++ b/crates/schedule/tests/common/mod.rs
@@ -9,10 +9,11 @@
     VmIncarnation, VmReport,
 };
 
-pub const WALL: u64 = 1_700_000_000_000;
+/// The wall-clock time at steady time 0, in milliseconds.
+pub const WALL_CLOCK_MS: u64 = 1_700_000_000_000;
 
 pub fn at(ms: Ms) -> Now {
-    Now { steady: ms, wall: WALL + ms }
+    Now { steady: ms, wall: WALL_CLOCK_MS + ms }
 }
 
 pub fn step(count: u32, cpu: u32) -> Step {
@@ -20,13 +21,13 @@
     Step { count, demand, estimated_ms: 1_000, ..Step::default() }
 }
 
-pub fn lasting(count: u32, may_miss: u32) -> Step {
+pub fn lasting_step(count: u32, may_miss: u32) -> Step {
     Step { lasting: true, may_miss, anti_affinity: 1, ..step(count, 1_000) }
 }
 
 pub fn job(steps: Vec<Step>) -> Arc<JobSpec> {
     let objective = Objective { priority: 0, max_attempts: 2, stretch: 1.5, target_ms: 600 };
-    let (queue, accepted_ms) = ("quotes".to_owned(), WALL);
+    let (queue, accepted_ms) = ("quotes".to_owned(), WALL_CLOCK_MS);
     Arc::new(JobSpec {
         text: "x".into(),
         steps,
@@ -55,7 +56,7 @@
 }
 
 /// Returns a pool with the named VMs listed and one report of each applied, so that tasks may start on them.
-pub fn pool_with(names: &[&str]) -> Pool {
+pub fn pool_with_vms(names: &[&str]) -> Pool {
     let mut pool = Pool::new();
     for name in names {
         let facts = vm(name, 1);
@@ -82,7 +83,7 @@
 }
 
 /// Returns the only start.
-pub fn start_of_only(starts: &[StartOrder]) -> StartOrder {
+pub fn only_start(starts: &[StartOrder]) -> StartOrder {
     assert_eq!(starts.len(), 1, "{starts:?}");
     starts[0].clone()
 }
@@ -116,7 +117,7 @@
 }
 
 /// Reports the given runs as running at full speed, each VM with all of its own.
-pub fn all_at_work(pool: &mut Pool, started: &[StartOrder], now: Ms) {
+pub fn report_all_running(pool: &mut Pool, started: &[StartOrder], now: Ms) {
     for start in started {
         let rows = started.iter().filter(|s| s.vm == start.vm).map(|s| row(s.run, 100)).collect();
         pool.apply_report(&start.vm, &report(now, rows, Vec::new()), at(now));
--- a/crates/schedule/tests/crash_histories.rs
+++ b/crates/schedule/tests/crash_histories.rs
@@ -1,24 +1,24 @@
-//! Random histories of a pool in which some jobs have a task that crashes its VMs, while other VMs crash by chance,
+//! Random histories of a pool in which some jobs have a task that crashes its VMs, while other VMs crash at random,
 //! racks fail, VMs are cut off and keep running, VMs leave, and owners are replaced. No such task may be started more
 //! than twice after its third crash, and no other job may fail.
 
 mod common;
 mod histories;
 
-use histories::{Figures, History, Setting};
+use histories::{History, HistoryResults, Setting};
 
 const HISTORIES: u64 = 8;
 
-fn run_histories(setting: Setting) -> Figures {
+fn run_histories(setting: Setting) -> HistoryResults {
     let seeds = if std::env::var_os("THISTLE_LONG_RUN").is_some() { 1_000 } else { HISTORIES };
-    let mut sum = Figures::default();
+    let mut sum = HistoryResults::default();
     for seed in 0..seeds {
-        let figures = History::new(seed, setting).run();
-        assert_eq!(figures.started_too_often, 0, "seed {seed} {setting:?}");
-        // A suspect that shares its VM may be affected by another crash by chance, which is why suspects are kept
+        let results = History::new(seed, setting).run();
+        assert_eq!(results.started_too_often, 0, "seed {seed} {setting:?}");
+        // A suspect that shares its VM may be affected by an unrelated crash, which is why suspects are kept
         // apart.
-        assert!(figures.failed_wrongly == 0 || !setting.suspects_apart, "seed {seed} {setting:?}");
-        sum.add(figures);
+        assert!(results.failed_wrongly == 0 || !setting.suspects_apart, "seed {seed} {setting:?}");
+        sum.add(results);
     }
     println!("{setting:?} {seeds} histories: {sum:?}");
     sum
@@ -27,8 +27,8 @@
 #[test]
 fn faulty_tasks_are_abandoned_and_other_jobs_settle() {
     for faulty_percent in [0, 3, 20] {
-        let figures = run_histories(Setting { faulty_percent, suspects_apart: true });
-        assert!(figures.unfinished == 0, "{figures:?}");
+        let results = run_histories(Setting { faulty_percent, suspects_apart: true });
+        assert!(results.unfinished == 0, "{results:?}");
     }
 }
 
--- a/crates/schedule/tests/crashing_tasks.rs
+++ b/crates/schedule/tests/crashing_tasks.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use common::{JOB, at, job, plan_and_start, pool_with, starts, step, vm};
+use common::{JOB, at, job, plan_and_start, pool_with_vms, starts, step, vm};
 use googletest::prelude::*;
 use thistle_schedule::crash_history::{Crash, CrashHistoryRecord, UnclearLoss};
 use thistle_schedule::job_log::{JobEntry, Version, encode_progress, progress_key};
@@ -34,7 +34,7 @@
 impl Crashes {
     fn new(steps: Vec<Step>) -> Self {
         let names = ["a", "b", "c"];
-        let mut pool = pool_with(&names);
+        let mut pool = pool_with_vms(&names);
         pool.submit(JOB, job(steps), at(0));
         let incarnations = names.map(|name| (name, 1)).into();
         Self { pool, incarnations, now: 10, phase: Phase::Open }
@@ -110,7 +110,7 @@
     let cases = [
         ("a task", step(1, 500), false),
         ("a task whose owner is another each time", step(1, 500), true),
-        ("a lasting task", common::lasting(1, 1), false),
+        ("a lasting task", common::lasting_step(1, 1), false),
         ("a gang", Step { gang: true, ..step(2, 3_000) }, false),
     ];
     for (what, step, change_owner) in cases {
@@ -190,7 +190,7 @@
 #[gtest]
 fn a_suspect_shares_its_vm_with_no_other_job() {
     let other = JobId(7);
-    let mut pool = pool_with(&["a", "b"]);
+    let mut pool = pool_with_vms(&["a", "b"]);
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     pool.submit(other, job(vec![step(1, 500)]), at(1));
     let started = plan_and_start(&mut pool, 10);
@@ -216,7 +216,7 @@
 
 #[gtest]
 fn a_vm_that_leaves_or_is_only_cut_off_counts_as_no_crash() {
-    let mut pool = pool_with(&["a", "b"]);
+    let mut pool = pool_with_vms(&["a", "b"]);
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     let first = plan_and_start(&mut pool, 10);
     let name = first[0].vm.id()[2..3].to_owned();
@@ -238,7 +238,7 @@
 /// that is leaving.
 #[gtest]
 fn an_answer_to_an_older_request_does_not_make_a_crash_a_departure() {
-    let mut pool = pool_with(&["a", "b"]);
+    let mut pool = pool_with_vms(&["a", "b"]);
     pool.set_listing_is_complete(true);
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     let first = plan_and_start(&mut pool, 10);
@@ -270,7 +270,7 @@
 /// handled first. By the time of the answer, the run then started after its VM was gone, and the crash did not count.
 #[gtest]
 fn a_crash_counts_though_it_is_noticed_before_the_answer_to_the_start() {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     let start = starts(&pool.plan(at(10))).pop().expect("there is room");
     pool.take_records();
@@ -286,7 +286,7 @@
 /// job did not start for 3 s.
 #[gtest]
 fn the_need_of_a_pool_includes_the_vms_that_suspects_hold_and_wait_for() {
-    let mut pool = pool_with(&["a", "b", "c"]);
+    let mut pool = pool_with_vms(&["a", "b", "c"]);
     pool.submit(JOB, job(vec![step(3, 500)]), at(0));
     let started = plan_and_start(&mut pool, 10);
     let before = pool.demand(2_000, at(20)).in_time();
--- a/crates/schedule/tests/emptying.rs
+++ b/crates/schedule/tests/emptying.rs
@@ -5,7 +5,7 @@
 use std::collections::HashSet;
 use std::sync::Arc;
 
-use common::{JOB, at, end, job, plan_and_start, pool_with, report, row, starts, step, stops};
+use common::{JOB, at, end, job, plan_and_start, pool_with_vms, report, row, starts, step, stops};
 use googletest::prelude::*;
 use thistle_schedule::pool::StartOrder;
 use thistle_schedule::{EndKind, JobId, Pool, RunEnd, Step};
@@ -16,7 +16,7 @@
 
 /// Starts one task on VM a, which is then to be emptied urgently. VM b has room.
 fn urgent_drain(shape: Step) -> (Pool, StartOrder) {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     pool.submit(JOB, job(vec![shape]), at(0));
     let started = plan_and_start(&mut pool, 10).remove(0);
     let b = common::vm("b", 1);
@@ -64,7 +64,7 @@
 
 #[gtest]
 fn vms_that_can_be_empty_soonest_are_offered_first() {
-    let mut pool = pool_with(&["a", "b"]);
+    let mut pool = pool_with_vms(&["a", "b"]);
     // The run on the fuller VM is nearly done, the other run has just started.
     pool.submit(JOB, job(vec![step(1, 4_000)]), at(0));
     let long = plan_and_start(&mut pool, 10).remove(0);
@@ -90,8 +90,8 @@
 
 #[gtest]
 fn lasting_tasks_leave_an_unlisted_vm_unless_the_list_may_be_incomplete() {
-    let mut pool = pool_with(&["a"]);
-    pool.submit(JOB, job(vec![common::lasting(1, 1)]), at(0));
+    let mut pool = pool_with_vms(&["a"]);
+    pool.submit(JOB, job(vec![common::lasting_step(1, 1)]), at(0));
     let started = plan_and_start(&mut pool, 10).remove(0);
     let b = common::vm("b", 1);
     pool.list_vm(b.clone());
@@ -108,10 +108,10 @@
 /// first, so that more tasks of the step were missing than allowed.
 #[gtest]
 fn a_lasting_task_on_a_draining_vm_is_moved_before_one_on_a_healthy_vm() {
-    let mut pool = pool_with(&["a", "b"]);
-    pool.submit(JOB, job(vec![common::lasting(2, 1)]), at(0));
+    let mut pool = pool_with_vms(&["a", "b"]);
+    pool.submit(JOB, job(vec![common::lasting_step(2, 1)]), at(0));
     let started = plan_and_start(&mut pool, 10);
-    common::all_at_work(&mut pool, &started, 100);
+    common::report_all_running(&mut pool, &started, 100);
     for name in ["c", "d"] {
         pool.list_vm(common::vm(name, 1));
         pool.apply_report(&common::vm(name, 1).id, &report(0, vec![], vec![]), at(20));
--- a/crates/schedule/tests/evacuation.rs
+++ b/crates/schedule/tests/evacuation.rs
@@ -9,9 +9,9 @@
 use std::sync::Arc;
 
 use common::{
-    JOB, at, end_run, job, lasting, plan_and_start, report, row, starts, step, stops, vm,
+    JOB, at, end_run, job, lasting_step, plan_and_start, report, row, starts, step, stops, vm,
 };
-use fleet_common::{busy, two_pools, vms_of};
+use fleet_common::{busy_report, two_pools, vms_of};
 use googletest::prelude::*;
 use thistle_schedule::fleet::{Fleet, FleetRecord, FleetVm, HoldOff, VmState};
 use thistle_schedule::halls::is_current;
@@ -83,7 +83,7 @@
 #[gtest]
 fn lasting_tasks_stay_in_an_evacuated_hall_and_are_rescheduled_in_another() {
     let mut pool = two_halls();
-    pool.submit(JOB, job(vec![lasting(2, 1)]), at(0));
+    pool.submit(JOB, job(vec![lasting_step(2, 1)]), at(0));
     let started = plan_and_start(&mut pool, 10);
     for start in &started {
         pool.apply_report(&start.vm, &report(20, vec![row(start.run, 100)], Vec::new()), at(20));
@@ -152,7 +152,7 @@
 #[gtest]
 fn capacity_of_an_evacuated_hall_is_replaced_from_other_halls_before_work_waits() {
     let mut fleet = pool_in_two_halls();
-    fleet.set_report(&"desk".into(), busy(0, 60_000, &[]), 10);
+    fleet.set_report(&"desk".into(), busy_report(0, 60_000, &[]), 10);
     expect_that!(fleet.plan(20), is_empty(), "the pool has what it needs");
     fleet.set_halls(evacuated(&["a"]));
     let mut brought: Vec<String> = fleet.plan(30).into_iter().map(|order| order.vm).collect();
@@ -164,10 +164,14 @@
 fn idle_vms_of_an_evacuated_hall_are_not_moved() {
     let mut fleet = two_pools();
     fleet.set_halls(evacuated(&["hall-a"]));
-    fleet.set_report(&"desk".into(), busy(0, 0, &["d0", "d1", "d2", "d3", "d4", "d5"]), 10);
-    fleet.set_report(&"hub".into(), busy(60_000, 96_000, &[]), 10);
+    fleet.set_report(&"desk".into(), busy_report(0, 0, &["d0", "d1", "d2", "d3", "d4", "d5"]), 10);
+    fleet.set_report(&"hub".into(), busy_report(60_000, 96_000, &[]), 10);
     expect_that!(vms_of(&fleet.plan(20)), is_empty());
-    fleet.set_report(&"desk".into(), busy(0, 0, &["d0", "d1", "d2", "d3", "d4", "d5"]), 9_000);
+    fleet.set_report(
+        &"desk".into(),
+        busy_report(0, 0, &["d0", "d1", "d2", "d3", "d4", "d5"]),
+        9_000,
+    );
     expect_that!(vms_of(&fleet.plan(9_010)), is_empty());
     expect_that!(fleet.record().work, is_empty());
 }
--- a/crates/schedule/tests/fleet_common/mod.rs
+++ b/crates/schedule/tests/fleet_common/mod.rs
@@ -15,7 +15,7 @@
     names.iter().map(|n| vm(n, "desk", 1, VmState::Up)).collect()
 }
 
-pub fn emptied(names: &[&str]) -> PoolReport {
+pub fn emptied_report(names: &[&str]) -> PoolReport {
     let empty = |n: &&str| ((*n).to_owned(), format!("{n}-1"));
     PoolReport { emptied: names.iter().map(empty).collect(), vms: 6, ..PoolReport::default() }
 }
@@ -51,7 +51,7 @@
 }
 
 /// Returns the report of a pool whose running work stays the same while its waiting work triples.
-pub fn busy(waiting: u64, used: u64, idle: &[&str]) -> PoolReport {
+pub fn busy_report(waiting: u64, used: u64, idle: &[&str]) -> PoolReport {
     PoolReport {
         waiting_cpu: waiting,
         used_cpu: used,
--- a/crates/schedule/tests/fleet_succession.rs
+++ b/crates/schedule/tests/fleet_succession.rs
@@ -2,7 +2,7 @@
 
 mod fleet_common;
 
-use fleet_common::{busy, emptied, fleet, up_vms, vm, vms_of, wave};
+use fleet_common::{busy_report, emptied_report, fleet, up_vms, vm, vms_of, wave};
 use googletest::prelude::*;
 use thistle_schedule::fleet::{
     Fleet, FleetRecord, HoldOff, OrderOutcome, PoolReport, Purpose, Stage, VmState, VmWork,
@@ -12,7 +12,7 @@
 fn a_successor_holds_off_after_its_predecessors_orders() {
     let mut before = fleet(&["a"], 1);
     before.plan(10);
-    before.set_report(&"desk".into(), emptied(&["a"]), 20);
+    before.set_report(&"desk".into(), emptied_report(&["a"]), 20);
     expect_that!(before.plan(30), len(eq(1)));
 
     let hold_off = HoldOff { until: 3_300, gap: 3_300 };
@@ -31,21 +31,21 @@
 fn a_successor_without_a_vm_list_counts_no_maintenance_as_complete() {
     let mut before = fleet(&["a", "b"], 1);
     before.plan(10);
-    before.set_report(&"desk".into(), emptied(&["a", "b"]), 20);
+    before.set_report(&"desk".into(), emptied_report(&["a", "b"]), 20);
     let first = before.plan(30);
     expect_that!(first, len(eq(1)));
 
     let mut after = Fleet::new(before.record().clone(), HoldOff::default());
     after.set_pools(["desk".into()].into(), None);
     after.set_wave(wave(&["a", "b"], 1));
-    after.set_report(&"desk".into(), emptied(&["a", "b"]), 100);
+    after.set_report(&"desk".into(), emptied_report(&["a", "b"]), 100);
     expect_that!(vms_of(&after.plan(110)), eq(&vms_of(&first)));
     after.record_order_result(&first[0].vm, OrderOutcome::Done, 120);
     after.plan(130);
     let mut vms = up_vms(&["a", "b", "c"]);
     vms.iter_mut().filter(|vm| *vm.name == *first[0].vm).for_each(|vm| vm.state = VmState::Away);
     after.set_vms(vms, 200);
-    after.set_report(&"desk".into(), emptied(&["a", "b"]), 210);
+    after.set_report(&"desk".into(), emptied_report(&["a", "b"]), 210);
     expect_that!(after.plan(220), is_empty());
 }
 
@@ -65,7 +65,7 @@
     fleet.set_pools(["desk".into(), "hub".into()].into(), None);
     let vms = ["d0", "d1"].map(|name| vm(name, "desk", 1, VmState::Up));
     fleet.set_vms(vms.into(), 0);
-    fleet.set_report(&"desk".into(), emptied(&["d0", "d1"]), 10);
+    fleet.set_report(&"desk".into(), emptied_report(&["d0", "d1"]), 10);
     expect_that!(vms_of(&fleet.plan(20)), eq(&vec!["d0"]));
     expect_that!(vms_of(&fleet.plan(2_900)), is_empty());
     expect_that!(vms_of(&fleet.plan(3_100)), eq(&vec!["d1"]));
@@ -78,7 +78,7 @@
     fleet.set_pools(["desk".into()].into(), Some("off".into()));
     let off = ["o", "p"].map(|name| vm(name, "off", 1, VmState::Up));
     fleet.set_vms(up_vms(&["a", "b", "c", "d"]).into_iter().chain(off).collect(), 0);
-    fleet.set_report(&"desk".into(), busy(0, 90_000, &[]), 10);
+    fleet.set_report(&"desk".into(), busy_report(0, 90_000, &[]), 10);
     expect_that!(vms_of(&fleet.plan(20)), eq(&vec!["p"]));
     expect_that!(vms_of(&fleet.plan(1_400)), is_empty(), "its move took 1.5 s at least");
     expect_that!(vms_of(&fleet.plan(1_600)), eq(&vec!["o"]));
@@ -91,7 +91,7 @@
     fleet.set_pools(["desk".into()].into(), Some("off".into()));
     let others = up_vms(&["a", "b", "c", "d"]);
     fleet.set_vms([others.clone(), vec![vm("o", "off", 1, VmState::Up)]].concat(), 0);
-    fleet.set_report(&"desk".into(), busy(0, 90_000, &[]), 10);
+    fleet.set_report(&"desk".into(), busy_report(0, 90_000, &[]), 10);
     expect_that!(vms_of(&fleet.plan(20)), eq(&vec!["o"]));
     fleet.record_order_result("o", OrderOutcome::Done, 30);
     fleet.set_vms([others, vec![vm("o", "desk", 2, VmState::Up)]].concat(), 1_700);
@@ -139,7 +139,7 @@
     fleet.plan(30);
     fleet.record_order_result("o", OrderOutcome::Done, 40);
     fleet.plan(50);
-    let report = emptied(&["o"]);
+    let report = emptied_report(&["o"]);
     let emptied = vec![("o".to_owned(), "o-2".to_owned())];
     fleet.set_report(&"desk".into(), PoolReport { emptied, ..report }, 60);
     let orders = fleet.plan(70);
--- a/crates/schedule/tests/histories/mod.rs
+++ b/crates/schedule/tests/histories/mod.rs
@@ -13,7 +13,7 @@
     VmIncarnation, VmLoss,
 };
 
-use crate::common::{at, job, lasting, step};
+use crate::common::{at, job, lasting_step, step};
 use machine::{Ended, Machine, State};
 
 /// The simulated milliseconds of one tick.
@@ -40,7 +40,7 @@
 
 /// The results of one history, or the sum over many.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Figures {
+pub struct HistoryResults {
     /// Starts of faulty tasks beyond the two that are allowed after the third crash.
     pub started_too_often: u32,
     /// Jobs without a faulty task that failed.
@@ -59,7 +59,7 @@
     pub total_ms: u64,
 }
 
-impl Figures {
+impl HistoryResults {
     pub fn add(&mut self, other: Self) {
         self.started_too_often += other.started_too_often;
         self.failed_wrongly += other.failed_wrongly;
@@ -92,7 +92,7 @@
     settled: BTreeSet<JobId>,
     /// VMs that are gone and on which a new owner knows of runs, and when their leases have expired for certain.
     orphans: BTreeMap<VmIncarnation, Ms>,
-    figures: Figures,
+    results: HistoryResults,
 }
 
 impl History {
@@ -114,13 +114,13 @@
             cancel_times: BTreeMap::new(),
             settled: BTreeSet::new(),
             orphans: BTreeMap::new(),
-            figures: Figures::default(),
+            results: HistoryResults::default(),
         };
         history.replace_owner();
         history
     }
 
-    pub fn run(mut self) -> Figures {
+    pub fn run(mut self) -> HistoryResults {
         while self.now < END {
             self.now += TICK;
             if self.now < FAULT_FREE_AT {
@@ -135,9 +135,9 @@
         }
         for id in self.steps.keys() {
             let has_no_faulty_task = !self.faulty_tasks.iter().any(|task| task.job == *id);
-            self.figures.unfinished += u32::from(has_no_faulty_task && !self.settled.contains(id));
+            self.results.unfinished += u32::from(has_no_faulty_task && !self.settled.contains(id));
         }
-        self.figures
+        self.results
     }
 
     fn submit_jobs(&mut self) {
@@ -148,7 +148,7 @@
         let is_lasting = self.rng.random_bool(0.08);
         let width = self.rng.random_range(2..9);
         let steps = match (is_lasting, self.rng.random_bool(0.4)) {
-            (true, _) => vec![lasting(3, 1)],
+            (true, _) => vec![lasting_step(3, 1)],
             (false, true) => {
                 vec![step(width, 900), Step { depends_on: vec![0], ..step(width, 900) }]
             }
@@ -239,7 +239,7 @@
         }
         let down =
             self.machines.iter().filter(|m| m.crashed_by_task && m.state != State::Up).count();
-        self.figures.max_down = self.figures.max_down.max(down);
+        self.results.max_down = self.results.max_down.max(down);
     }
 
     fn report(&mut self) {
@@ -312,10 +312,10 @@
         }
         match phase {
             Phase::Completed => {
-                self.figures.done += 1;
-                self.figures.total_ms += self.now - self.accepted[&id];
+                self.results.done += 1;
+                self.results.total_ms += self.now - self.accepted[&id];
             }
-            Phase::Failed => self.figures.failed_wrongly += 1,
+            Phase::Failed => self.results.failed_wrongly += 1,
             Phase::Open | Phase::Cancelled => (),
         }
     }
@@ -339,10 +339,10 @@
         }
         let (crashes, starts) = self.crash_counts.entry(task).or_default();
         *starts += u32::from(*crashes >= 3);
-        self.figures.started_too_often += u32::from(*starts > 2);
+        self.results.started_too_often += u32::from(*starts > 2);
         *crashes += 1;
-        self.figures.crashes += 1;
-        self.figures.lost_work_of_others += machine.work_of_others(task, now);
+        self.results.crashes += 1;
+        self.results.lost_work_of_others += machine.work_of_others(task, now);
         self.crash(i, DOWNTIME);
         self.machines[i].crashed_by_task = true;
     }
--- a/crates/schedule/tests/incarnations.rs
+++ b/crates/schedule/tests/incarnations.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use common::{JOB, at, end, job, pool_with, report, row, starts, step, vm};
+use common::{JOB, at, end, job, pool_with_vms, report, row, starts, step, vm};
 use googletest::prelude::*;
 use thistle_schedule::job_log::JobEntry;
 use thistle_schedule::pool::StartResult;
@@ -78,7 +78,7 @@
 
 #[gtest]
 fn a_record_that_names_a_vm_by_its_id_alone_applies_to_the_listed_incarnation() {
-    let mut before = pool_with(&["a"]);
+    let mut before = pool_with_vms(&["a"]);
     let spec = job(vec![step(1, 700)]);
     before.submit(JOB, spec.clone(), at(0));
     let run = starts(&before.plan(at(10)))[0].run;
--- a/crates/schedule/tests/job_records.rs
+++ b/crates/schedule/tests/job_records.rs
@@ -8,7 +8,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use common::{JOB, WALL, at, end_run, job, plan_and_start, pool_with, report, starts, step};
+use common::{
+    JOB, WALL_CLOCK_MS, at, end_run, job, plan_and_start, pool_with_vms, report, starts, step,
+};
 use googletest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -202,7 +204,7 @@
 
 /// Returns a job of one task with five repetitions, one a second.
 fn repeating() -> Arc<JobSpec> {
-    let repeats = Some(Repeats { count: 5, start_at_ms: WALL, interval_ms: 1_000 });
+    let repeats = Some(Repeats { count: 5, start_at_ms: WALL_CLOCK_MS, interval_ms: 1_000 });
     Arc::new(JobSpec { repeats, ..job(vec![step(1, 3_000)]).as_ref().clone() })
 }
 
@@ -228,7 +230,7 @@
 #[gtest]
 fn a_finished_repetition_is_not_reopened_by_the_next_owner() {
     let spec = repeating();
-    let mut before = pool_with(&["a"]);
+    let mut before = pool_with_vms(&["a"]);
     before.submit(JOB, spec.clone(), at(0));
     let first = plan_and_start(&mut before, 10);
     before.plan(at(2_500));
@@ -236,7 +238,7 @@
     let second = starts(&before.plan(at(2_700)));
     expect_that!(second[0].run.task.time, eq(1));
     let entry = entry_of(&mut before, &spec);
-    let mut after = pool_with(&["a"]);
+    let mut after = pool_with_vms(&["a"]);
     after.adopt(JOB, &entry, at(2_800));
     after.apply_report(&second[0].vm, &report(2_900, vec![], vec![]), at(2_900));
     let mut times = started_repetitions(&mut after, 3_000);
@@ -260,9 +262,9 @@
     let tasks = vec![later_task];
     let progress = Progress { begun: true, done_times: vec![1], tasks, ..Progress::default() };
     let entry = JobEntry { spec: Some(repeating()), progress, ..JobEntry::default() };
-    let mut after = pool_with(&["a"]);
+    let mut after = pool_with_vms(&["a"]);
     // By this clock only the first repetition is due.
-    after.adopt(JOB, &entry, Now { steady: 4_000, wall: WALL + 500 });
+    after.adopt(JOB, &entry, Now { steady: 4_000, wall: WALL_CLOCK_MS + 500 });
     let mut times = started_repetitions(&mut after, 5_000);
     times.sort_unstable();
     expect_that!(times, eq(&vec![0, 2, 3, 4]));
--- a/crates/schedule/tests/late_calls.rs
+++ b/crates/schedule/tests/late_calls.rs
@@ -133,7 +133,7 @@
     assert_guarantees_hold(RESTARTS_AND_LATE_CALLS);
 }
 
-/// A hold request that acknowledged ends of a VM's previous incarnation reached the next one, which had by then run
+/// A hold request that acknowledged ends of a VM's previous incarnation reached the next one, which had already run
 /// and ended a task on a start meant for the previous one. The VM dropped that end, number 1, before the owner
 /// received it, and the task was started again.
 #[test]
--- a/crates/schedule/tests/late_ends.rs
+++ b/crates/schedule/tests/late_ends.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use common::{
-    JOB, at, end, job, plan_and_start, pool_with, report, start_of_only, starts, step, vm,
+    JOB, at, end, job, only_start, plan_and_start, pool_with_vms, report, starts, step, vm,
 };
 use googletest::prelude::*;
 use thistle_schedule::pool::StartOrder;
@@ -14,9 +14,9 @@
 
 /// Returns a pool whose only VM was lost with the one task of a job, and the start of that task.
 fn pool_after_loss(step: Step) -> (Pool, StartOrder) {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     pool.submit(JOB, job(vec![step]), at(0));
-    let start = start_of_only(&plan_and_start(&mut pool, 10));
+    let start = only_start(&plan_and_start(&mut pool, 10));
     pool.vm_lost(&start.vm, VmLoss::LeaseOver, at(7_000));
     expect_that!(starts(&pool.plan(at(7_010))), is_empty());
     pool.take_records();
@@ -42,7 +42,7 @@
     let other = vm("b", 1);
     pool.list_vm(other.clone());
     pool.apply_report(&other.id, &report(7_020, vec![], vec![]), at(7_030));
-    let again = start_of_only(&plan_and_start(&mut pool, 7_040));
+    let again = only_start(&plan_and_start(&mut pool, 7_040));
     let ended = vec![end(1, start.run, EndKind::Done)];
     pool.apply_report(&start.vm, &report(7_100, vec![], ended), at(7_110));
     expect_that!(phase(&mut pool), not(some(eq(Phase::Completed))));
--- a/crates/schedule/tests/link_world/machines.rs
+++ b/crates/schedule/tests/link_world/machines.rs
@@ -101,7 +101,7 @@
         let due = self.log.get(task.job).and_then(|e| e.spec.as_ref()).map(|s| s.due_ms(task.time));
         let due = due.filter(|_| self.repeating.contains(&task.job));
         assert!(
-            due.is_none_or(|due| due <= WALL + self.now),
+            due.is_none_or(|due| due <= WALL_CLOCK_MS + self.now),
             "ORDER: {run} starts before it is due"
         );
         let shape = &self.steps[&task.job][usize::from(task.step)];
@@ -212,6 +212,9 @@
         }
         // The VM's clock may have been set back since its previous incarnation.
         let back = if self.rng.random_bool(0.1) { 100_000 } else { 0 };
-        VmIncarnation::new(format!("i-{name}"), Some(WALL + self.now + u64::from(number) - back))
+        VmIncarnation::new(
+            format!("i-{name}"),
+            Some(WALL_CLOCK_MS + self.now + u64::from(number) - back),
+        )
     }
 }
--- a/crates/schedule/tests/link_world/mod.rs
+++ b/crates/schedule/tests/link_world/mod.rs
@@ -27,7 +27,7 @@
 use self::link::Link;
 use self::twice::{OrderSource, Runs};
 use self::vm::{Answer, Call, PathState, Run, SimVm};
-use crate::common::{WALL, at, job, step, vm as vm_facts};
+use crate::common::{WALL_CLOCK_MS, at, job, step, vm as vm_facts};
 
 const TICK: Ms = 10;
 const LEASE: Ms = 6_000;
@@ -180,7 +180,7 @@
         self.steps.insert(id, steps.clone());
         let mut spec = job(steps).as_ref().clone();
         if self.rng.random_bool(0.15) {
-            let start_at_ms = WALL + self.now + self.rng.random_range(0..500);
+            let start_at_ms = WALL_CLOCK_MS + self.now + self.rng.random_range(0..500);
             self.repeating.insert(id);
             spec.repeats = Some(Repeats { count: 2, start_at_ms, interval_ms: 700 });
         }
--- a/crates/schedule/tests/link_world/owner.rs
+++ b/crates/schedule/tests/link_world/owner.rs
@@ -13,7 +13,7 @@
         }
     }
 
-    /// The node claims the pool again, as any other node that takes over does.
+    /// The node claims the pool again, like a node that takes it over.
     pub(super) fn replace_owner(&mut self) {
         let owner = NodeIncarnation { name: "a".to_owned(), incarnation: 1 };
         let claim = Claim { owner, released: false };
--- a/crates/schedule/tests/need.rs
+++ b/crates/schedule/tests/need.rs
@@ -2,7 +2,9 @@
 
 mod common;
 
-use common::{JOB, WALL, at, job, lasting, plan_and_start, pool_with, starts, step, vm};
+use common::{
+    JOB, WALL_CLOCK_MS, at, job, lasting_step, plan_and_start, pool_with_vms, starts, step, vm,
+};
 use googletest::prelude::*;
 use thistle_schedule::job_log::JobEntry;
 use thistle_schedule::{JobId, JobSpec, Pool, Room, Step, VmReport};
@@ -12,7 +14,8 @@
 fn first_of_late_and_new(now: u64) -> JobId {
     let mut pool = Pool::new();
     pool.submit(JOB, job(vec![step(1, 4_000)]), at(0));
-    let new = JobSpec { accepted_ms: WALL + now, ..job(vec![step(1, 4_000)]).as_ref().clone() };
+    let new =
+        JobSpec { accepted_ms: WALL_CLOCK_MS + now, ..job(vec![step(1, 4_000)]).as_ref().clone() };
     pool.submit(JobId(2), new.into(), at(now));
     let facts = vm("a", 1);
     pool.list_vm(facts.clone());
@@ -32,10 +35,10 @@
 
 /// Returns a pool in which a job with one task of a second on one core arrived at each of the given times.
 fn with_arrivals(times: &[u64]) -> Pool {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     for (number, &time) in (1..).zip(times) {
         let spec = job(vec![step(1, 1_000)]);
-        let spec = JobSpec { accepted_ms: WALL + time, ..spec.as_ref().clone() };
+        let spec = JobSpec { accepted_ms: WALL_CLOCK_MS + time, ..spec.as_ref().clone() };
         let entry = JobEntry { spec: Some(spec.into()), ..JobEntry::default() };
         pool.adopt(JobId(number), &entry, at(time));
     }
@@ -83,7 +86,7 @@
 
 #[gtest]
 fn jobs_that_a_new_owner_reads_do_not_count_as_arrivals() {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     for number in 1..20 {
         let entry = JobEntry { spec: Some(job(vec![step(1, 1_000)])), ..JobEntry::default() };
         pool.adopt(JobId(number), &entry, at(5_000));
@@ -93,7 +96,7 @@
 
 #[gtest]
 fn work_that_ends_before_vms_arrive_adds_no_need_but_the_steps_after_it_do() {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     let second = Step { depends_on: vec![0], estimated_ms: 1_500, ..step(3, 500) };
     pool.submit(JOB, job(vec![step(2, 1_000), second]), at(0));
     plan_and_start(&mut pool, 0);
@@ -104,10 +107,10 @@
 }
 
 /// A pool reported a need of 3,900 cores where 2,000 were used two seconds later. A third of the need was work that
-/// starts before the new VMs arrive and has ended by then.
+/// starts and ends before the new VMs arrive.
 #[gtest]
 fn steps_that_start_and_end_before_vms_arrive_add_no_need() {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     let second = Step { depends_on: vec![0], estimated_ms: 500, ..step(3, 500) };
     let third = Step { depends_on: vec![1], ..step(1, 400) };
     pool.submit(JOB, job(vec![step(2, 1_000), second, third]), at(0));
@@ -119,11 +122,11 @@
 
 #[gtest]
 fn lasting_tasks_add_need_and_jobs_that_are_too_late_to_be_useful_add_none() {
-    let mut pool = pool_with(&["a"]);
-    pool.submit(JOB, job(vec![lasting(1, 1)]), at(0));
+    let mut pool = pool_with_vms(&["a"]);
+    pool.submit(JOB, job(vec![lasting_step(1, 1)]), at(0));
     plan_and_start(&mut pool, 0);
     expect_that!(pool.demand(LEAD_TIME, at(60_000)).in_time(), eq(1_000));
-    let late = JobSpec { accepted_ms: WALL, ..job(vec![step(8, 1_000)]).as_ref().clone() };
+    let late = JobSpec { accepted_ms: WALL_CLOCK_MS, ..job(vec![step(8, 1_000)]).as_ref().clone() };
     pool.submit(JobId(2), late.into(), at(0));
     plan_and_start(&mut pool, 0);
     expect_that!(
@@ -138,9 +141,9 @@
 /// processor of the tasks alone called for no further VM.
 #[gtest]
 fn lasting_tasks_that_fit_on_no_vm_add_more_need_than_their_processor() {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     let large = Room { cpu: 500, mem_mb: 6_000, gpu: 0 };
-    let step = Step { anti_affinity: 0, demand: large, ..lasting(3, 1) };
+    let step = Step { anti_affinity: 0, demand: large, ..lasting_step(3, 1) };
     pool.submit(JOB, job(vec![step]), at(0));
     expect_that!(plan_and_start(&mut pool, 0), len(eq(1)));
     expect_that!(pool.demand(LEAD_TIME, at(10)).waiting, eq(3_000), "two of 500 each");
@@ -152,7 +155,7 @@
 #[gtest]
 fn a_task_that_fills_more_than_half_of_a_vm_adds_the_need_of_a_whole_vm() {
     let need = |cpu| {
-        let mut pool = pool_with(&["a"]);
+        let mut pool = pool_with_vms(&["a"]);
         pool.submit(JOB, job(vec![step(1, 4_000)]), at(0));
         plan_and_start(&mut pool, 5);
         pool.submit(JobId(2), job(vec![step(3, cpu)]), at(0));
--- a/crates/schedule/tests/policies.rs
+++ b/crates/schedule/tests/policies.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{JOB, at, job, pool_with, report, row, starts, step};
+use common::{JOB, at, job, pool_with_vms, report, row, starts, step};
 use googletest::prelude::*;
 use thistle_schedule::job_log::JobEntry;
 use thistle_schedule::pool::{AdviceRequest, Order};
@@ -33,7 +33,7 @@
 
 #[gtest]
 fn a_step_starts_only_where_its_policy_allows_and_with_the_ticket() {
-    let mut pool = pool_with(&["a", "b"]);
+    let mut pool = pool_with_vms(&["a", "b"]);
     pool.submit(JOB, advised_job(), at(0));
     let orders = pool.plan(at(10));
     expect_that!(starts(&orders), is_empty());
@@ -52,7 +52,7 @@
 
 #[gtest]
 fn an_expired_ticket_is_not_used_and_is_requested_again() {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     pool.submit(JOB, advised_job(), at(0));
     let requests = advice_requests(&pool.plan(at(10)));
     let good = vec![(requests[0].vms[0].clone(), "t-1".to_owned())];
@@ -64,7 +64,7 @@
 
 #[gtest]
 fn an_unanswered_advice_request_is_repeated_after_a_pause() {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     pool.submit(JOB, advised_job(), at(0));
     let requests = advice_requests(&pool.plan(at(10)));
     pool.apply_advice(requests[0].step, None, at(900));
@@ -74,7 +74,7 @@
 
 /// Returns a pool whose only VM runs a serving task, with a tail target of 100 ms, and a filling task, and the rows of both runs.
 fn pool_with_serving_and_filling_task() -> (Pool, Vec<RunRow>) {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     let serving = Step { lasting: true, tail_target_ms: 100, ..step(1, 500) };
     let filling = Step { fills: true, ..step(1, 3_000) };
     pool.submit(JOB, job(vec![serving]), at(0));
@@ -95,7 +95,7 @@
 fn filling_tasks_are_throttled_quickly_and_released_slowly() {
     let (mut pool, rows) = pool_with_serving_and_filling_task();
     let vm = common::vm("a", 1).id.clone();
-    expect_that!(pool.poll_reason(&vm), eq(thistle_schedule::pool::PollReason::Figures));
+    expect_that!(pool.poll_reason(&vm), eq(thistle_schedule::pool::PollReason::Metrics));
     pool.apply_report(&vm, &report(1_000, with_tail_latency(&rows, 95, 100), vec![]), at(1_000));
     expect_that!(throttle_percents(&pool.plan(at(1_000))), eq(&vec![25]));
     pool.apply_report(&vm, &report(1_600, with_tail_latency(&rows, 120, 25), vec![]), at(1_600));
@@ -108,7 +108,7 @@
 
 #[gtest]
 fn a_filling_task_avoids_vms_with_serving_tasks() {
-    let mut pool = pool_with(&["a", "b"]);
+    let mut pool = pool_with_vms(&["a", "b"]);
     let serving = Step { lasting: true, tail_target_ms: 100, ..step(1, 500) };
     let filling = Step { fills: true, ..step(1, 3_000) };
     pool.submit(JOB, job(vec![serving]), at(0));
--- a/crates/schedule/tests/pool.rs
+++ b/crates/schedule/tests/pool.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{
-    JOB, all_at_work, at, end, end_run, job, lasting, plan_and_start, pool_with, report, row,
-    starts, step, stops, vm,
+    JOB, at, end, end_run, job, lasting_step, plan_and_start, pool_with_vms, report,
+    report_all_running, row, starts, step, stops, vm,
 };
 use googletest::prelude::*;
 use thistle_schedule::pool::StartResult;
@@ -12,7 +12,7 @@
 
 #[gtest]
 fn a_step_waits_until_all_its_dependencies_are_done() {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     let second = Step { depends_on: vec![0], ..step(1, 500) };
     pool.submit(JOB, job(vec![step(2, 500), second]), at(0));
     let first = plan_and_start(&mut pool, 10);
@@ -30,7 +30,7 @@
 
 #[gtest]
 fn a_failed_task_is_retried_on_another_vm_and_then_abandoned() {
-    let mut pool = pool_with(&["a", "b"]);
+    let mut pool = pool_with_vms(&["a", "b"]);
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     let first = plan_and_start(&mut pool, 10);
     end_run(&mut pool, &first[0], EndKind::Failed, 20);
@@ -44,7 +44,7 @@
 
 #[gtest]
 fn a_stopped_run_does_not_count_as_failed_and_resumes_from_its_checkpoint() {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     for round in 1..=4 {
         let started = plan_and_start(&mut pool, round * 100);
@@ -59,7 +59,7 @@
 
 #[gtest]
 fn a_cancelled_job_is_stopped_and_starts_nothing_more() {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     pool.submit(JOB, job(vec![step(8, 1_000)]), at(0));
     let started = plan_and_start(&mut pool, 10);
     expect_that!(started, len(eq(4)));
@@ -72,7 +72,7 @@
 
 #[gtest]
 fn room_stays_reserved_for_unanswered_starts_and_unreported_ends() {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     pool.submit(JOB, job(vec![step(4, 1_000)]), at(0));
     let first = starts(&pool.plan(at(10)));
     expect_that!(first, len(eq(4)));
@@ -94,7 +94,7 @@
 
 #[gtest]
 fn a_report_older_than_the_answer_to_a_start_ends_no_run() {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     let started = plan_and_start(&mut pool, 100);
     pool.apply_report(&started[0].vm, &report(90, vec![], vec![]), at(110));
@@ -116,7 +116,7 @@
 
 #[gtest]
 fn nothing_starts_on_a_draining_or_cordoned_vm() {
-    let mut pool = pool_with(&["a", "b"]);
+    let mut pool = pool_with_vms(&["a", "b"]);
     pool.set_cordoned(["a".into()].into());
     let mut leaving = vm("b", 1).as_ref().clone();
     leaving.draining = true;
@@ -129,7 +129,7 @@
 
 #[gtest]
 fn an_unknown_run_is_stopped_and_nothing_starts_on_its_vm_until_it_ended() {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     let unknown_run = thistle_schedule::RunId {
         task: thistle_schedule::TaskId { job: JobId(9), time: 0, step: 0, index: 0 },
         attempt: 3,
@@ -150,7 +150,7 @@
 
 #[gtest]
 fn a_vm_that_fails_the_tasks_of_three_jobs_is_excluded_briefly() {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     for i in 0..3 {
         pool.submit(JobId(i), job(vec![step(1, 500)]), at(0));
     }
@@ -163,7 +163,7 @@
 
 #[gtest]
 fn repetitions_start_when_they_fall_due_and_may_overlap() {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     let mut spec = job(vec![step(1, 500)]).as_ref().clone();
     spec.repeats =
         Some(Repeats { count: 3, start_at_ms: spec.accepted_ms + 1_000, interval_ms: 500 });
@@ -184,7 +184,7 @@
 
 #[gtest]
 fn the_tasks_of_a_gang_start_all_together_or_not_at_all() {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     let gang = Step { gang: true, ..step(5, 1_000) };
     pool.submit(JOB, job(vec![gang]), at(0));
     expect_that!(starts(&pool.plan(at(10))), is_empty());
@@ -198,7 +198,7 @@
 
 #[gtest]
 fn a_job_that_fits_on_no_vm_is_not_started_and_requests_no_vms() {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     pool.submit(JOB, job(vec![step(1, 64_000)]), at(0));
     expect_that!(starts(&pool.plan(at(10))), is_empty());
     expect_that!(pool.load(at(10)).waiting_cpu, eq(0));
@@ -208,14 +208,14 @@
 /// as a second task of its step would then be stopped too.
 #[gtest]
 fn a_task_ordered_to_stop_counts_as_missing_while_it_is_still_reported() {
-    let mut pool = pool_with(&["a", "b", "c", "d"]);
-    pool.submit(JOB, job(vec![lasting(2, 1)]), at(0));
+    let mut pool = pool_with_vms(&["a", "b", "c", "d"]);
+    pool.submit(JOB, job(vec![lasting_step(2, 1)]), at(0));
     let started = plan_and_start(&mut pool, 10);
-    all_at_work(&mut pool, &started, 20);
+    report_all_running(&mut pool, &started, 20);
     let names = started.iter().map(|s| s.vm.id()[2..3].into()).collect();
     pool.set_cordoned(names);
     expect_that!(stops(&pool.plan(at(30))), len(eq(1)));
-    all_at_work(&mut pool, &started, 40);
+    report_all_running(&mut pool, &started, 40);
     expect_that!(stops(&pool.plan(at(50))), is_empty());
 }
 
@@ -223,10 +223,10 @@
 /// is stopped, and more tasks are missing than the step allows.
 #[gtest]
 fn a_task_on_an_unreachable_vm_counts_as_missing() {
-    let mut pool = pool_with(&["a", "b", "c", "d"]);
-    pool.submit(JOB, job(vec![lasting(2, 1)]), at(0));
+    let mut pool = pool_with_vms(&["a", "b", "c", "d"]);
+    pool.submit(JOB, job(vec![lasting_step(2, 1)]), at(0));
     let started = plan_and_start(&mut pool, 10);
-    all_at_work(&mut pool, &started, 20);
+    report_all_running(&mut pool, &started, 20);
     pool.set_reachable(&started[0].vm, false, at(20));
     pool.set_cordoned([started[1].vm.id()[2..3].into()].into());
     expect_that!(stops(&pool.plan(at(30))), is_empty());
@@ -236,8 +236,8 @@
 
 #[gtest]
 fn a_lasting_task_is_restarted_however_it_ends() {
-    let mut pool = pool_with(&["a", "b"]);
-    pool.submit(JOB, job(vec![lasting(1, 1)]), at(0));
+    let mut pool = pool_with_vms(&["a", "b"]);
+    pool.submit(JOB, job(vec![lasting_step(1, 1)]), at(0));
     for (i, kind) in (1..).zip([EndKind::Done, EndKind::Failed, EndKind::Failed, EndKind::Lapsed]) {
         let started = plan_and_start(&mut pool, i * 100);
         expect_that!(started, len(eq(1)));
@@ -248,7 +248,7 @@
 
 #[gtest]
 fn tasks_are_packed_so_that_vms_become_idle() {
-    let mut pool = pool_with(&["a", "b", "c"]);
+    let mut pool = pool_with_vms(&["a", "b", "c"]);
     for i in 0..4 {
         pool.submit(JobId(i), job(vec![step(1, 1_000)]), at(0));
     }
@@ -259,7 +259,7 @@
 
 #[gtest]
 fn ends_are_acknowledged_only_after_their_records_were_taken_for_writing() {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     let started = plan_and_start(&mut pool, 10);
     expect_that!(pool.take_acks(), is_empty());
@@ -271,7 +271,7 @@
 
 #[gtest]
 fn a_start_rejected_by_an_unhealthy_vm_is_retried_on_another_vm() {
-    let mut pool = pool_with(&["a", "b"]);
+    let mut pool = pool_with_vms(&["a", "b"]);
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     let first = starts(&pool.plan(at(10)));
     pool.apply_start_result(&first[0].vm, first[0].run, StartResult::Unhealthy, at(20));
@@ -284,10 +284,10 @@
 /// which takes two seconds each.
 #[gtest]
 fn all_lasting_tasks_are_stopped_at_once_on_a_draining_vm() {
-    let mut pool = pool_with(&["a"]);
-    pool.submit(JOB, job(vec![Step { anti_affinity: 0, ..lasting(3, 1) }]), at(0));
+    let mut pool = pool_with_vms(&["a"]);
+    pool.submit(JOB, job(vec![Step { anti_affinity: 0, ..lasting_step(3, 1) }]), at(0));
     let started = plan_and_start(&mut pool, 10);
-    all_at_work(&mut pool, &started, 20);
+    report_all_running(&mut pool, &started, 20);
     let facts = vm("b", 1);
     pool.list_vm(facts.clone());
     pool.apply_report(&facts.id, &VmReport::default(), at(30));
@@ -299,9 +299,9 @@
 
 #[gtest]
 fn tasks_of_one_lasting_step_are_spread_and_those_of_different_jobs_packed() {
-    let mut pool = pool_with(&["a", "b", "c", "d"]);
+    let mut pool = pool_with_vms(&["a", "b", "c", "d"]);
     for i in 0..2 {
-        pool.submit(JobId(i), job(vec![Step { anti_affinity: 0, ..lasting(2, 1) }]), at(0));
+        pool.submit(JobId(i), job(vec![Step { anti_affinity: 0, ..lasting_step(2, 1) }]), at(0));
     }
     let started = plan_and_start(&mut pool, 10);
     let vms: std::collections::BTreeSet<_> = started.iter().map(|s| s.vm.clone()).collect();
@@ -315,7 +315,7 @@
 
 #[gtest]
 fn a_task_whose_vm_is_lost_resumes_from_its_last_reported_checkpoint() {
-    let mut pool = pool_with(&["a", "b"]);
+    let mut pool = pool_with_vms(&["a", "b"]);
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     let started = plan_and_start(&mut pool, 10);
     let mut running = row(started[0].run, 100);
@@ -328,7 +328,7 @@
 
 #[gtest]
 fn all_members_of_a_gang_resume_from_the_same_checkpoint() {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     pool.submit(JOB, job(vec![Step { gang: true, ..step(2, 500) }]), at(0));
     let started = plan_and_start(&mut pool, 10);
     let mut broken = end(1, started[0].run, EndKind::Broken);
@@ -343,7 +343,7 @@
 /// as it would then keep idle VMs for them.
 #[gtest]
 fn tasks_on_cordoned_vms_do_not_count_as_need_of_their_pool() {
-    let mut pool = pool_with(&["a", "b"]);
+    let mut pool = pool_with_vms(&["a", "b"]);
     pool.submit(JOB, job(vec![step(1, 1_500)]), at(0));
     let started = plan_and_start(&mut pool, 10);
     expect_that!(pool.load(at(20)).used_cpu, eq(1_500));
@@ -353,7 +353,7 @@
 
 #[gtest]
 fn a_task_that_fits_on_no_vm_does_not_block_smaller_ones() {
-    let mut pool = pool_with(&["a", "b"]);
+    let mut pool = pool_with_vms(&["a", "b"]);
     pool.submit(JOB, job(vec![step(2, 3_500)]), at(0));
     plan_and_start(&mut pool, 10);
     // Each VM has half a core (500 thousandths) left.
--- a/crates/schedule/tests/quota_world/mod.rs
+++ b/crates/schedule/tests/quota_world/mod.rs
@@ -345,7 +345,7 @@
         }
         for usage in reports {
             let delay = if self.has_faults { self.rng.random_range(1..60) } else { 1 };
-            // Some reports never arrive. The owner learns of that, unless it has been replaced by then.
+            // Some reports never arrive. The owner notices the loss, unless it has been replaced.
             if self.has_faults && self.rng.random_bool(0.1) {
                 self.owners[pool].ledger.forget_reported();
                 continue;
--- a/crates/schedule/tests/retry_backoff.rs
+++ b/crates/schedule/tests/retry_backoff.rs
@@ -9,8 +9,10 @@
 
 use std::sync::Arc;
 
-use common::{JOB, at, end_run, job, lasting, plan_and_start, pool_with, report, row, step};
-use fleet_common::{emptied, fleet};
+use common::{
+    JOB, at, end_run, job, lasting_step, plan_and_start, pool_with_vms, report, row, step,
+};
+use fleet_common::{emptied_report, fleet};
 use googletest::prelude::*;
 use thistle_schedule::fleet::OrderOutcome;
 use thistle_schedule::job_log::{encode, submit_key};
@@ -18,8 +20,8 @@
 
 #[gtest]
 fn a_lasting_task_that_fails_at_once_is_restarted_after_growing_pauses() {
-    let mut pool = pool_with(&["a", "b", "c"]);
-    pool.submit(JOB, job(vec![lasting(1, 1)]), at(0));
+    let mut pool = pool_with_vms(&["a", "b", "c"]);
+    pool.submit(JOB, job(vec![lasting_step(1, 1)]), at(0));
     let mut starts = Vec::new();
     for now in (10..20_000).step_by(100) {
         for start in plan_and_start(&mut pool, now) {
@@ -42,7 +44,7 @@
 fn a_rejected_order_is_repeated_after_growing_pauses() {
     let mut fleet = fleet(&["a"], 1);
     fleet.plan(0);
-    fleet.set_report(&"desk".into(), emptied(&["a"]), 10);
+    fleet.set_report(&"desk".into(), emptied_report(&["a"]), 10);
     let mut orders = Vec::new();
     for now in (20..20_000).step_by(100) {
         for order in fleet.plan(now) {
@@ -55,13 +57,13 @@
     expect_that!(pauses.max(), some(le(2_000)), "a wave has a deadline: {orders:?}");
 }
 
-/// A job with a thousand million repetitions due at once was expanded in full by each owner in turn: it exhausted the
+/// A job with a thousand million repetitions due at once was expanded in full by one owner after the other: it exhausted the
 /// memory of the node, and the next node took over the pool and the job.
 #[gtest]
 fn a_job_with_many_repetitions_due_at_once_uses_bounded_memory() {
     let repeats = Some(Repeats { count: 20_000, start_at_ms: 0, interval_ms: 1 });
     let spec = Arc::new(JobSpec { repeats, ..job(vec![step(2, 500)]).as_ref().clone() });
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     pool.submit(JOB, spec, at(0));
     let mut started = plan_and_start(&mut pool, 10);
     let waiting = pool.load(at(10)).waiting;
--- a/crates/schedule/tests/room.rs
+++ b/crates/schedule/tests/room.rs
@@ -1,12 +1,12 @@
 //! The room of a VM that shrinks and grows while the VM runs.
 //!
 //! The room that a VM reports applies from a few seconds after it changed. A start that was decided before and that the VM had
-//! not answered was resent for up to the length of a lease, and could then exceed the room that the VM had by then. A VM that
-//! rejected a start for lack of room was asked again every half second.
+//! not answered was resent for up to the length of a lease, and could then exceed the room that the VM had when it arrived. A VM that
+//! rejected a start for lack of room received the order again every half second.
 
 mod common;
 
-use common::{JOB, at, job, plan_and_start, pool_with, report, row, starts, step, stops, vm};
+use common::{JOB, at, job, plan_and_start, pool_with_vms, report, row, starts, step, stops, vm};
 use googletest::prelude::*;
 use std::sync::Arc;
 use thistle_schedule::pool::StartResult;
@@ -19,7 +19,7 @@
 
 /// Returns a pool of one VM of four cores and a job of four tasks of one core each.
 fn full_pool() -> Pool {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     pool.submit(JOB, job(vec![step(4, 1_000)]), at(0));
     pool
 }
@@ -74,7 +74,7 @@
 }
 #[gtest]
 fn a_vm_that_rejects_starts_is_retried_after_growing_pauses() {
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     pool.submit(JOB, job(vec![step(1, 1_000)]), at(0));
     let mut attempts = 0;
     for now in (0..8_000).step_by(100) {
--- a/crates/schedule/tests/shares.rs
+++ b/crates/schedule/tests/shares.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use common::{WALL, at, end, job, pool_with, report, starts, step, vm};
+use common::{WALL_CLOCK_MS, at, end, job, pool_with_vms, report, starts, step, vm};
 use thistle_schedule::policy::SharePolicy;
 use thistle_schedule::pool::StartResult;
 use thistle_schedule::{
@@ -63,7 +63,7 @@
         let one = job(vec![step(1, 1_000)]);
         let spec = JobSpec {
             workspace: format!("w{workspace}"),
-            accepted_ms: WALL + now,
+            accepted_ms: WALL_CLOCK_MS + now,
             ..one.as_ref().clone()
         };
         self.pool.submit(id, Arc::new(spec), at(now));
@@ -132,7 +132,7 @@
 
 #[test]
 fn a_workspace_keeps_its_share_however_much_it_submits() {
-    let mut pool = pool_with(&["a"]).with_name("desk".into());
+    let mut pool = pool_with_vms(&["a"]).with_name("desk".into());
     let workspace =
         Workspace { name: "w".into(), weight: 1, cap: Room::default(), limited_since: 0 };
     pool.set_workspaces(1, &[workspace]);
--- a/crates/schedule/tests/takeover.rs
+++ b/crates/schedule/tests/takeover.rs
@@ -3,7 +3,8 @@
 mod common;
 
 use common::{
-    JOB, at, end, job, lasting, plan_and_start, pool_with, report, row, starts, step, stops, vm,
+    JOB, at, end, job, lasting_step, plan_and_start, pool_with_vms, report, row, starts, step,
+    stops, vm,
 };
 use googletest::prelude::*;
 use thistle_schedule::job_log::{
@@ -39,7 +40,7 @@
 #[gtest]
 fn running_work_is_taken_over_and_not_started_again() {
     let spec = job(vec![step(1, 500)]);
-    let mut before = pool_with(&["a"]);
+    let mut before = pool_with_vms(&["a"]);
     before.submit(JOB, spec.clone(), at(0));
     let started = starts(&before.plan(at(10)));
     let entry = entry_of(&mut before, &spec);
@@ -57,8 +58,8 @@
 
 #[gtest]
 fn a_lasting_task_that_was_taken_over_leaves_a_vm_that_is_to_be_emptied() {
-    let spec = job(vec![lasting(1, 1)]);
-    let mut before = pool_with(&["a"]);
+    let spec = job(vec![lasting_step(1, 1)]);
+    let mut before = pool_with_vms(&["a"]);
     before.submit(JOB, spec.clone(), at(0));
     let run = starts(&before.plan(at(10)))[0].run;
     let entry = entry_of(&mut before, &spec);
@@ -74,8 +75,8 @@
 /// owner, of which there is no record.
 #[gtest]
 fn a_new_owner_moves_nothing_while_stops_of_the_previous_owner_may_be_in_flight() {
-    let spec = job(vec![lasting(2, 1)]);
-    let mut before = pool_with(&["a", "b"]);
+    let spec = job(vec![lasting_step(2, 1)]);
+    let mut before = pool_with_vms(&["a", "b"]);
     before.submit(JOB, spec.clone(), at(0));
     let runs = starts(&before.plan(at(10)));
     let entry = entry_of(&mut before, &spec);
@@ -90,22 +91,22 @@
         after.apply_report(&vm(name, 1).id, &VmReport::default(), at(150));
     }
     after.set_cordoned([std::sync::Arc::from("a"), std::sync::Arc::from("b")].into());
-    let mut all_at_work = |now| {
+    let mut stops_with_all_running = |now| {
         for start in &runs {
             let rows = vec![row(start.run, 100)];
             after.apply_report(&start.vm, &report(now, rows, vec![]), at(now));
         }
         stops(&after.plan(at(now)))
     };
-    expect_that!(all_at_work(200), is_empty());
-    expect_that!(all_at_work(1_400), is_empty());
-    expect_that!(all_at_work(1_700), len(eq(1)), "one at a time from then on");
+    expect_that!(stops_with_all_running(200), is_empty());
+    expect_that!(stops_with_all_running(1_400), is_empty());
+    expect_that!(stops_with_all_running(1_700), len(eq(1)), "one at a time from then on");
 }
 
 #[gtest]
 fn an_order_that_was_recorded_but_never_sent_is_ordered_again() {
     let spec = job(vec![step(1, 500)]);
-    let mut before = pool_with(&["a"]);
+    let mut before = pool_with_vms(&["a"]);
     before.submit(JOB, spec.clone(), at(0));
     let lost = starts(&before.plan(at(10)));
     let entry = entry_of(&mut before, &spec);
@@ -122,7 +123,7 @@
 #[gtest]
 fn a_task_on_a_vm_that_is_gone_waits_until_the_lease_of_that_vm_has_expired() {
     let spec = job(vec![step(1, 500)]);
-    let mut before = pool_with(&["a"]);
+    let mut before = pool_with_vms(&["a"]);
     before.submit(JOB, spec.clone(), at(0));
     before.plan(at(10));
     let entry = entry_of(&mut before, &spec);
@@ -140,7 +141,7 @@
 #[gtest]
 fn failures_counted_by_the_previous_owner_still_count() {
     let spec = job(vec![step(1, 500)]);
-    let mut before = pool_with(&["a"]);
+    let mut before = pool_with_vms(&["a"]);
     before.submit(JOB, spec.clone(), at(0));
     let started = plan_and_start(&mut before, 10);
     common::end_run(&mut before, &started[0], EndKind::Failed, 20);
@@ -184,7 +185,7 @@
     expect_that!(log.apply(&submit_key(JOB), Some(&value)).is_ok(), eq(true));
     expect_that!(log.get(JOB).and_then(JobEntry::state), some(eq(JobState::Cancelled)));
 
-    let mut pool = pool_with(&["a"]);
+    let mut pool = pool_with_vms(&["a"]);
     let entry = log.get(JOB).cloned().unwrap_or_default();
     pool.adopt(JOB, &entry, at(0));
     expect_that!(starts(&pool.plan(at(10))), is_empty());
@@ -203,7 +204,7 @@
 #[gtest]
 fn failed_attempts_of_a_gang_still_count_and_count_once_for_all_members() {
     let spec = job(vec![thistle_schedule::Step { gang: true, ..step(2, 500) }]);
-    let mut before = pool_with(&["a"]);
+    let mut before = pool_with_vms(&["a"]);
     before.submit(JOB, spec.clone(), at(0));
     let started = plan_and_start(&mut before, 10);
     let both =
@@ -228,8 +229,8 @@
 /// were not repeated.
 #[gtest]
 fn a_run_that_was_ordered_to_stop_and_is_still_listed_is_stopped_again() {
-    let spec = job(vec![common::lasting(1, 1)]);
-    let mut before = pool_with(&["a"]);
+    let spec = job(vec![common::lasting_step(1, 1)]);
+    let mut before = pool_with_vms(&["a"]);
     before.submit(JOB, spec.clone(), at(0));
     let started = plan_and_start(&mut before, 10);
     let mut entry = JobEntry { spec: Some(spec), cancelled: true, ..JobEntry::default() };
@@ -259,11 +260,11 @@
 /// VM is reopened before the stop is answered.
 #[gtest]
 fn an_unknown_run_that_is_still_listed_is_stopped_again() {
-    let mut before = pool_with(&["a"]);
-    before.submit(JOB, job(vec![lasting(1, 1)]), at(0));
+    let mut before = pool_with_vms(&["a"]);
+    before.submit(JOB, job(vec![lasting_step(1, 1)]), at(0));
     let run = plan_and_start(&mut before, 10)[0].run;
 
-    let mut after = pool_with(&["a"]);
+    let mut after = pool_with_vms(&["a"]);
     let listed = report(150, vec![row(run, 100)], vec![]);
     after.apply_report(&vm("a", 1).id, &listed, at(150));
     expect_that!(stops(&after.plan(at(150))), eq(&vec![run]));
--- a/crates/schedule/tests/unclear.rs
+++ b/crates/schedule/tests/unclear.rs
@@ -7,13 +7,13 @@
 
 mod common;
 
-use common::{JOB, at, job, pool_with, report, starts, step, stops};
+use common::{JOB, at, job, pool_with_vms, report, starts, step, stops};
 use googletest::prelude::*;
 use thistle_schedule::pool::StartResult;
 
 #[gtest]
 fn a_task_whose_start_may_still_arrive_waits_until_its_run_is_barred() {
-    let mut pool = pool_with(&["a", "b"]);
+    let mut pool = pool_with_vms(&["a", "b"]);
     pool.submit(JOB, job(vec![step(1, 1_000)]), at(0));
     let first = starts(&pool.plan(at(10))).pop().expect("there is room");
     pool.apply_start_result(&first.vm, first.run, StartResult::Unclear, at(200));
--- a/crates/schedule/tests/world/mod.rs
+++ b/crates/schedule/tests/world/mod.rs
@@ -22,7 +22,7 @@
 use self::in_flight::InFlightOrder;
 use self::twice::{OrderSource, Runs};
 use self::vm::{Run, SimVm};
-use crate::common::{at, job, lasting, step, vm as vm_facts};
+use crate::common::{at, job, lasting_step, step, vm as vm_facts};
 
 /// The simulated milliseconds of one tick.
 const TICK: Ms = 50;
@@ -120,7 +120,7 @@
         let is_lasting = |steps: &&Vec<Step>| steps[0].lasting;
         let enough_lasting = self.steps.values().filter(is_lasting).count() >= 3;
         let steps = match self.rng.random_range(0..5) {
-            0 if !enough_lasting => vec![lasting(2, 1)],
+            0 if !enough_lasting => vec![lasting_step(2, 1)],
             1 => vec![Step { gang: true, ..step(2, 1_000) }],
             _ => {
                 let second = Step { depends_on: vec![0], ..step(width, 900) };
--- a/crates/scheduler/src/control/mod.rs
+++ b/crates/scheduler/src/control/mod.rs
@@ -212,7 +212,7 @@
     }
     let fleet = format!("{OWNER_PREFIX}{FLEET}");
     let (fleet, pools): (Vec<_>, Vec<_>) = records.into_iter().partition(|r| r.key == fleet);
-    // Orders to the machine service that are in flight are answered by then.
+    // Orders to the machine service that are in flight are answered within this time.
     let release_fleet = async {
         tokio::time::sleep(LAST_ORDERS_WAIT).await;
         release(node, &fleet).await;
--- a/crates/scheduler/src/follow.rs
+++ b/crates/scheduler/src/follow.rs
@@ -55,7 +55,7 @@
     }
 
     /// Returns when the latest read that reached the end of the partition was sent: all records that the store had written
-    /// by then are known.
+    /// before that time are known.
     pub const fn read_at(&self) -> Option<Ms> {
         self.read_at
     }
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -138,8 +138,8 @@
         lock(&self.pools).values().cloned().collect()
     }
 
-    /// Records when the latest fully applied read of the operator's requests was sent: all requests that the store had by then
-    /// are in force.
+    /// Records when the latest fully applied read of the operator's requests was sent: all requests that the store had at that
+    /// time are in force.
     pub fn record_operator_read(&self, sent_at: Option<Ms>) {
         self.operator_read_at.fetch_max(sent_at.unwrap_or(0), Ordering::Relaxed);
     }
--- a/crates/scheduler/src/owner/link/mod.rs
+++ b/crates/scheduler/src/owner/link/mod.rs
@@ -34,7 +34,7 @@
 /// four runs).
 const ENDS_WAIT: Duration = Duration::from_millis(500);
 /// How long a call waits where serving and filling tasks run on the same VM, whose metrics cover the last half second.
-const FIGURES_WAIT: Duration = Duration::from_millis(400);
+const METRICS_WAIT: Duration = Duration::from_millis(400);
 /// The most orders of one kind that are in flight to one VM.
 const MAX_ORDERS_IN_FLIGHT: usize = 2;
 
@@ -159,7 +159,7 @@
     /// Sets how often the VM is polled while no run ends.
     pub fn set_poll_reason(&self, reason: PollReason) {
         let wait = match reason {
-            PollReason::Figures => FIGURES_WAIT,
+            PollReason::Metrics => METRICS_WAIT,
             PollReason::Ends => ENDS_WAIT,
             PollReason::Lease => LEASE_WAIT,
         };
--- a/crates/scheduler/src/readiness.rs
+++ b/crates/scheduler/src/readiness.rs
@@ -1,4 +1,4 @@
-//! The readiness endpoint, which tells the balancer whether this node accepts new connections.
+//! The readiness endpoint, which reports to the balancer whether this node accepts new connections.
 
 use std::convert::Infallible;
 use std::sync::Arc;
--- a/crates/scheduler/tests/relay.rs
+++ b/crates/scheduler/tests/relay.rs
@@ -21,7 +21,7 @@
     for node in &system.nodes {
         wait_until("a node is ready", || node.is_ready()).await;
     }
-    // The nodes learn of each other.
+    // The nodes receive the heartbeats of each other.
     tokio::time::sleep(Duration::from_secs(3)).await;
     (system, endpoint)
 }
--- a/crates/scheduler/tests/slow_links.rs
+++ b/crates/scheduler/tests/slow_links.rs
@@ -49,7 +49,7 @@
     let endpoint = endpoint.expect("the endpoint opens");
     system.add_node_at(system::ip(51, 11), endpoint.addr);
     wait_until("the second node is ready", || system.nodes[1].is_ready()).await;
-    // The nodes learn of each other.
+    // The nodes receive the heartbeats of each other.
     tokio::time::sleep(Duration::from_secs(3)).await;
     endpoint.set_fault(Fault::Busy);
     // Earlier reads through the endpoint are answered.
--- a/crates/scheduler/tests/slow_onset.rs
+++ b/crates/scheduler/tests/slow_onset.rs
@@ -29,7 +29,7 @@
 }
 
 /// The store becomes 72 times as slow, and the queue of the first partition is full. If every node whose append times out
-/// there tries the fallback partition, that queue fills too. Jobs handed over to the pool's owner then wait behind it for two
+/// there tries the fallback partition, that queue fills too. Jobs forwarded to the pool's owner then wait behind it for two
 /// seconds, and jobs that get no place in the queue within a second are refused (503). So only the owner may use the fallback
 /// partition.
 #[gtest]
@@ -38,7 +38,7 @@
     let system = System::start(49, 1, 2).await;
     wait_until("the pool has an owner", async || system.owner().is_some()).await;
     let owner = system.owner().expect("it has one");
-    // The nodes learn of each other.
+    // The nodes receive the heartbeats of each other.
     tokio::time::sleep(Duration::from_secs(3)).await;
     system.platform.store.set_fault(Fault::Slow);
     // The jobs wait behind a queue of 1.5 s.
--- a/crates/scheduler/tests/soak.rs
+++ b/crates/scheduler/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A randomized soak test: injects faults into real node processes and checks the platform's promises by what callers
+//! A randomized soak test: injects faults into real node processes and checks the platform's guarantees by what callers
 //! and VMs see.
 //!
 //! A seed determines the schedule of faults. `THISTLE_SOAK_SEEDS=100..150 THISTLE_SOAK_SECONDS=20 cargo test --release -p
@@ -109,56 +109,56 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_whatever_fails() {
+async fn guarantees_hold_whatever_fails() {
     for seed in seeds() {
         run_seed(seed, Kind::Faults).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn planned_work_cuts_no_request() {
+async fn planned_work_leaves_no_request_unanswered() {
     for seed in seeds_or_default(PLANNED_SEEDS) {
         run_seed(seed, Kind::PlannedWork).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_where_most_nodes_read_no_pool() {
+async fn guarantees_hold_where_most_nodes_read_no_pool() {
     for seed in seeds_or_default(MANY_NODES_SEEDS) {
         run_seed(seed, Kind::FaultsOfMany).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_beside_jobs_that_crash_their_vms() {
+async fn guarantees_hold_beside_jobs_that_crash_their_vms() {
     for seed in seeds_or_default(CRASHING_JOB_SEEDS) {
         run_seed(seed, Kind::CrashingJobs).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_beside_a_cap_that_changes() {
+async fn guarantees_hold_beside_a_cap_that_changes() {
     for seed in seeds_or_default(CAP_SEEDS) {
         run_seed(seed, Kind::Cap).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_beside_bursts_of_work() {
+async fn guarantees_hold_beside_bursts_of_work() {
     for seed in seeds_or_default(BURST_SEEDS) {
         run_seed(seed, Kind::Bursts).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_when_vms_start_again_under_their_ids() {
+async fn guarantees_hold_when_vms_restart_under_their_ids() {
     for seed in seeds_or_default(RESTART_SEEDS) {
         run_seed(seed, Kind::Restarts).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_when_halls_are_evacuated() {
+async fn guarantees_hold_when_halls_are_evacuated() {
     for seed in seeds_or_default(EVACUATION_SEEDS) {
         run_seed(seed, Kind::Evacuations).await;
     }
@@ -167,7 +167,7 @@
 /// Run by hand: `cargo test --release -p thistle-scheduler --test soak many_processes -- --ignored --nocapture`.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 #[ignore = "starts as many processes as a machine can run with nothing else on it"]
-async fn promises_hold_with_many_processes() {
+async fn guarantees_hold_with_many_processes() {
     for seed in seeds_or_default(MANY_PROCESSES_SEEDS) {
         run_seed(seed, Kind::ManyProcesses).await;
     }
@@ -286,12 +286,12 @@
     let mut jobs = callers.stop().await;
     soak.wait_until_settled(&jobs).await;
     jobs.extend(soak.crashing_jobs());
-    let mut broken = checks::broken_promises(&soak.system, &jobs);
+    let mut broken = checks::broken_guarantees(&soak.system, &jobs);
     broken.extend(soak.started_too_often());
     broken.extend(soak.starts_over_cap());
     broken.extend(soak.starts_in_evacuated_halls());
     if kind == Kind::PlannedWork {
-        broken.extend(checks::cut_requests(&soak.system, &jobs));
+        broken.extend(checks::unanswered_requests(&soak.system, &jobs));
     }
     let tries = jobs.iter().flat_map(|job| &job.tries);
     let unanswered = tries.filter(|(_, answered)| !answered).count();
--- a/crates/scheduler/tests/soak/caps.rs
+++ b/crates/scheduler/tests/soak/caps.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use thistle_platform::standin::RunEventKind;
 
-use super::checks::BrokenPromise;
+use super::checks::BrokenGuarantee;
 use super::faults::Soak;
 use super::system::wait_until;
 
@@ -51,7 +51,7 @@
     }
 
     /// Returns the starts that exceeded the highest cap that may have been in force by more than a tenth and one task.
-    pub fn starts_over_cap(&self) -> Vec<BrokenPromise> {
+    pub fn starts_over_cap(&self) -> Vec<BrokenGuarantee> {
         let mut changes: Vec<(Instant, String, i64)> = Vec::new();
         for history in self.system.platform.machines.histories() {
             for event in history {
@@ -71,7 +71,7 @@
             running += change;
             let most = f64::from(self.max_cap_at(at)) * 1.1 + f64::from(TASK_CPU);
             if change > 0 && running as f64 * f64::from(TASK_CPU) > most {
-                broken.push(BrokenPromise::OverCap { run, running });
+                broken.push(BrokenGuarantee::OverCap { run, running });
             }
         }
         broken
--- a/crates/scheduler/tests/soak/checks.rs
+++ b/crates/scheduler/tests/soak/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of the platform's promises, by the answers that callers received and the runs that VMs recorded.
+//! Checks of the platform's guarantees, by the answers that callers received and the runs that VMs recorded.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -8,10 +8,10 @@
 use super::callers::{Job, SubmitOutcome};
 use super::system::System;
 
-/// A broken promise.
+/// A broken guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[allow(dead_code, reason = "the fields are printed when a run fails")]
-pub enum BrokenPromise {
+pub enum BrokenGuarantee {
     /// A task ran although every try to submit its job was refused.
     RefusedButRun { task: String },
     /// Two runs of one task overlapped.
@@ -31,7 +31,7 @@
     /// A task was started in a data hall when its evacuation had to be in force.
     InEvacuatedHall { run: String, hall: &'static str, after: Duration },
     /// A node accepted a request and did not answer it, although there was only planned work.
-    Cut { job: String, node: usize },
+    Unanswered { job: String, node: usize },
 }
 
 /// When the end of a run was acknowledged, relative to a later start of its task.
@@ -52,27 +52,27 @@
     lease_expired_unacknowledged: bool,
 }
 
-pub fn broken_promises(system: &System, jobs: &[Job]) -> Vec<BrokenPromise> {
+pub fn broken_guarantees(system: &System, jobs: &[Job]) -> Vec<BrokenGuarantee> {
     let runs = runs_by_task(system.platform.machines.histories());
     let mut broken = Vec::new();
     for (task, runs) in &runs {
         let id = task.split('.').next().unwrap_or_default();
         match jobs.iter().find(|job| job.id == id) {
-            None => broken.push(BrokenPromise::NotSubmitted { task: task.clone() }),
+            None => broken.push(BrokenGuarantee::NotSubmitted { task: task.clone() }),
             Some(job) if job.outcome == SubmitOutcome::Refused => {
-                broken.push(BrokenPromise::RefusedButRun { task: task.clone() });
+                broken.push(BrokenGuarantee::RefusedButRun { task: task.clone() });
             }
             Some(_) => (),
         }
-        broken.extend(promises_broken_by_runs(task, runs));
+        broken.extend(guarantees_broken_by_runs(task, runs));
     }
     for job in jobs {
         if job.denied {
-            broken.push(BrokenPromise::Denied { job: job.id.clone() });
+            broken.push(BrokenGuarantee::Denied { job: job.id.clone() });
         }
         let ran = runs.keys().filter(|task| task.starts_with(&job.id)).count();
         if job.outcome == SubmitOutcome::Accepted && !job.cancelled && ran < job.tasks {
-            broken.push(BrokenPromise::NotRun { job: job.id.clone() });
+            broken.push(BrokenGuarantee::NotRun { job: job.id.clone() });
         }
     }
     broken
@@ -80,22 +80,22 @@
 
 /// Returns the requests that a node accepted, according to its log, and did not answer. A request that a node never
 /// read, because it closed the idle connection at the same moment, does not count.
-pub fn cut_requests(system: &System, jobs: &[Job]) -> Vec<BrokenPromise> {
+pub fn unanswered_requests(system: &System, jobs: &[Job]) -> Vec<BrokenGuarantee> {
     let logs: Vec<String> = system.nodes.iter().map(super::system::Node::log).collect();
-    let mut cut = Vec::new();
+    let mut unanswered = Vec::new();
     for job in jobs {
         let accept_line = format!("accept id={} ", job.id);
         for (node, log) in logs.iter().enumerate() {
             let answered = job.tries.iter().filter(|&&(n, answered)| n == node && answered).count();
             if log.matches(&accept_line).count() > answered {
-                cut.push(BrokenPromise::Cut { job: job.id.clone(), node });
+                unanswered.push(BrokenGuarantee::Unanswered { job: job.id.clone(), node });
             }
         }
     }
-    cut
+    unanswered
 }
 
-fn promises_broken_by_runs(task: &str, runs: &[Run]) -> Vec<BrokenPromise> {
+fn guarantees_broken_by_runs(task: &str, runs: &[Run]) -> Vec<BrokenGuarantee> {
     let mut broken = Vec::new();
     for (i, run) in runs.iter().enumerate() {
         let at_once = |other: &Run| {
@@ -103,12 +103,12 @@
                 && other.ended_at.is_none_or(|ended_at| ended_at > run.started_at)
         };
         if runs[..i].iter().any(at_once) {
-            broken.push(BrokenPromise::TwoAtOnce { task: task.to_owned() });
+            broken.push(BrokenGuarantee::TwoAtOnce { task: task.to_owned() });
         }
         if let Some(acknowledged) =
             runs.iter().find_map(|other| acknowledgement_of_earlier_run(other, run))
         {
-            broken.push(BrokenPromise::RunAgain { task: task.to_owned(), acknowledged });
+            broken.push(BrokenGuarantee::RunAgain { task: task.to_owned(), acknowledged });
         }
     }
     broken
@@ -182,8 +182,8 @@
 
     const TASK: &str = "00000001.0.0.0";
 
-    /// Returns the promises broken by these events on one VM and a start of the same task on another VM after 30 ms.
-    fn promises_broken_after(first: &[(u64, RunEventKind)]) -> Vec<BrokenPromise> {
+    /// Returns the guarantees broken by these events on one VM and a start of the same task on another VM after 30 ms.
+    fn guarantees_broken_after(first: &[(u64, RunEventKind)]) -> Vec<BrokenGuarantee> {
         let first_event = Instant::now();
         let at = |&(ms, ref step): &(u64, RunEventKind), attempt| RunEvent {
             at: first_event + Duration::from_millis(ms),
@@ -195,7 +195,7 @@
         let first = first.iter().map(|step| at(step, 1)).collect();
         let second = vec![at(&(30, RunEventKind::Started), 2)];
         let runs = runs_by_task(vec![first, second]);
-        runs.iter().flat_map(|(task, runs)| promises_broken_by_runs(task, runs)).collect()
+        runs.iter().flat_map(|(task, runs)| guarantees_broken_by_runs(task, runs)).collect()
     }
 
     fn done() -> RunEventKind {
@@ -206,13 +206,13 @@
         RunEventKind::Acknowledged("done".to_owned())
     }
 
-    fn run_again(acknowledged: AckTiming) -> BrokenPromise {
-        BrokenPromise::RunAgain { task: TASK.to_owned(), acknowledged }
+    fn run_again(acknowledged: AckTiming) -> BrokenGuarantee {
+        BrokenGuarantee::RunAgain { task: TASK.to_owned(), acknowledged }
     }
 
     #[googletest::test]
     fn an_end_that_was_acknowledged_before_the_start_counts() {
-        let broken = promises_broken_after(&[
+        let broken = guarantees_broken_after(&[
             (0, RunEventKind::Started),
             (10, done()),
             (20, acknowledged()),
@@ -222,7 +222,7 @@
 
     #[googletest::test]
     fn an_end_that_is_acknowledged_after_the_start_counts() {
-        let broken = promises_broken_after(&[
+        let broken = guarantees_broken_after(&[
             (0, RunEventKind::Started),
             (10, done()),
             (900, acknowledged()),
@@ -232,7 +232,7 @@
 
     #[googletest::test]
     fn an_end_that_is_never_acknowledged_does_not_count() {
-        let broken = promises_broken_after(&[(0, RunEventKind::Started), (10, done())]);
+        let broken = guarantees_broken_after(&[(0, RunEventKind::Started), (10, done())]);
         expect_that!(broken, is_empty());
     }
 
@@ -244,7 +244,7 @@
             (20, RunEventKind::LeaseExpired),
             (900, acknowledged()),
         ];
-        expect_that!(promises_broken_after(&steps), is_empty());
+        expect_that!(guarantees_broken_after(&steps), is_empty());
     }
 
     #[googletest::test]
@@ -255,18 +255,18 @@
             (15, acknowledged()),
             (20, RunEventKind::LeaseExpired),
         ];
-        let broken = promises_broken_after(&steps);
+        let broken = guarantees_broken_after(&steps);
         expect_that!(broken, elements_are![eq(&run_again(AckTiming::BeforeTheStart))]);
     }
 
     #[googletest::test]
     fn a_run_that_starts_before_the_end_of_another_overlaps_with_it() {
-        let broken = promises_broken_after(&[
+        let broken = guarantees_broken_after(&[
             (0, RunEventKind::Started),
             (40, done()),
             (900, acknowledged()),
         ]);
-        let at_once = BrokenPromise::TwoAtOnce { task: TASK.to_owned() };
+        let at_once = BrokenGuarantee::TwoAtOnce { task: TASK.to_owned() };
         expect_that!(broken, elements_are![eq(&at_once)]);
     }
 }
--- a/crates/scheduler/tests/soak/crashing_jobs.rs
+++ b/crates/scheduler/tests/soak/crashing_jobs.rs
@@ -5,7 +5,7 @@
 use thistle_platform::standin::bodies;
 
 use super::callers::{Job, SubmitOutcome};
-use super::checks::BrokenPromise;
+use super::checks::BrokenGuarantee;
 use super::faults::Soak;
 use super::system::request;
 
@@ -83,9 +83,9 @@
     }
 
     /// Returns the crashing tasks that were started too often.
-    pub fn started_too_often(&self) -> Vec<BrokenPromise> {
+    pub fn started_too_often(&self) -> Vec<BrokenGuarantee> {
         let starts = self.crashing_job_ids.iter().flat_map(|id| self.system.starts_of(id));
         let too_often = starts.filter(|(_, starts)| *starts > MAX_STARTS);
-        too_often.map(|(task, starts)| BrokenPromise::StartedTooOften { task, starts }).collect()
+        too_often.map(|(task, starts)| BrokenGuarantee::StartedTooOften { task, starts }).collect()
     }
 }
--- a/crates/scheduler/tests/soak/evacuations.rs
+++ b/crates/scheduler/tests/soak/evacuations.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng;
 
-use super::checks::BrokenPromise;
+use super::checks::BrokenGuarantee;
 use super::faults::Soak;
 
 /// Additional settings of the nodes.
@@ -83,14 +83,14 @@
 
     /// Returns the starts in evacuated halls after the evacuation had to be in force. Allows for starts that were sent
     /// before and that the fake executed late.
-    pub fn starts_in_evacuated_halls(&self) -> Vec<BrokenPromise> {
+    pub fn starts_in_evacuated_halls(&self) -> Vec<BrokenGuarantee> {
         let mut broken = Vec::new();
         for evacuation in &self.evacuations {
             let in_force = evacuation.started_at + EVACUATE_WITHIN + LATE_EXECUTION_DELAY;
             for (at, run) in self.system.starts_in(evacuation.hall) {
                 if at > in_force && evacuation.ended_at.is_none_or(|ended_at| at < ended_at) {
                     let (hall, after) = (evacuation.hall, at - evacuation.started_at);
-                    broken.push(BrokenPromise::InEvacuatedHall { run, hall, after });
+                    broken.push(BrokenGuarantee::InEvacuatedHall { run, hall, after });
                 }
             }
         }
--- a/crates/scheduler/tests/vm_incarnations.rs
+++ b/crates/scheduler/tests/vm_incarnations.rs
@@ -1,7 +1,7 @@
 //! VMs that restart under the same ID, with real nodes.
 //!
 //! A VM crashes and restarts under its ID, with nothing running and its counts at zero. If its owner's link continues
-//! unchanged, it acknowledges ends up to the highest number of the previous incarnation, and the VM forgets the first ends of
+//! unchanged, it acknowledges ends up to the highest number of the previous incarnation, and the VM drops the first ends of
 //! the new one before the owner has received them. The next list has those runs neither running nor ended, so the owner takes
 //! them for never started and starts their tasks again.
 
@@ -25,7 +25,7 @@
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn ends_of_a_vms_next_incarnation_are_received_before_they_are_forgotten() {
+async fn ends_of_a_vms_next_incarnation_are_received_before_they_are_dropped() {
     expect_each_end_received(&System::start(112, 1, 1).await).await;
 }
 
--- a/crates/steward/src/heartbeat.rs
+++ b/crates/steward/src/heartbeat.rs
@@ -35,7 +35,7 @@
     if core.state.voters.contains(me) {
         core.promises.refuse_unresponsive(others.into_iter(), shared.settings.silence.0, now);
     } else {
-        core.promises.forget_contacts();
+        core.promises.clear_contacts();
     }
     let core = &mut *core;
     if !core.log_up {
--- a/crates/steward/src/promise.rs
+++ b/crates/steward/src/promise.rs
@@ -132,11 +132,11 @@
         }
     }
 
-    /// Forgets the last contacts, as a member that is not a voter receives no heartbeats.
+    /// Clears the last contacts, as a member that is not a voter receives no heartbeats.
     ///
     /// Otherwise a member that becomes a voter again would at once regard all others as
     /// unresponsive.
-    pub fn forget_contacts(&mut self) {
+    pub fn clear_contacts(&mut self) {
         self.last_contacts.clear();
     }
 
--- a/crates/steward/src/tasks.rs
+++ b/crates/steward/src/tasks.rs
@@ -52,8 +52,7 @@
                 log::info!("decision step=job-ended change={end:?}");
             }
             shared.propose(ends);
-            // The next check sees these ends if they are read back by then; a repeated record is
-            // safe.
+            // The next check sees these ends if they have been read back; a repeated record is safe.
             tokio::time::sleep(CHECK_INTERVAL).await;
         }
     }
--- a/crates/steward/tests/fence_world/mod.rs
+++ b/crates/steward/tests/fence_world/mod.rs
@@ -16,7 +16,7 @@
 const NODES: usize = 5;
 const FENCE: Duration = Duration::from_millis(40);
 /// Shorter than the fence time, which the settings forbid, so that promises outlast this timeout.
-const SILENCE: Duration = Duration::from_millis(20);
+const CONTACT_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// A reply to a log read or to a heartbeat that has not been delivered yet.
 enum Reply {
--- a/crates/steward/tests/fence_world/steps.rs
+++ b/crates/steward/tests/fence_world/steps.rs
@@ -208,7 +208,7 @@
             return;
         }
         let others: Vec<_> = n.state.members.keys().copied().filter(|&m| m != id(i)).collect();
-        n.promises.refuse_unresponsive(others.into_iter(), SILENCE, self.now);
+        n.promises.refuse_unresponsive(others.into_iter(), CONTACT_TIMEOUT, self.now);
     }
 
     /// Every member sends a heartbeat to every voter that it can reach, and gets the replies at
--- a/crates/steward/tests/promises.rs
+++ b/crates/steward/tests/promises.rs
@@ -9,7 +9,7 @@
 use thistle_steward::promise::{Promises, Proof};
 
 const FENCE: Duration = Duration::from_secs(4);
-const SILENCE: Duration = Duration::from_secs(6);
+const CONTACT_TIMEOUT: Duration = Duration::from_secs(6);
 
 fn at(secs: u64) -> Instant {
     Instant::from_micros(secs * 1_000_000)
@@ -20,11 +20,11 @@
 #[gtest]
 fn member_that_votes_again_refuses_nobody_at_once() {
     let mut promises = Promises::new(FENCE);
-    promises.refuse_unresponsive([MemberId(2)].into_iter(), SILENCE, at(0));
-    promises.forget_contacts();
-    promises.refuse_unresponsive([MemberId(2)].into_iter(), SILENCE, at(60));
+    promises.refuse_unresponsive([MemberId(2)].into_iter(), CONTACT_TIMEOUT, at(0));
+    promises.clear_contacts();
+    promises.refuse_unresponsive([MemberId(2)].into_iter(), CONTACT_TIMEOUT, at(60));
     expect_that!(promises.is_refused(MemberId(2)), eq(false));
-    promises.refuse_unresponsive([MemberId(2)].into_iter(), SILENCE, at(67));
+    promises.refuse_unresponsive([MemberId(2)].into_iter(), CONTACT_TIMEOUT, at(67));
     expect_that!(promises.is_refused(MemberId(2)), eq(true));
 }
 
