--- a/crates/schedule/tests/job_records.rs
+++ b/crates/schedule/tests/job_records.rs
@@ -129,8 +129,8 @@
     }
 }
 
-/// Writes the records of a job as nodes and owners do: copies of its submission, sometimes a cancel, and progress by successive owners,
-/// each record in the regular or the fallback partition. Returns the newest progress.
+/// Writes the records of a job as nodes and owners do: copies of its submission, sometimes a cancel, and progress by
+/// successive owners, each record in the regular or the fallback partition. Returns the newest progress.
 fn write_job(partitions: &mut [Vec<Record>; 4], rng: &mut StdRng) -> (Version, Progress) {
     let submitted_to: &[usize] = match rng.random_range(0..3) {
         0 => &[SUBMISSIONS],
--- a/crates/schedule/tests/quota_world/mod.rs
+++ b/crates/schedule/tests/quota_world/mod.rs
@@ -1,5 +1,6 @@
-//! Simulates a lender, the owners of three pools and the store between them. Records are read late, usage reports arrive late or out
-//! of order, owners and lenders are replaced at any moment, and caps change. The running tasks are counted independently of the owners.
+//! Simulates a lender, the owners of three pools and the store between them. Records are read late, usage reports arrive
+//! late or out of order, owners and lenders are replaced at any moment, and caps change. The running tasks are counted
+//! independently of the owners.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 mod parts;
--- a/crates/schedule/tests/room.rs
+++ b/crates/schedule/tests/room.rs
@@ -1,8 +1,8 @@
 //! The room of a VM that shrinks and grows while the VM runs.
 //!
 //! The room that a VM reports applies from a few seconds after it changed. A start that was decided before and that the VM had
-//! not answered was resent for up to the length of a lease, and could then exceed the room that the VM had when it arrived. A VM that
-//! rejected a start for lack of room received the order again every half second.
+//! not answered was resent for up to the length of a lease, and could then exceed the room that the VM had when
+//! it arrived. A VM that rejected a start for lack of room received the order again every half second.
 
 mod common;
 
--- a/crates/scheduler/tests/late_starts.rs
+++ b/crates/scheduler/tests/late_starts.rs
@@ -89,8 +89,8 @@
 }
 
 /// An owner orders a start while its VM is unreachable, which it has not noticed yet, and then waits seven seconds for
-/// the store. When the store answers, the VM is lost and replies again, but its loss is queued behind the order. If the order still goes
-/// out, its run is abandoned at the same moment and the task is started twice.
+/// the store. When the store answers, the VM is lost and replies again, but its loss is queued behind the order. If the
+/// order still goes out, its run is abandoned at the same moment and the task is started twice.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_order_decided_before_its_vm_was_lost_is_not_sent_afterwards() {
--- a/crates/scheduler/tests/stalled_connections.rs
+++ b/crates/scheduler/tests/stalled_connections.rs
@@ -45,7 +45,8 @@
 }
 
 /// Checks that an owner keeps its pool, and its callers are served, while its connections to the store stall. Its lease must
-/// not end because its heartbeats wait on one stalled connection after the other; see `stalled_connections.rs` of the platform's tests.
+/// not end because its heartbeats wait on one stalled connection after the other; see `stalled_connections.rs` of the
+/// platform's tests.
 async fn expect_owner_keeps_pool(net: u8, stall_kind: Stall) {
     let (system, proxy) = owner_behind_proxy(net).await;
     for round in 1..=2_u64 {
