--- a/crates/scheduler/tests/mixed_builds.rs
+++ b/crates/scheduler/tests/mixed_builds.rs
@@ -12,9 +12,12 @@
 
 use googletest::prelude::*;
 use system::{System, job, send, state, submit, wait_until, wait_until_state};
+use thistle_platform::standin::bodies;
 
 /// The number of tasks of each job.
 const TASKS: u32 = 6;
+/// The cap of the workspace, in thousandths of a core: less than the tasks of two jobs use.
+const CAP: u32 = 4_000;
 /// How long the tasks run during which the owner is killed, in milliseconds.
 const LONG_MS: u32 = 4_000;
 /// How long the owner has to start the tasks of such a job.
@@ -57,6 +60,9 @@
     let old = PathBuf::from(std::env::var("THISTLE_OLD_SCHEDULER").expect("the older program"));
     let mut system = System::start(108, 6, 0).await;
     let new = std::mem::replace(&mut system.program, old.clone());
+    // With a capped workspace the nodes also exchange caps and uses through the store.
+    system.cap = Some(CAP);
+    system.put_config(2, &["/quotes/"]);
     // Only the older build runs at first, so the first records of the store are its own.
     system.add_node(system::ip(108, 10));
     wait_until("the older node is ready", || system.nodes[0].is_ready()).await;
@@ -70,15 +76,37 @@
     expect_that!(state(&system.nodes[1], id).await, eq("completed"), "a job of the older node");
     expect_that!(system.owner(), eq(Some(0)), "the older node owns the pool");
 
+    // A wave that goes on while the fleet changes its owner.
+    let vms = ["m-0".to_owned(), "m-1".to_owned(), "m-2".to_owned()];
+    system.platform.store.put("op", "wave/1", bodies::wave(1, &vms, 1));
+
     expect_takeover_by_other_build(&mut system, 0xb1).await;
     system.nodes[0].start();
     wait_until("the older node is ready again", || system.nodes[0].is_ready()).await;
     expect_takeover_by_other_build(&mut system, 0xc1).await;
 
-    // The newer build replaces the older node with the same settings and reads the stored records.
-    system.nodes[0].kill();
     system.nodes[1].start();
     wait_until("the newer node is ready again", || system.nodes[1].is_ready()).await;
+
+    // A cancellation that one build accepts is known to the other build.
+    for (id, submitted_to, cancelled_at) in [("00000000000000d1", 0, 1), ("00000000000000d2", 1, 0)]
+    {
+        let answer = submit(&system.nodes[submitted_to], id, &job(TASKS, 20_000)).await;
+        expect_that!(answer.status, eq(200));
+        let path = format!("/quotes/{id}");
+        let answer = send(&system.nodes[cancelled_at], hyper::Method::DELETE, &path).await;
+        expect_that!(answer.status, eq(200));
+        for node in &system.nodes {
+            wait_until_state(node, id, "cancelled").await;
+        }
+    }
+    wait_until("the wave is complete", async || {
+        system.platform.machines.maintained(1) == vms.len()
+    })
+    .await;
+
+    // The newer build replaces the older node with the same settings and reads the stored records.
+    system.nodes[0].kill();
     system.nodes[0].program = new;
     expect_that!(system.nodes[0].show(&["--job", id]), contains_substring("completed"));
     system.nodes[0].start();
@@ -88,14 +116,8 @@
             expect_that!(state(node, id).await, eq("completed"), "{id} at {}", node.name);
         }
     }
-    // A cancel that one build accepts is known to the other build.
-    let id = "00000000000000d1";
-    expect_that!(submit(&system.nodes[1], id, &job(TASKS, 20_000)).await.status, eq(200));
-    let cancelled = send(&system.nodes[0], hyper::Method::DELETE, &format!("/quotes/{id}")).await;
-    expect_that!(cancelled.status, eq(200));
-    wait_until_state(&system.nodes[1], id, "cancelled").await;
     // The older build reads the records of both builds.
     let shown = Command::new(&old).arg("show").arg(system.nodes[0].settings_path()).output();
     let shown = String::from_utf8_lossy(&shown.expect("the program runs").stdout).into_owned();
-    expect_that!(shown, contains_substring("configuration 1"));
+    expect_that!(shown, contains_substring("configuration 2"));
 }
