--- a/crates/scheduler/src/caps/lender.rs
+++ b/crates/scheduler/src/caps/lender.rs
@@ -23,7 +23,7 @@
         log::warn!("caps step=fenced token={token}");
         return;
     };
-    // The previous owner is fenced and can write no further records.
+    // The previous owner is fenced and can write no further records, so this read returns all that it wrote.
     while let Err(e) = read_lent(&node).await {
         log::debug!("caps step=read-failed error=\"{e}\"");
         tokio::time::sleep(TICK).await;
--- a/crates/scheduler/src/control/heartbeat.rs
+++ b/crates/scheduler/src/control/heartbeat.rs
@@ -23,7 +23,7 @@
 const HEARTBEAT_EVERY: Duration = Duration::from_millis(450);
 /// The number of heartbeats after which the first partition is tried first again.
 const RETRY_FIRST_EVERY: u64 = 8;
-/// The number of checks whether all claims were applied, and the pause before each further check.
+/// The maximum number of checks whether all claims were applied, and the pause before each further check.
 const CLAIMS_TRIES: u32 = 10;
 const CLAIMS_PAUSE: Duration = Duration::from_millis(20);
 /// The time between two heartbeats of a node that owns nothing, in milliseconds.
--- a/crates/scheduler/src/control/mod.rs
+++ b/crates/scheduler/src/control/mod.rs
@@ -34,7 +34,7 @@
 /// How often a node checks for pools without an owner.
 const CLAIM_EVERY: Duration = Duration::from_millis(100);
 
-/// The owners that run on this node, by pool, with their tokens.
+/// The owners that run on this node, by pool (or by `FLEET` or `CAPS`), with their tokens.
 type Running = HashMap<Arc<str>, (u64, AbortHandle)>;
 
 /// Sends heartbeats, and follows and makes claims, until the task is dropped.
@@ -237,5 +237,5 @@
 /// How long to wait for orders that are in flight when the owner of the fleet stops: the machine service answers
 /// within about 20 ms.
 const LAST_ORDERS_WAIT: Duration = Duration::from_millis(150);
-/// How often the release of pools is tried; other nodes claim them after the lease ends anyway.
+/// The maximum number of attempts to release pools. If all fail, other nodes claim the pools after the lease ends.
 const RELEASE_TRIES: u32 = 10;
--- a/crates/scheduler/src/fleet_owner/mod.rs
+++ b/crates/scheduler/src/fleet_owner/mod.rs
@@ -57,7 +57,9 @@
     client: Arc<MachineClient>,
     fleet: Fleet,
     journal: Journal,
+    /// The record as it was last written to the store in rows.
     written: FleetRecord,
+    /// Whether the next write also drops the single record of older versions.
     drop_legacy: bool,
     tx: UnboundedSender<Event>,
     listed_at: Ms,
--- a/crates/scheduler/src/journal.rs
+++ b/crates/scheduler/src/journal.rs
@@ -14,11 +14,11 @@
 /// The first backoff of a partition that did not accept an append while another partition accepts appends, in milliseconds.
 const PARTITION_BACKOFF_MS: Ms = 400;
 
-/// How often that backoff doubles at most, up to 3.2 s: each attempt on an unresponsive partition delays all other appends by
+/// The maximum number of doublings of that backoff, which limit it to 3.2 s: each attempt on an unresponsive partition delays all other appends by
 /// the timeout of an append.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// Another node has taken over the ownership under which the records are written.
+/// The writer is fenced off: another node now owns the pool, the fleet or the caps that the records are about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fenced;
 
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Stops writing to some partitions. Their unanswered records are also written to another partition.
+    /// Stops writing to some partitions. Records that they left unanswered have been written to another partition too.
     pub fn close_partitions(&mut self, parts: &[u32]) {
         for partition in
             self.partitions.iter_mut().filter(|partition| parts.contains(&partition.part))
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -32,7 +32,7 @@
                 apply_hall(&cx, hall, &stored);
             }
         }
-        // All records of this read are applied at this point, not earlier.
+        // Recorded only after the loop, when all records of this read are applied.
         cx.record_operator_read(tail.read_at());
     })
     .await;
--- a/crates/scheduler/src/overview.rs
+++ b/crates/scheduler/src/overview.rs
@@ -31,7 +31,7 @@
     job: Option<JobView>,
     /// Workspaces with caps: how each cap is split, and the use that pools last reported.
     workspaces: BTreeMap<String, WorkspaceView>,
-    /// Unreadable entries of VMs, each with the reason; the VMs to which they belong are unknown.
+    /// Unreadable entries of VMs: the ID of the incarnation (unless it is too long) and the reason. The VM's name is unknown.
     unreadable: Vec<String>,
 }
 
--- a/crates/scheduler/src/pool_log/mod.rs
+++ b/crates/scheduler/src/pool_log/mod.rs
@@ -75,7 +75,7 @@
     /// Whether the pool is known to have had an owner.
     had_owner: AtomicBool,
     partition_states: [PartitionState; SUBMISSION_PARTITIONS.len()],
-    /// Whether the last read failed.
+    /// Whether the last read by `follow_records` failed: the owner's read of submissions, or a standby's read of new records.
     last_read_failed: AtomicBool,
     submitter: UnboundedSender<Submission>,
     /// The number of jobs read so far, for metrics.
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Connects an owner on this node, or disconnects it. Returns the jobs locked, so that the
+    /// Connects an owner on this node, or disconnects it. Returns the locked jobs, so that the
     /// owner adopts the known jobs before it receives any change.
     pub fn connect_owner(&self, tx: Option<UnboundedSender<Event>>) -> MutexGuard<'_, JobLog> {
         let jobs = self.jobs();
