--- a/crates/scheduler/src/follow.rs
+++ b/crates/scheduler/src/follow.rs
@@ -142,8 +142,9 @@
 }
 
 /// Follows a partition while this node owns something (a pool, the fleet or the caps), each time starting with the newest
-/// record of each key, and calls `clear` when the node no longer owns anything. Of 97 nodes only six own something; if the others also followed the
-/// entries of 540 VMs and the fleet's records, they would write 209 thousand needless log lines on a calm day.
+/// record of each key, and calls `clear` when the node no longer owns anything. Of 97 nodes only six own something; if the
+/// others also followed the entries of 540 VMs and the fleet's records, they would write 209 thousand needless log lines on
+/// a calm day.
 pub async fn follow_while_owning(
     node: &Node,
     (topic, part): (&str, u32),
--- a/crates/scheduler/src/journal.rs
+++ b/crates/scheduler/src/journal.rs
@@ -14,8 +14,8 @@
 /// The first backoff of a partition that did not accept an append while another partition accepts appends, in milliseconds.
 const PARTITION_BACKOFF_MS: Ms = 400;
 
-/// The maximum number of doublings of that backoff, which limit it to 3.2 s: each attempt on an unresponsive partition delays all other appends by
-/// the timeout of an append.
+/// The maximum number of doublings of that backoff, which limit it to 3.2 s: each attempt on an unresponsive partition delays
+/// all other appends by the timeout of an append.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 /// The writer is fenced off: another node now owns the pool, the fleet or the caps that the records are about.
