--- a/crates/schedule/src/catalog.rs
+++ b/crates/schedule/src/catalog.rs
@@ -18,7 +18,7 @@
     pub pool: Arc<str>,
     /// The service objective of its jobs.
     pub objective: Objective,
-    /// The advice policy that decides which VMs may run a step, if any.
+    /// The timing of the advice service that decides which VMs may run a step, if the queue has one.
     pub advice: Option<AdvicePolicy>,
     /// Whether it accepts callers without a key. Its jobs then belong to no workspace.
     pub open: bool,
--- a/crates/schedule/src/fleet/mod.rs
+++ b/crates/schedule/src/fleet/mod.rs
@@ -28,15 +28,15 @@
 const LATE_ORDER_MS: Ms = 13_000;
 /// How long after an answered order a VM may keep its incarnation before the order counts as carried out earlier, in
 /// milliseconds. Maintenance or a move takes about two seconds.
-const DONE_BEFORE_MS: Ms = 6_000;
+const ALREADY_DONE_MS: Ms = 6_000;
 /// The number of moves over which the duration of a move is averaged.
 const MOVES_AVERAGED: Ms = 16;
 /// The minimum time between an order and its completion in the record, in milliseconds: that of the shortest move.
-const MIN_ORDER_MS: Ms = 1_500;
+const MIN_COMPLETION_MS: Ms = 1_500;
 /// The delay before an order is retried, in milliseconds.
 const ORDER_RETRY_MS: Ms = 400;
-/// How often that delay doubles at most while an order is rejected: up to 1.6 s, as the machine service may recover at any
-/// moment and waves have deadlines.
+/// How often [`ORDER_RETRY_MS`] doubles at most while an order is rejected: up to 1.6 s, as the machine service may recover at
+/// any moment and waves have deadlines.
 const MAX_ORDER_DOUBLINGS: u32 = 2;
 
 /// The state of an order that this owner gave.
@@ -97,8 +97,8 @@
         // The predecessor recorded each order before it gave it.
         let ordered = record.work.iter().filter(|w| w.stage != Stage::Emptying);
         let ordered = ordered.map(|w| (w.vm.clone(), hold_off.until));
-        let moved = hold_off.until.saturating_sub(MIN_ORDER_MS);
-        let recent = record.ordered_lately.iter().map(|vm| (vm.clone(), moved));
+        let recent_until = hold_off.until.saturating_sub(MIN_COMPLETION_MS);
+        let recent = record.ordered_lately.iter().map(|vm| (vm.clone(), recent_until));
         let held_off: HashMap<String, Ms> = ordered.chain(recent).collect();
         let order_state = |(vm, &retry_at): (&String, &Ms)| {
             (vm.clone(), OrderState { retry_at, ..OrderState::default() })
@@ -277,7 +277,7 @@
         let Some(done_at) = order.done_at else { return false };
         let Some(vm) = self.vms.get(work.vm.as_str()) else {
             // The VM has left permanently if a list from well after the order does not contain it.
-            return self.listed_at.is_some_and(|at| at >= done_at + DONE_BEFORE_MS);
+            return self.listed_at.is_some_and(|at| at >= done_at + ALREADY_DONE_MS);
         };
         if vm.state != VmState::Up {
             return false;
@@ -289,7 +289,7 @@
         // A switched-off VM has no incarnation to compare.
         let is_new_incarnation =
             order.seen_away || vm.incarnation.as_deref() != incarnation.as_deref();
-        is_in_place && (is_new_incarnation || now.saturating_sub(done_at) >= DONE_BEFORE_MS)
+        is_in_place && (is_new_incarnation || now.saturating_sub(done_at) >= ALREADY_DONE_MS)
     }
 
     /// Returns whether a VM that should move is up in its new pool in another incarnation, whichever owner gave the order.
--- a/crates/schedule/src/fleet/moves.rs
+++ b/crates/schedule/src/fleet/moves.rs
@@ -10,7 +10,7 @@
 use crate::Ms;
 use crate::policy::Policy;
 
-/// The CPU capacity of a VM if a pool has no VMs to derive it from, in thousandths of a core: that of today's VMs.
+/// The CPU capacity of a VM if a pool has no VMs to derive it from, in thousandths of a core: that of the sites' VMs.
 const DEFAULT_VM_CPU: u64 = 16_000;
 
 /// The number of VMs that each pool needed over the last seconds.
@@ -144,19 +144,20 @@
         let sizes: Vec<(Arc<str>, usize)> = self.sizes().into_iter().collect();
         let total = off + sizes.iter().map(|(_, size)| size).sum::<usize>();
         let floor = self.policy.need.floor_vms;
-        let first = |pool: &str| match self.policy.need.late_last {
+        let first_need = |pool: &str| match self.policy.need.late_last {
             true => self.needs.in_time(pool) - floor,
             false => self.needs.current(pool) - floor,
         };
-        let last = |pool: &str| self.needs.current(pool) - floor - first(pool);
+        let last_need = |pool: &str| self.needs.current(pool) - floor - first_need(pool);
         let sum = |need: &dyn Fn(&str) -> usize| -> usize {
             sizes.iter().map(|(pool, _)| need(pool)).sum()
         };
         let available = total.saturating_sub(floor * sizes.len());
-        let firsts = Split::new(available, sum(&first));
-        let lasts = Split::new(available.saturating_sub(firsts.wanted), sum(&last));
+        let first_split = Split::new(available, sum(&first_need));
+        let last_split = Split::new(available.saturating_sub(first_split.wanted), sum(&last_need));
         let share = |(pool, size): (Arc<str>, usize)| {
-            let target = floor + firsts.part(first(&pool)) + lasts.part(last(&pool));
+            let target =
+                floor + first_split.part(first_need(&pool)) + last_split.part(last_need(&pool));
             (pool, Share { target, size })
         };
         sizes.iter().cloned().map(share).collect()
--- a/crates/schedule/src/halls.rs
+++ b/crates/schedule/src/halls.rs
@@ -8,8 +8,8 @@
 
 use crate::Ms;
 
-/// The longest time that a start takes to arrive, in milliseconds. Starts based on older requests stop this long before an
-/// evacuation must take effect.
+/// The longest time that a start takes to arrive, in milliseconds. A node that may not have read a new evacuation gives its
+/// last starts this long before the evacuation must take effect.
 const START_DELIVERY_MS: Ms = 1_000;
 
 /// The evacuation of a hall, which accepts no new work.
--- a/crates/schedule/src/job_log.rs
+++ b/crates/schedule/src/job_log.rs
@@ -19,7 +19,7 @@
 const SUBMIT: &str = "j";
 const CANCEL: &str = "c";
 const PROGRESS: &str = "q";
-/// The prefix of progress records without a version, which older versions wrote. Any record with a version is newer.
+/// The prefix of progress records without a [`Version`], which older programs wrote. Any record with a [`Version`] is newer.
 const UNNUMBERED: &str = "p";
 
 /// Returns the key of a job's submission record.
--- a/crates/schedule/src/job_log/partition_set.rs
+++ b/crates/schedule/src/job_log/partition_set.rs
@@ -28,7 +28,7 @@
 }
 
 impl JobEntry {
-    /// Returns whether its submission was dropped while this node was not reading.
+    /// Returns whether the job's submission was dropped while this node was not reading.
     pub(super) const fn is_gone(&self) -> bool {
         self.missing_from.is_some()
     }
@@ -48,10 +48,10 @@
     /// Records which submissions a partition holds, after the newest record of each key was read and before these records are
     /// applied. Submissions that no partition holds any more were dropped. Their entries are hidden until the next reload, so
     /// that their progress is not lost if the submission is read after all.
-    pub fn record_reload(&mut self, partition: u32, there: &HashSet<JobId>) {
+    pub fn record_reload(&mut self, partition: u32, present: &HashSet<JobId>) {
         self.jobs.retain(|id, entry| {
-            if there.contains(id) || !entry.partitions.holds(partition) {
-                return there.contains(id) || entry.missing_from != Some(partition);
+            if present.contains(id) || !entry.partitions.holds(partition) {
+                return present.contains(id) || entry.missing_from != Some(partition);
             }
             entry.partitions.remove(partition);
             entry.missing_from = entry.partitions.is_empty().then_some(partition);
--- a/crates/schedule/src/ownership.rs
+++ b/crates/schedule/src/ownership.rs
@@ -261,8 +261,8 @@
         let others = self.members.iter().filter(|(name, m)| **name != self.me.name && is_alive(m));
         let slow_below = if self.owns_any() { self.slow_below() } else { 0 };
         // The order differs from node to node, which spreads the load.
-        let nth = |addr| weight(format!("{}/{addr}", self.me.name).as_bytes(), 0);
-        let ranked = |m: &Member| m.relay.map(|addr| (m.speed < slow_below, nth(addr), addr));
+        let hash_rank = |addr| weight(format!("{}/{addr}", self.me.name).as_bytes(), 0);
+        let ranked = |m: &Member| m.relay.map(|addr| (m.speed < slow_below, hash_rank(addr), addr));
         let mut relays: Vec<(bool, u64, SocketAddr)> =
             others.filter_map(|(_, m)| ranked(m)).collect();
         relays.sort_unstable();
--- a/crates/schedule/src/ownership/readers.rs
+++ b/crates/schedule/src/ownership/readers.rs
@@ -13,9 +13,9 @@
 use super::{ALIVE_MS, Member, Ownership};
 use crate::Ms;
 
-/// The number of nodes that read a pool's records besides its owner. The smallest sites have as many nodes, so that there
-/// every node is a reader and the remaining ones can bear the loss of any others. Eight readers of five pools of 3 MB take
-/// 1.5 s of the store's 80 MB a second.
+/// The number of nodes that read a pool's records besides its owner. The smallest sites have as many nodes: every node there
+/// is a reader, so that the remaining nodes can bear the loss of any number of others. Eight readers of five pools of 3 MB
+/// take 1.5 s of the store's 80 MB a second.
 pub const READERS: usize = 8;
 /// How long a node waits after its start before it reads pools that it does not own, in milliseconds. This leaves the store
 /// to owners: a restarted owner reads its pool of 3 MB over 20 Mbit/s in 1.2 s.
--- a/crates/schedule/src/ownership/vacancy.rs
+++ b/crates/schedule/src/ownership/vacancy.rs
@@ -11,21 +11,21 @@
 /// How long the second-best node waits for the best one to claim a pool, in milliseconds. Each further node waits this much
 /// longer.
 const RANK_STEP_MS: Ms = 400;
-/// The number of pools that is added to those of a node with less than half the speed of the fastest one. An owner of 100
-/// VMs or more uses an eighth of a core, which is all that some nodes have. With 350 VMs this lowers the median time from
-/// submission to the first start from 788 ms to 55 ms.
+/// The number of pools that a node with less than half the speed of the fastest one is counted as owning in addition. An
+/// owner of 100 VMs or more uses an eighth of a core, which is all that some nodes have. With 350 VMs this lowers the median
+/// time from submission to the first start from 788 ms to 55 ms.
 const SLOW_NODE_PENALTY: usize = 3;
 /// How long a new node reads heartbeats before it claims pools that never had an owner, in milliseconds: two reads, as the
 /// first may come before the nodes that start with it have sent their heartbeats. With hundreds of nodes the wait is longer.
 const INITIAL_WAIT_MS: Ms = 1_000;
-/// The number of first heartbeats that a partition accepts well within that time.
+/// The number of first heartbeats that a partition accepts well within [`INITIAL_WAIT_MS`].
 const HEARTBEATS_WITHIN_WAIT: usize = 100;
 /// The time that a partition needs for each further heartbeat, which is that of one append, in milliseconds.
 const APPEND_MS: Ms = 4;
 /// The delay before a node reclaims a pool whose owner on this node has ended by itself, in milliseconds. It doubles with
 /// each consecutive end.
 const RECLAIM_DELAY_MS: Ms = 200;
-/// How often that delay doubles at most, up to 3.2 s. Other nodes claim the pool of an unresponsive node after 2.7 s.
+/// How often [`RECLAIM_DELAY_MS`] doubles at most, up to 3.2 s. Other nodes claim the pool of an unresponsive node after 2.7 s.
 const MAX_RECLAIM_DOUBLINGS: u32 = 4;
 /// The time after which an owner counts as stable, so that its end is not consecutive to earlier ones, in milliseconds.
 const STABLE_AFTER_MS: Ms = 10_000;
@@ -35,12 +35,13 @@
 pub(super) struct EndedOwner {
     token: u64,
     at: Ms,
-    in_a_row: u32,
+    /// The number of consecutive ends before this one.
+    earlier_ends: u32,
 }
 
 impl EndedOwner {
     fn reclaim_at(self) -> Ms {
-        self.at + (RECLAIM_DELAY_MS << self.in_a_row.min(MAX_RECLAIM_DOUBLINGS))
+        self.at + (RECLAIM_DELAY_MS << self.earlier_ends.min(MAX_RECLAIM_DOUBLINGS))
     }
 }
 
@@ -61,8 +62,8 @@
         let Some(owned) = self.claims.get(pool).filter(|o| o.token == token) else { return };
         let was_stable = now.saturating_sub(owned.seen_at) >= STABLE_AFTER_MS;
         let before = self.ended_owners.get(pool).filter(|_| !was_stable);
-        let in_a_row = before.map_or(0, |ended| ended.in_a_row + 1);
-        self.ended_owners.insert(pool.clone(), EndedOwner { token, at: now, in_a_row });
+        let earlier_ends = before.map_or(0, |ended| ended.earlier_ends + 1);
+        self.ended_owners.insert(pool.clone(), EndedOwner { token, at: now, earlier_ends });
     }
 
     /// Returns whether an owner of a pool on this node has ended by itself.
--- a/crates/schedule/src/pool/advice.rs
+++ b/crates/schedule/src/pool/advice.rs
@@ -8,10 +8,11 @@
 use crate::id::{JobId, VmIncarnation};
 use crate::spec::{AdvicePolicy, Step};
 
-/// The maximum number of VMs in one request. The specified length of a job's critical path includes one request for about
-/// as many.
+/// The maximum number of VMs in one request. Users count one request about as many VMs into the length of a job's critical
+/// path.
 const VMS_PER_REQUEST: usize = 30;
-/// The delay before the next request for a step after a reply or a failed request, in milliseconds.
+/// The delay before a step's next request if the last request got no reply, or a reply that allows no VM with room, in
+/// milliseconds.
 const RETRY_MS: Ms = 300;
 /// How long before its expiry a ticket is last used, in milliseconds: a start takes some milliseconds to arrive, and clocks
 /// differ.
@@ -55,13 +56,13 @@
     pub fn apply_advice(
         &mut self,
         step: StepId,
-        answer: Option<(Vec<(VmIncarnation, String)>, Ms)>,
+        reply: Option<(Vec<(VmIncarnation, String)>, Ms)>,
         now: Now,
     ) {
         let Some(advised) = self.advice.get_mut(&step) else { return };
         advised.in_flight = false;
         advised.retry_at = now.steady + RETRY_MS;
-        if let Some((tickets, valid)) = answer {
+        if let Some((tickets, valid)) = reply {
             advised.tickets = tickets.into_iter().collect();
             advised.valid_until = now.steady + valid.saturating_sub(TICKET_MARGIN_MS);
         }
--- a/crates/schedule/src/pool/arrivals.rs
+++ b/crates/schedule/src/pool/arrivals.rs
@@ -43,7 +43,7 @@
     /// The mean work of a job, in thousandths of a core times milliseconds.
     work: f64,
     /// The mean length of a job's critical path, in milliseconds.
-    chain: f64,
+    critical_path: f64,
 }
 
 impl Arrivals {
@@ -52,14 +52,14 @@
         Self { by_queue: HashMap::new(), counted }
     }
 
-    fn record(&mut self, queue: &str, work: f64, chain: f64, now: Ms) {
+    fn record(&mut self, queue: &str, work: f64, critical_path: f64, now: Ms) {
         if !self.by_queue.contains_key(queue) {
-            let first = QueueArrivals { work, chain, ..QueueArrivals::default() };
+            let first = QueueArrivals { work, critical_path, ..QueueArrivals::default() };
             self.by_queue.insert(queue.to_owned(), first);
         }
         let Some(known) = self.by_queue.get_mut(queue) else { return };
         known.work += WEIGHT * (work - known.work);
-        known.chain += WEIGHT * (chain - known.chain);
+        known.critical_path += WEIGHT * (critical_path - known.critical_path);
         known.arrived_at.push_front(now);
         known.arrived_at.truncate(MAX_ARRIVALS);
     }
@@ -81,8 +81,8 @@
     /// Returns the CPU for this queue. Jobs that will have arrived longer ago than the length of their critical path count as
     /// ended.
     fn arriving(&self, counted: usize, lead: Ms, now: Ms) -> u64 {
-        let chain = self.chain.max(1.0);
-        let share = (lead as f64 / chain).min(1.0);
+        let critical_path = self.critical_path.max(1.0);
+        let share = (lead as f64 / critical_path).min(1.0);
         (self.rate(counted, now) * self.work * share) as u64
     }
 
@@ -138,10 +138,10 @@
         }
         let factor = self.estimates.factor(&spec.queue);
         let work: f64 = spec.steps.iter().map(work_of).sum();
-        let chain = spec.critical_paths().into_iter().max().unwrap_or(0);
-        let chain = super::rank::scale(chain, factor);
-        let chain = f64::from(u32::try_from(chain).unwrap_or(u32::MAX));
-        self.arrivals.record(&spec.queue, work * factor, chain, now);
+        let critical_path = spec.critical_paths().into_iter().max().unwrap_or(0);
+        let critical_path = super::rank::scale(critical_path, factor);
+        let critical_path = f64::from(u32::try_from(critical_path).unwrap_or(u32::MAX));
+        self.arrivals.record(&spec.queue, work * factor, critical_path, now);
     }
 }
 
--- a/crates/schedule/src/pool/evacuate.rs
+++ b/crates/schedule/src/pool/evacuate.rs
@@ -75,9 +75,9 @@
             return false;
         }
         let others = step.tasks.iter().enumerate().filter(|&(i, _)| i != index);
-        let others_away = others.filter(|(_, t)| !self.is_working(t)).count();
+        let others_absent = others.filter(|(_, t)| !self.is_working(t)).count();
         let budget = usize::try_from(step_spec.may_miss.max(1)).unwrap_or(1);
-        others_away < budget && self.fits_elsewhere(vm, task, step_spec, now)
+        others_absent < budget && self.fits_elsewhere(vm, task, step_spec, now)
     }
 
     /// Returns whether a lasting task is known to be working. On an unreachable VM it may have died.
--- a/crates/schedule/src/pool/incarnation.rs
+++ b/crates/schedule/src/pool/incarnation.rs
@@ -16,8 +16,8 @@
 const EXCLUSION_MS: Ms = 5_000;
 /// How long a VM that rejected a start receives no new tasks, in milliseconds.
 const BRIEF_EXCLUSION_MS: Ms = 500;
-/// The maximum number of doublings of that time while a VM rejects starts for lack of room, each of which costs a call and a
-/// record. The maximum of 8 s still lets a VM that has room again be used soon; a listed change of its room ends the
+/// The maximum number of doublings of [`BRIEF_EXCLUSION_MS`] while a VM rejects starts for lack of room, each of which costs a
+/// call and a record. The maximum of 8 s still lets a VM that has room again be used soon; a listed change of its room ends the
 /// exclusion at once.
 const MAX_EXCLUSION_DOUBLINGS: u32 = 4;
 /// One incarnation of a VM.
--- a/crates/schedule/src/pool/suspects.rs
+++ b/crates/schedule/src/pool/suspects.rs
@@ -155,14 +155,14 @@
         vms: impl Fn(&CrashHistory) -> Vec<String>,
         crashed: bool,
     ) {
-        let mut known = Vec::new();
+        let mut matching = Vec::new();
         for &key in &self.affected {
             let Some(job) = self.jobs.get(key) else { continue };
             for (&task, history) in &job.crash_histories {
-                known.extend(vms(history).into_iter().map(|vm| (task, vm)));
+                matching.extend(vms(history).into_iter().map(|vm| (task, vm)));
             }
         }
-        for (task, vm) in known {
+        for (task, vm) in matching {
             self.update_crash_history(task, now, |history| {
                 let _ = history.resolve(&vm, crashed);
             });
--- a/crates/schedule/src/quota/mod.rs
+++ b/crates/schedule/src/quota/mod.rs
@@ -3,11 +3,12 @@
 //! Load pattern: the peak of demand moves from pool to pool, with five times the mean in one pool and a twentieth of it in the
 //! others. The pool at its peak wants nearly all of a cap, and an equal split would leave most of the cap unused.
 //!
-//! Invariant: the bounds of all pools in a record add up to no more than the cap, or no pool is lent more. A pool's bound is
-//! the maximum that it can have running, whichever node owns it and whichever record up to this one its owner has read. The
-//! bound falls to the use that the pool reports, or to the pool's share if that is larger, only once the pool has reported on
-//! this very record. A new owner of a pool reads the newest records before it starts any task, and finds all starts of its
-//! predecessor in the pool's records. So a pool's report also holds for all of its later owners.
+//! Invariant: the bounds of all pools in a record add up to no more than the cap. While they exceed the cap, as when it was just
+//! lowered or introduced, no pool is lent more. A pool's bound is the maximum that it can have running, whichever node owns it
+//! and whichever record up to this one its owner has read. The bound falls to the use that the pool reports, or to the pool's
+//! share if that is larger, only once the pool has reported on this very record. A new owner of a pool reads the newest records
+//! before it starts any task, and finds all starts of its predecessor in the pool's records. So a pool's report also holds for
+//! all of its later owners.
 
 mod ledger;
 mod lender;
--- a/crates/schedule/src/spec.rs
+++ b/crates/schedule/src/spec.rs
@@ -208,13 +208,13 @@
     /// Returns, for each step, the longest chain of estimated work from that step to the end of the job, in milliseconds.
     pub fn critical_paths(&self) -> Vec<u64> {
         let own = |i: usize| u64::from(self.steps[i].estimated_ms);
-        let mut chains: Vec<u64> = (0..self.steps.len()).map(own).collect();
+        let mut paths: Vec<u64> = (0..self.steps.len()).map(own).collect();
         for i in (0..self.steps.len()).rev() {
             for &on in &self.steps[i].depends_on {
                 let on = usize::from(on);
-                chains[on] = chains[on].max(own(on) + chains[i]);
+                paths[on] = paths[on].max(own(on) + paths[i]);
             }
         }
-        chains
+        paths
     }
 }
--- a/crates/schedule/src/vm.rs
+++ b/crates/schedule/src/vm.rs
@@ -71,7 +71,7 @@
 pub struct VmFacts {
     /// The incarnation.
     pub id: VmIncarnation,
-    /// The VM's name, the same over all of its incarnations; empty if the platform does not list it.
+    /// The VM's name, the same over all of its incarnations; empty if the platform lists no name.
     pub name: Arc<str>,
     /// The pool that it belongs to.
     pub pool: Arc<str>,
