--- a/crates/schedule/src/job_log.rs
+++ b/crates/schedule/src/job_log.rs
@@ -19,7 +19,7 @@
 const SUBMIT: &str = "j";
 const CANCEL: &str = "c";
 const PROGRESS: &str = "q";
-/// The prefix of progress records without a version, which older versions wrote. Any record with a version is newer.
+/// The prefix of progress records without a [`Version`], which older programs wrote. Any record with a [`Version`] is newer.
 const UNNUMBERED: &str = "p";
 
 /// Returns the key of a job's submission record.
@@ -216,9 +216,9 @@
 
     /// Returns whether some open job has started though its submission has not been read.
     pub fn has_started_without_submission(&self) -> bool {
-        let begun =
+        let has_started =
             |e: &JobEntry| e.spec.is_none() && e.progress.begun && e.progress.phase == Phase::Open;
-        self.jobs.values().any(begun)
+        self.jobs.values().any(has_started)
     }
 
     /// Applies one record whose partition does not matter.
--- a/crates/schedule/tests/quota_world/mod.rs
+++ b/crates/schedule/tests/quota_world/mod.rs
@@ -1,5 +1,6 @@
-//! Simulates a lender, the owners of three pools and the store between them. Records are read late, usage reports arrive late or out
-//! of order, owners and lenders are replaced at any moment, and caps change. The running tasks are counted independently of the owners.
+//! Simulates a lender, the owners of three pools and the store between them. Records are read late, usage reports arrive
+//! late or out of order, owners and lenders are replaced at any moment, and caps change. The running tasks are counted
+//! independently of the owners.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 mod parts;
@@ -345,7 +346,7 @@
         }
         for usage in reports {
             let delay = if self.has_faults { self.rng.random_range(1..60) } else { 1 };
-            // Some reports never arrive. The owner learns of that, unless it has been replaced by then.
+            // Some reports never arrive. The owner notices the loss, unless it has been replaced.
             if self.has_faults && self.rng.random_bool(0.1) {
                 self.owners[pool].ledger.forget_reported();
                 continue;
--- a/crates/scheduler/tests/soak.rs
+++ b/crates/scheduler/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A randomized soak test: injects faults into real node processes and checks the platform's promises by what callers
+//! A randomized soak test: injects faults into real node processes and checks the platform's guarantees by what callers
 //! and VMs see.
 //!
 //! A seed determines the schedule of faults. `THISTLE_SOAK_SEEDS=100..150 THISTLE_SOAK_SECONDS=20 cargo test --release -p
@@ -45,7 +45,7 @@
 /// Seeds that found a fault and are part of each short run.
 ///
 /// 100 (a fault of the fake platform): two concurrent runs of a task, as the fake executed a start 2.5 s late on a VM
-/// that had crashed 1.7 s after the start was sent.
+/// that had crashed 1.7 s after the start got no answer.
 const REGRESSION_SEEDS: [u64; 1] = [100];
 /// The number of nodes in a run with many processes.
 const MANY_NODES: u8 = 48;
@@ -66,8 +66,8 @@
 
 /// Seeds of a short run with a cap.
 ///
-/// 955 (a fault of the check): the last cap allowed two tasks at once, so that the waiting tasks took 156 s. By then a
-/// job that had been cancelled at the beginning was reported as unknown, 150 s after it was settled.
+/// 955 (a fault of the check): the last cap allowed two tasks at once, so that the waiting tasks took 156 s. A job
+/// that had been cancelled at the beginning was then reported as unknown, 150 s after it was settled.
 const CAP_SEEDS: [u64; 2] = [20, 955];
 
 /// Seeds of a short run with bursts of work.
@@ -109,56 +109,56 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_whatever_fails() {
+async fn guarantees_hold_whatever_fails() {
     for seed in seeds() {
         run_seed(seed, Kind::Faults).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn planned_work_cuts_no_request() {
+async fn planned_work_leaves_no_request_unanswered() {
     for seed in seeds_or_default(PLANNED_SEEDS) {
         run_seed(seed, Kind::PlannedWork).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_where_most_nodes_read_no_pool() {
+async fn guarantees_hold_where_most_nodes_follow_no_pool() {
     for seed in seeds_or_default(MANY_NODES_SEEDS) {
         run_seed(seed, Kind::FaultsOfMany).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_beside_jobs_that_crash_their_vms() {
+async fn guarantees_hold_with_jobs_that_crash_their_vms() {
     for seed in seeds_or_default(CRASHING_JOB_SEEDS) {
-        run_seed(seed, Kind::Harm).await;
+        run_seed(seed, Kind::CrashingJobs).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_beside_a_cap_that_changes() {
+async fn guarantees_hold_with_a_changing_cap() {
     for seed in seeds_or_default(CAP_SEEDS) {
         run_seed(seed, Kind::Cap).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_beside_bursts_of_work() {
+async fn guarantees_hold_during_bursts_of_work() {
     for seed in seeds_or_default(BURST_SEEDS) {
         run_seed(seed, Kind::Bursts).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_when_vms_start_again_under_their_ids() {
+async fn guarantees_hold_when_vms_restart_under_their_ids() {
     for seed in seeds_or_default(RESTART_SEEDS) {
         run_seed(seed, Kind::Restarts).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_when_halls_are_evacuated() {
+async fn guarantees_hold_when_halls_are_evacuated() {
     for seed in seeds_or_default(EVACUATION_SEEDS) {
         run_seed(seed, Kind::Evacuations).await;
     }
@@ -167,7 +167,7 @@
 /// Run by hand: `cargo test --release -p thistle-scheduler --test soak many_processes -- --ignored --nocapture`.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 #[ignore = "starts as many processes as a machine can run with nothing else on it"]
-async fn promises_hold_with_many_processes() {
+async fn guarantees_hold_with_many_processes() {
     for seed in seeds_or_default(MANY_PROCESSES_SEEDS) {
         run_seed(seed, Kind::ManyProcesses).await;
     }
@@ -181,7 +181,7 @@
     /// Any fault, with more nodes than follow a pool's records.
     FaultsOfMany,
     /// Any fault, and jobs that crash their VMs and entries of another writer.
-    Harm,
+    CrashingJobs,
     /// Any fault, and changes of the cap of the callers' workspace.
     Cap,
     /// Any fault, and bursts of work, VMs that are cut off together, entries that vanish, and nodes that are replaced.
@@ -197,7 +197,7 @@
 }
 
 impl Kind {
-    /// Returns the first of its networks and their number. The seeds of one process use them in turn, so this is also
+    /// Returns the first of its networks and their number. The seeds of one process cycle through them, so this is also
     /// the number of seeds that one process may run.
     const fn nets(self) -> (u8, u64) {
         match self {
@@ -205,7 +205,7 @@
             Self::FaultsOfMany => (160, 20),
             Self::PlannedWork => (180, 50),
             Self::Evacuations => (230, 10),
-            Self::Harm => (240, 15),
+            Self::CrashingJobs => (240, 15),
             Self::Cap => (10, 60),
             Self::Bursts => (70, 20),
             Self::Restarts => (1, 9),
@@ -217,7 +217,7 @@
         match self {
             Self::Faults
             | Self::PlannedWork
-            | Self::Harm
+            | Self::CrashingJobs
             | Self::Cap
             | Self::Restarts
             | Self::Evacuations => 3,
@@ -267,7 +267,7 @@
         match kind {
             Kind::Faults | Kind::FaultsOfMany => soak.inject_fault().await,
             Kind::PlannedWork => soak.planned_work().await,
-            Kind::Harm => soak.crashing_job_or_fault().await,
+            Kind::CrashingJobs => soak.crashing_job_or_fault().await,
             Kind::Restarts => soak.restart_or_fault().await,
             Kind::Cap => soak.cap_or_fault().await,
             Kind::Evacuations => soak.evacuation_or_fault().await,
@@ -275,7 +275,7 @@
         }
         soak.check_newest_config().await;
     }
-    if kind == Kind::Harm {
+    if kind == Kind::CrashingJobs {
         soak.restore_entries();
     }
     if kind == Kind::Cap {
@@ -284,14 +284,14 @@
     soak.return_all_halls_to_service();
     soak.repair_all().await;
     let mut jobs = callers.stop().await;
-    soak.until_settled(&jobs).await;
+    soak.wait_until_settled(&jobs).await;
     jobs.extend(soak.crashing_jobs());
-    let mut broken = checks::broken_promises(&soak.system, &jobs);
+    let mut broken = checks::broken_guarantees(&soak.system, &jobs);
     broken.extend(soak.started_too_often());
     broken.extend(soak.starts_over_cap());
     broken.extend(soak.starts_in_evacuated_halls());
     if kind == Kind::PlannedWork {
-        broken.extend(checks::cut_requests(&soak.system, &jobs));
+        broken.extend(checks::unanswered_requests(&soak.system, &jobs));
     }
     let tries = jobs.iter().flat_map(|job| &job.tries);
     let unanswered = tries.filter(|(_, answered)| !answered).count();
--- a/crates/scheduler/tests/soak/caps.rs
+++ b/crates/scheduler/tests/soak/caps.rs
@@ -5,9 +5,9 @@
 use rand::Rng;
 use thistle_platform::standin::RunEventKind;
 
-use super::checks::BrokenPromise;
+use super::checks::BrokenGuarantee;
 use super::faults::Soak;
-use super::system::until;
+use super::system::wait_until;
 
 /// The caps that a run draws from, in thousandths of a core. A task takes 500.
 const CAPS: [u32; 4] = [6_000, 2_000, 1_000, 3_500];
@@ -35,7 +35,7 @@
         let all = async || {
             self.system.nodes.iter().all(|node| node.log().contains("step=in-force version=2 "))
         };
-        until("the first cap is in force", all).await;
+        wait_until("the first cap is in force", all).await;
     }
 
     /// Puts the largest cap in force, so that all waiting tasks are done soon.
@@ -51,7 +51,7 @@
     }
 
     /// Returns the starts that exceeded the highest cap that may have been in force by more than a tenth and one task.
-    pub fn starts_over_cap(&self) -> Vec<BrokenPromise> {
+    pub fn starts_over_cap(&self) -> Vec<BrokenGuarantee> {
         let mut changes: Vec<(Instant, String, i64)> = Vec::new();
         for history in self.system.platform.machines.histories() {
             for event in history {
@@ -71,7 +71,7 @@
             running += change;
             let most = f64::from(self.max_cap_at(at)) * 1.1 + f64::from(TASK_CPU);
             if change > 0 && running as f64 * f64::from(TASK_CPU) > most {
-                broken.push(BrokenPromise::OverCap { run, running });
+                broken.push(BrokenGuarantee::OverCap { run, running });
             }
         }
         broken
