--- a/crates/bench/src/slopes/mod.rs
+++ b/crates/bench/src/slopes/mod.rs
@@ -1,4 +1,4 @@
-//! Slopes: costs measured at several sizes, each with a linear fit.
+//! Slopes: costs at several sizes, each with a linear fit.
 
 mod control;
 mod pool;
@@ -7,7 +7,7 @@
 
 use std::time::Instant;
 
-/// A cost, measured at several sizes.
+/// A cost at several sizes.
 #[derive(Clone, Debug)]
 pub struct Slope {
     /// The name of the cost.
--- a/crates/cli/src/flags.rs
+++ b/crates/cli/src/flags.rs
@@ -142,12 +142,12 @@
         }
         /// Members, for repair.
         cmd member {
-            /// Confirm that a member's VM is switched off for good.
+            /// Confirm that a member's VM is switched off permanently.
             cmd member-forget forget {
                 /// Its id.
                 required id: String
             }
-            /// Appoint new voters after a quorum is lost for good.
+            /// Appoint new voters after a quorum is lost permanently.
             cmd member-reset-voters reset-voters {
                 /// Their ids.
                 repeated ids: String
--- a/crates/model/src/clock.rs
+++ b/crates/model/src/clock.rs
@@ -7,7 +7,7 @@
 /// A point on the boot-time clock of this machine, in microseconds.
 ///
 /// Unlike [`std::time::Instant`] on Linux it keeps counting while the VM is suspended, so a lease
-/// measured with it lapses for a holder that was paused.
+/// timed with it lapses for a holder that was paused.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/model/src/name.rs
+++ b/crates/model/src/name.rs
@@ -163,6 +163,6 @@
     TeamName
 );
 name_type!(
-    /// The name of a job, chosen by its submitter.
+    /// The name of a job, given by its submitter.
     JobName
 );
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -30,7 +30,7 @@
 /// The policies of a replay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Policy {
-    /// The policy by which a VM is chosen.
+    /// The policy by which a VM is selected.
     pub choice: ChoicePolicy,
     /// The policy by which late requests are refused.
     pub admit: AdmitPolicy,
--- a/crates/schedule/src/crash_history.rs
+++ b/crates/schedule/src/crash_history.rs
@@ -6,7 +6,7 @@
 //! - Only a crash counts: the VM has a new incarnation and was not leaving. An unresponsive VM may only be
 //!   disconnected, so its loss is unclear until the VM answers again (not counted) or is replaced (counted).
 //! - A crash soon after the task's start makes the task a suspect, and so does a second crash at any time. A suspect does
-//!   not share a VM with tasks of other jobs, so that its next crash is conclusive and harms no other job.
+//!   not share a VM with tasks of other jobs, so that its next crash is conclusive and affects no other job.
 //! - A task is abandoned after two crashes soon after its start on a VM without tasks of other jobs, after four crashes
 //!   of which two came soon after its start, or after five crashes in all.
 
--- a/crates/schedule/src/fleet/mod.rs
+++ b/crates/schedule/src/fleet/mod.rs
@@ -259,7 +259,7 @@
         }
     }
 
-    /// Includes a move in the mean duration, measured from its order. The duration of a predecessor's order is not known.
+    /// Includes a move in the mean duration, from order to completion. The duration of a predecessor's order is not known.
     fn record_move_duration(&mut self, ordered_at: Option<Ms>, now: Ms) {
         let Some(ordered_at) = ordered_at else { return };
         let took = now.saturating_sub(ordered_at);
--- a/crates/schedule/src/halls.rs
+++ b/crates/schedule/src/halls.rs
@@ -8,7 +8,7 @@
 
 use crate::Ms;
 
-/// The longest time that a start takes to arrive, in milliseconds. A node that may not have read a new evacuation gives its
+/// The longest time that a start takes to arrive, in milliseconds. A node that may not have read a new evacuation sends its
 /// last starts this long before the evacuation must take effect.
 const START_DELIVERY_MS: Ms = 1_000;
 
--- a/crates/schedule/src/pool/incarnation.rs
+++ b/crates/schedule/src/pool/incarnation.rs
@@ -9,7 +9,7 @@
 use crate::vm::{Room, VmFacts};
 
 /// The number of different jobs that fail in a row before a VM is excluded. One job that can never succeed fails on any VM, and
-/// two such jobs may meet on a VM by chance, as 3% of jobs are of this kind.
+/// two such jobs may run on the same VM coincidentally, as 3% of jobs are of this kind.
 const FAILED_JOBS_TO_EXCLUDE: usize = 3;
 /// How long a VM that fails its tasks receives no new ones, in milliseconds. This is about as long as such faults
 /// last on the sites.
--- a/crates/schedule/tests/dropped_submissions.rs
+++ b/crates/schedule/tests/dropped_submissions.rs
@@ -49,7 +49,7 @@
     apply_submission(&mut log, FIRST);
     apply_completion(&mut log);
     log.record_reload(FALLBACK, &HashSet::new());
-    expect_that!(phase(&log), some(eq(Phase::Completed)), "it never stood in the spare partition");
+    expect_that!(phase(&log), some(eq(Phase::Completed)), "never in the fallback partition");
     log.record_reload(FIRST, &HashSet::new());
     expect_that!(phase(&log), none());
     expect_that!(log.iter().count(), eq(0));
--- a/crates/schedule/tests/fleet_succession.rs
+++ b/crates/schedule/tests/fleet_succession.rs
@@ -80,7 +80,7 @@
     fleet.set_vms(up_vms(&["a", "b", "c", "d"]).into_iter().chain(off).collect(), 0);
     fleet.set_report(&"desk".into(), busy_report(0, 90_000, &[]), 10);
     expect_that!(vms_of(&fleet.plan(20)), eq(&vec!["p"]));
-    expect_that!(vms_of(&fleet.plan(1_400)), is_empty(), "its move took 1.5 s at least");
+    expect_that!(vms_of(&fleet.plan(1_400)), is_empty(), "its move takes at least 1.5 s");
     expect_that!(vms_of(&fleet.plan(1_600)), eq(&vec!["o"]));
 }
 
@@ -116,7 +116,7 @@
     fleet.set_pools(["desk".into(), "hub".into()].into(), None);
     fleet.set_vms(vec![vm("o", "desk", 1, VmState::Up)], 0);
     fleet.plan(10);
-    expect_that!(fleet.record().work, len(eq(1)), "it has not come yet");
+    expect_that!(fleet.record().work, len(eq(1)), "the VM has not arrived yet");
     fleet.set_vms(vec![vm("o", "hub", 2, VmState::Up)], 20);
     fleet.plan(30);
     expect_that!(fleet.record().work, is_empty());
--- a/crates/schedule/tests/shares.rs
+++ b/crates/schedule/tests/shares.rs
@@ -123,7 +123,7 @@
     let baseline = jobs_in_time(SharePolicy::BeyondLast, 0);
     let during_burst = |shares| jobs_in_time(shares, BURST_JOBS_PER_S);
     for policy in [SharePolicy::DueFirst, SharePolicy::BeyondLast] {
-        println!("{policy:?}: {} of {baseline} in time beside the burst", during_burst(policy));
+        println!("{policy:?}: {} of {baseline} in time during the burst", during_burst(policy));
     }
     let in_time = during_burst(SharePolicy::BeyondLast);
     assert!(in_time * 20 >= baseline * 19, "{in_time} of {baseline}");
--- a/crates/schedule/tests/workspaces.rs
+++ b/crates/schedule/tests/workspaces.rs
@@ -41,7 +41,7 @@
     let each = started_at.elapsed() / u32::try_from(LOOKUPS).unwrap_or(1);
     assert_eq!(found, LOOKUPS);
     assert!(workspaces.of_key("k0000x0000secreT", &secret).is_none());
-    println!("{} keys: built in {built:?}, {each:?} a look-up", workspaces.keys());
+    println!("{} keys: built in {built:?}, {each:?} per lookup", workspaces.keys());
 }
 
 /// The labels of four hundred workspaces on each node would make up most of the scraped metrics.
--- a/crates/scheduler/tests/soak.rs
+++ b/crates/scheduler/tests/soak.rs
@@ -296,8 +296,8 @@
     let tries = jobs.iter().flat_map(|job| &job.tries);
     let unanswered = tries.filter(|(_, answered)| !answered).count();
     println!(
-        "{kind:?} seed {seed}: {} jobs, {} runs, {unanswered} submissions unanswered, {} faults, {} starts waited, {} ends of runs \
-         given up, broken: {broken:?}",
+        "{kind:?} seed {seed}: {} jobs, {} runs, {unanswered} submissions unanswered, {} faults, {} starts waited, {} ends of \
+         abandoned runs, broken: {broken:?}",
         jobs.len(),
         soak.system.platform.machines.started().len(),
         soak.faults.len(),
