--- a/crates/scheduler/src/append.rs
+++ b/crates/scheduler/src/append.rs
@@ -1,7 +1,7 @@
 //! Appends submissions to the first partition of a pool that accepts them.
 //!
 //! One or both of a pool's partitions may leave appends unanswered while jobs keep arriving. Tried one after the other, at 0.6 s
-//! each, they would hold every caller for 1.2 s. The fallback partition is therefore tried in parallel with the first one after
+//! each, they would delay every caller by 1.2 s. The fallback partition is therefore tried in parallel with the first one after
 //! the store has answered other calls in the meantime, which stores a job up to 0.45 s sooner. Records in both partitions are
 //! harmless because they are folded by job.
 //!
@@ -82,7 +82,7 @@
 ) -> Outcome {
     let mut may_be_written = false;
     loop {
-        let round_at = steady_ms();
+        let attempt_at = steady_ms();
         match try_partitions(node, log, records, since, role).await {
             Attempt::NotSent if !may_be_written => {
                 // Records that were never sent are certainly not written, so the caller may safely retry.
@@ -102,7 +102,7 @@
             // The whole store, or this node's path to it, is unresponsive: the caller gets its reply 0.4 s sooner. Once calls
             // go through another node, the append is retried.
             true if node.store.forwarding_peer().is_none()
-                && !node.store_health.view().has_answered_since(round_at) =>
+                && !node.store_health.view().has_answered_since(attempt_at) =>
             {
                 return Outcome::Known(WriteOutcome::Unknown);
             }
--- a/crates/scheduler/src/callers.rs
+++ b/crates/scheduler/src/callers.rs
@@ -112,7 +112,7 @@
             match (req.method(), rest) {
                 (&Method::GET, "") => pending(node, queue).await,
                 (&Method::POST | &Method::GET | &Method::DELETE, id) => match id.parse::<JobId>() {
-                    Ok(id) => for_job(node, &call, id, req).await,
+                    Ok(id) => handle_job_request(node, &call, id, req).await,
                     Err(e) => reply::bad_request(&e.to_string()),
                 },
                 _ => reply::method_not_allowed(),
@@ -145,7 +145,12 @@
     caller: Caller,
 }
 
-async fn for_job(node: &Arc<Node>, call: &Call<'_>, id: JobId, req: Request<Incoming>) -> Reply {
+async fn handle_job_request(
+    node: &Arc<Node>,
+    call: &Call<'_>,
+    id: JobId,
+    req: Request<Incoming>,
+) -> Reply {
     match *req.method() {
         Method::POST => submit(node, call, id, req).await,
         Method::DELETE => cancel(node, call, id).await,
@@ -156,17 +161,17 @@
 async fn submit(node: &Arc<Node>, call: &Call<'_>, id: JobId, req: Request<Incoming>) -> Reply {
     let Call { catalog, queue, caller } = call;
     let limit = catalog.limits.body_bytes;
-    let within = Duration::from_millis(catalog.limits.header_timeout_ms);
-    let body = match request_body::read(req.into_body(), limit, within).await {
+    let part_timeout = Duration::from_millis(catalog.limits.header_timeout_ms);
+    let body = match request_body::read(req.into_body(), limit, part_timeout).await {
         Ok(body) => body,
         Err(BodyError::TooLarge) => return reply::too_large(limit),
-        Err(BodyError::Stalled(within)) => {
-            let within_ms = within.as_millis();
+        Err(BodyError::Stalled(timeout)) => {
+            let within_ms = timeout.as_millis();
             log::info!(
                 "accept id={id} queue={} step=body-stopped within_ms={within_ms}",
                 queue.name
             );
-            return reply::body_timeout(within);
+            return reply::body_timeout(timeout);
         }
         Err(BodyError::Broken(e)) => {
             return reply::bad_request(&format!("the body cannot be read: {e}"));
@@ -203,7 +208,7 @@
     let started_at = steady_ms();
     let record = KeyedRecord::new(submit_key(id), encode_spec(&spec));
     let written = if node.store_health.view().accepts_submissions(steady_ms()) {
-        write(&node.pool_log(&queue.pool), record).await
+        write(&node.ensure_pool_log(&queue.pool), record).await
     } else {
         WriteOutcome::NotKept
     };
@@ -269,7 +274,7 @@
         true => WriteOutcome::Kept,
         false => {
             let record = KeyedRecord::new(cancel_key(id), encode_cancel(caller));
-            write(&node.pool_log(pool), record).await
+            write(&node.ensure_pool_log(pool), record).await
         }
     };
     log::info!("cancel id={id} queue={} state={state:?} written={written:?}", queue.name);
--- a/crates/scheduler/src/caps/mod.rs
+++ b/crates/scheduler/src/caps/mod.rs
@@ -45,7 +45,7 @@
     KeyedRecord::new(AS_OF_KEY, thistle_schedule::job_log::encode(&version))
 }
 
-/// Returns whether a configuration caps the running tasks of any workspace. If none is capped, no record is written here.
+/// Returns whether a configuration caps the running tasks of any workspace. If none is capped, no record of caps is written.
 pub fn has_caps(catalog: &Catalog) -> bool {
     catalog.workspaces.all().iter().any(|workspace| limits(workspace.cap))
 }
--- a/crates/scheduler/src/control/heartbeat.rs
+++ b/crates/scheduler/src/control/heartbeat.rs
@@ -23,17 +23,18 @@
 const HEARTBEAT_EVERY: Duration = Duration::from_millis(450);
 /// The number of heartbeats after which the first partition is tried first again.
 const RETRY_FIRST_EVERY: u64 = 8;
-/// The maximum number of checks whether all claims were applied, and the pause before each further check.
+/// The maximum number of checks whether all claims were applied.
 const CLAIMS_TRIES: u32 = 10;
+/// Pause before each further check.
 const CLAIMS_PAUSE: Duration = Duration::from_millis(20);
 /// The time between two heartbeats of a node that owns nothing, in milliseconds.
 const IDLE_HEARTBEAT_MS: Ms = 2_500;
 
 /// Sends heartbeats and reads those of other nodes, concurrently: a heartbeat that a slow store leaves unanswered
-/// takes seconds, and a node that receives no heartbeats meanwhile claims no pool. With a store slowed down 46 times,
-/// a released pool had no owner for 1.5 s after all nodes knew of its release.
+/// takes seconds, and a node that receives no heartbeats meanwhile claims no pool. With a store 46 times slower than
+/// usual and no concurrency, a released pool had no owner for 1.5 s after all nodes knew of its release.
 pub async fn run(node: Arc<Node>) {
-    tokio::join!(send(&node), follow_heartbeats(&node), poll_fallback_partition(&node));
+    tokio::join!(send_heartbeats(&node), follow_heartbeats(&node), poll_fallback_partition(&node));
 }
 
 /// Follows the heartbeats of other nodes.
@@ -76,7 +77,7 @@
     }
 }
 
-async fn send(node: &Node) {
+async fn send_heartbeats(node: &Node) {
     let mut parts = [HEARTBEATS, FALLBACK_HEARTBEATS];
     let mut sequence = 0;
     loop {
@@ -124,7 +125,7 @@
     false
 }
 
-/// Returns whether this node has applied all current claims. While its lease had ended, another node may have claimed
+/// Returns whether this node has applied all current claims. After its lease ended, another node may have claimed
 /// what this one owned, so a heartbeat alone does not renew the lease.
 async fn claims_are_known(node: &Node) -> bool {
     for _ in 0..CLAIMS_TRIES {
@@ -143,7 +144,7 @@
     false
 }
 
-/// Waits until the next heartbeat is due. A node that owns nothing sends few: all heartbeats share one partition,
+/// Waits until the next heartbeat is due. A node that owns nothing sends fewer: all heartbeats share one partition,
 /// which appends one at a time.
 async fn wait_for_next_heartbeat(node: &Node, sent_at: Ms) {
     loop {
--- a/crates/scheduler/src/control/mod.rs
+++ b/crates/scheduler/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! Membership and ownership: heartbeats, claims, and starting and stopping the owners on this node.
+//! Membership and ownership: heartbeats, claims, and starting and stopping the owners on this node. What a node can own is
+//! called a shard: a pool, the fleet or the caps.
 
 mod claims_end;
 mod heartbeat;
@@ -31,10 +32,10 @@
 pub const CLAIMS: u32 = 0;
 /// The prefix of the keys of claims.
 pub const OWNER_PREFIX: &str = "owner/";
-/// How often a node checks for pools without an owner.
+/// How often a node checks for shards without an owner.
 const CLAIM_EVERY: Duration = Duration::from_millis(100);
 
-/// The owners that run on this node, by pool (or by `FLEET` or `CAPS`), with their tokens.
+/// The owners that run on this node, by shard (a pool's name, `FLEET` or `CAPS`), with their tokens.
 type Running = HashMap<Arc<str>, (u64, AbortHandle)>;
 
 /// Sends heartbeats, and follows and makes claims, until the task is dropped.
@@ -84,17 +85,17 @@
 }
 
 fn apply_claim(node: &Node, stored: &Stored) {
-    let Some(pool) = stored.record.key.strip_prefix(OWNER_PREFIX) else { return };
+    let Some(shard) = stored.record.key.strip_prefix(OWNER_PREFIX) else { return };
     let Some(value) = stored.record.value() else { return };
     match serde_json::from_slice::<Claim>(value) {
         Ok(claim) => {
             log::info!(
-                "owner pool={pool} step={} node={} token_offset={}",
+                "owner pool={shard} step={} node={} token_offset={}",
                 if claim.released { "released" } else { "claimed" },
                 claim.owner.name,
                 stored.offset,
             );
-            lock(&node.ownership).record_claim(&pool.into(), claim, stored.offset, steady_ms());
+            lock(&node.ownership).record_claim(&shard.into(), claim, stored.offset, steady_ms());
         }
         Err(e) => log::error!("owner step=unreadable offset={} error=\"{e}\"", stored.offset),
     }
@@ -106,7 +107,7 @@
     serde_json::to_vec(value).unwrap_or_default()
 }
 
-/// Claims pools without an owner, and starts and stops the owners on this node as the claims require.
+/// Claims shards without an owner, and starts and stops the owners on this node as the claims require.
 async fn run_claims(node: Arc<Node>) {
     let mut running = Running::new();
     let mut stopping = node.stopping.subscribe();
@@ -116,8 +117,8 @@
             () = node.ownership_changed.notified() => (),
             _ = stopping.wait_for(|&stop| stop) => break,
         }
-        for pool in pools_to_claim(&node) {
-            claim_pool(&node, &pool).await;
+        for shard in shards_to_claim(&node) {
+            claim_shard(&node, &shard).await;
         }
         reconcile_owners(&node, &mut running);
     }
@@ -125,7 +126,7 @@
     std::future::pending::<()>().await;
 }
 
-fn pools_to_claim(node: &Node) -> Vec<Arc<str>> {
+fn shards_to_claim(node: &Node) -> Vec<Arc<str>> {
     let logs = node.pool_logs();
     if !node.store_health.is_reachable() {
         return Vec::new();
@@ -138,20 +139,20 @@
     lock(&node.ownership).to_claim(shards, steady_ms())
 }
 
-async fn claim_pool(node: &Node, pool: &Arc<str>) {
+async fn claim_shard(node: &Node, shard: &Arc<str>) {
     let Some(end) = node.claims_end.get() else { return };
     let sent_at = steady_ms();
     let claim = Claim { owner: node.me.clone(), released: false };
-    let record = KeyedRecord::new(format!("{OWNER_PREFIX}{pool}"), to_json(&claim));
+    let record = KeyedRecord::new(format!("{OWNER_PREFIX}{shard}"), to_json(&claim));
     match node.store.append(TOPIC, CLAIMS, Guard::EndsAt(end), &[record]).await {
         Ok(Appended::Done { offset, end }) => {
             node.claims_end.advance_to(end);
             node.renew_lease(sent_at);
-            lock(&node.ownership).record_claim(pool, claim, offset, steady_ms());
+            lock(&node.ownership).record_claim(shard, claim, offset, steady_ms());
         }
-        // Another node claimed the pool first, or the claim will be read when the partition is followed.
-        Ok(other) => log::debug!("owner pool={pool} step=not-claimed answer={other:?}"),
-        Err(e) => log::debug!("owner pool={pool} step=claim-failed error=\"{e}\""),
+        // Another node claimed the shard first, or the claim will be read when the partition is followed.
+        Ok(other) => log::debug!("owner pool={shard} step=not-claimed answer={other:?}"),
+        Err(e) => log::debug!("owner pool={shard} step=claim-failed error=\"{e}\""),
     }
 }
 
@@ -165,7 +166,7 @@
     node.is_owner.set(is_owner);
 }
 
-/// Starts or stops the owner of a pool, or of the fleet or the caps, which have no log.
+/// Starts or stops the owner of a shard. `log` is the pool's log; the fleet and the caps have none.
 fn reconcile_owner(
     node: &Arc<Node>,
     running: &mut Running,
@@ -197,27 +198,27 @@
     running.insert(shard.clone(), (token, task.abort_handle()));
 }
 
-/// Stops all owners and releases their pools, so that other nodes can claim them immediately.
+/// Stops all owners and releases their shards, so that other nodes can claim them immediately.
 async fn release_all(node: &Arc<Node>, running: Running) {
     node.end_lease();
     let mut records = Vec::new();
-    for (pool, (token, task)) in running {
+    for (shard, (token, task)) in running {
         task.abort();
-        if &*pool != FLEET && &*pool != CAPS {
-            drop(node.pool_log(&pool).connect_owner(None));
+        if &*shard != FLEET && &*shard != CAPS {
+            drop(node.ensure_pool_log(&shard).connect_owner(None));
         }
-        log::info!("owner pool={pool} step=given-up token={token}");
+        log::info!("owner pool={shard} step=given-up token={token}");
         let claim = Claim { owner: node.me.clone(), released: true };
-        records.push(KeyedRecord::new(format!("{OWNER_PREFIX}{pool}"), to_json(&claim)));
+        records.push(KeyedRecord::new(format!("{OWNER_PREFIX}{shard}"), to_json(&claim)));
     }
     let fleet = format!("{OWNER_PREFIX}{FLEET}");
-    let (fleet, pools): (Vec<_>, Vec<_>) = records.into_iter().partition(|r| r.key == fleet);
+    let (fleet, others): (Vec<_>, Vec<_>) = records.into_iter().partition(|r| r.key == fleet);
     // Orders to the machine service that are in flight are answered within this time.
     let release_fleet = async {
         tokio::time::sleep(LAST_ORDERS_WAIT).await;
         release(node, &fleet).await;
     };
-    tokio::join!(release(node, &pools), release_fleet);
+    tokio::join!(release(node, &others), release_fleet);
 }
 
 /// Writes records that release what this node owns.
@@ -237,5 +238,5 @@
 /// How long to wait for orders that are in flight when the owner of the fleet stops: the machine service answers
 /// within about 20 ms.
 const LAST_ORDERS_WAIT: Duration = Duration::from_millis(150);
-/// The maximum number of attempts to release pools. If all fail, other nodes claim the pools after the lease ends.
+/// The maximum number of attempts to release shards. If all fail, other nodes claim the shards after the lease ends.
 const RELEASE_TRIES: u32 = 10;
--- a/crates/scheduler/src/find_job.rs
+++ b/crates/scheduler/src/find_job.rs
@@ -108,7 +108,7 @@
     }
 }
 
-/// Reads until all records that the store had at the call are known for a job, and returns the job's state.
+/// Reads all records about a job that the store had at the time of the call, and returns the job's state.
 async fn local_state(node: &Node, log: &PoolLog, id: JobId, caller: &Caller) -> QueryReply {
     let since = steady_ms();
     let mut all_read = true;
--- a/crates/scheduler/src/fleet_owner/mod.rs
+++ b/crates/scheduler/src/fleet_owner/mod.rs
@@ -40,6 +40,7 @@
 const LIST_BUSY_MS: Ms = 400;
 /// How often the VMs are listed otherwise, in milliseconds.
 const LIST_IDLE_MS: Ms = 3_000;
+
 /// Returns the key of a pool's report.
 pub fn pool_key(pool: &str) -> String {
     format!("{POOL_PREFIX}{pool}")
@@ -200,9 +201,9 @@
 
     /// Writes the rows that differ from the record in the store, in as many appends as needed. Orders are sent after
     /// the last append.
-    async fn write_changes(&mut self, now: &FleetRecord) -> Result<(), Fenced> {
+    async fn write_changes(&mut self, current: &FleetRecord) -> Result<(), Fenced> {
         let mut records: Vec<KeyedRecord> =
-            now.changes_since(&self.written).iter().map(rows::to_record).collect();
+            current.changes_since(&self.written).iter().map(rows::to_record).collect();
         if std::mem::take(&mut self.drop_legacy) {
             records.push(rows::drop_legacy_record());
         }
@@ -219,8 +220,9 @@
     fn apply_config(&mut self) {
         let Some(catalog) = self.node.catalog.borrow().clone() else { return };
         let working: HashSet<Arc<str>> = catalog.working_pools().cloned().collect();
-        let off = catalog.pools.iter().find(|p| p.switched_off).map(|p| p.name.clone());
-        self.fleet.set_pools(working, off);
+        let switched_off_pool =
+            catalog.pools.iter().find(|p| p.switched_off).map(|p| p.name.clone());
+        self.fleet.set_pools(working, switched_off_pool);
         self.fleet.set_halls(self.node.halls.borrow().clone());
         for wave in self.node.waves.borrow().iter() {
             self.fleet.set_wave(wave.clone());
@@ -242,9 +244,9 @@
         }
     }
 
-    fn log_changes(&self, now: &FleetRecord) {
+    fn log_changes(&self, current: &FleetRecord) {
         let has_changed = |work: &&VmWork| self.written.work_on(&work.vm) != Some(*work);
-        for work in now.work.iter().filter(has_changed) {
+        for work in current.work.iter().filter(has_changed) {
             log::info!(
                 "fleet step=work vm={} purpose={:?} stage={:?}",
                 work.vm,
@@ -252,7 +254,7 @@
                 work.stage
             );
         }
-        for work in self.written.work.iter().filter(|w| now.work_on(&w.vm).is_none()) {
+        for work in self.written.work.iter().filter(|w| current.work_on(&w.vm).is_none()) {
             log::info!("fleet step=finished vm={} purpose={:?}", work.vm, work.purpose);
         }
     }
--- a/crates/scheduler/src/fleet_owner/records.rs
+++ b/crates/scheduler/src/fleet_owner/records.rs
@@ -14,8 +14,8 @@
 use crate::locks::lock;
 use crate::node::Node;
 
-/// The shortest time for which a predecessor that did not release the fleet has sent no order, in milliseconds:
-/// another node replaces it at least this long after its lease ended or it restarted.
+/// The shortest time, in milliseconds, between the last order of a predecessor that did not release the fleet and this
+/// node's takeover: an owner is replaced no sooner than this after its lease ended or it restarted.
 const NO_ORDERS_MS: Ms = 400;
 /// Margin added to the shortest time between orders of different nodes, in milliseconds.
 const GAP_MARGIN_MS: Ms = 300;
--- a/crates/scheduler/src/journal.rs
+++ b/crates/scheduler/src/journal.rs
@@ -11,7 +11,7 @@
 
 /// Pause before an append is retried.
 pub const RETRY_PAUSE: Duration = Duration::from_millis(30);
-/// The first backoff of a partition that did not accept an append while another partition accepts appends, in milliseconds.
+/// The backoff of a partition after its first failed append, in milliseconds; other partitions are used in the meantime.
 const PARTITION_BACKOFF_MS: Ms = 400;
 
 /// The maximum number of doublings of that backoff, which limit it to 3.2 s: each attempt on an unresponsive partition delays
@@ -37,6 +37,7 @@
 pub struct Journal {
     topic: String,
     partitions: Vec<PartitionState>,
+    /// The owner's token, which the store compares with the epochs of other writers.
     epoch: u64,
 }
 
@@ -109,7 +110,8 @@
         }
     }
 
-    /// Tries each partition that is due once; returns where the records were appended, if anywhere.
+    /// Tries each open partition that is not in backoff once, or each open one if all are in backoff, until one accepts the
+    /// records; returns where they were appended, if anywhere.
     pub async fn try_append(
         &mut self,
         node: &Node,
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -68,10 +68,10 @@
     catalog.workspaces.inherit_limits(before.as_ref().map(|b| &b.workspaces), catalog.version);
     let catalog = Arc::new(catalog);
     for pool in catalog.working_pools() {
-        node.pool_log(pool);
+        node.ensure_pool_log(pool);
     }
     for queue in catalog.queues() {
-        node.pool_log(&queue.pool);
+        node.ensure_pool_log(&queue.pool);
     }
     node.catalog.send_replace(Some(catalog));
 }
@@ -129,6 +129,7 @@
     }
     let requested = stored.record.value().is_some();
     node.halls.send_if_modified(|halls| {
+        // Nothing to do if the hall is in the requested state already.
         if requested != halls.accepts_work(hall) {
             return false;
         }
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -1,4 +1,4 @@
-//! The state that all tasks of a node share.
+//! The state that all async tasks of a node share.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,14 +20,14 @@
 use crate::pool_log::PoolLog;
 use crate::store_health::StoreHealth;
 
-/// The longest lease of a task, in milliseconds: long enough for a pool to change its owner without losing work, and short
+/// The longest lease of a job's task, in milliseconds: long enough for a pool to change its owner without losing work, and short
 /// enough that the tasks of a disconnected VM soon start elsewhere.
 const TASK_LEASE_MS: Ms = 6_000;
 
 /// VMs by ID, each in the incarnation that the store lists.
 pub type VmTable = HashMap<Arc<str>, Arc<VmFacts>>;
 
-/// The state that all tasks of a node share.
+/// The state that all async tasks of a node share.
 pub struct Node {
     /// The node's settings.
     pub settings: SchedulerSettings,
@@ -59,16 +59,16 @@
     pub halls: watch::Sender<Arc<Halls>>,
     /// When the latest read that reached the end of the operator's requests was sent; 0 before the first one.
     operator_read_at: AtomicU64,
-    /// The owners of pools and of the fleet, and the member nodes.
+    /// The owners of the pools, the fleet and the caps, and the member nodes.
     pub ownership: Mutex<Ownership>,
     /// The offset up to which the claims have been read.
     pub claims_end: ClaimsEnd,
-    /// Wakes the task that starts and stops owners.
+    /// Wakes the async task that starts and stops owners.
     pub ownership_changed: tokio::sync::Notify,
     pools: Mutex<HashMap<Arc<str>, Arc<PoolLog>>>,
     /// The time until which this node may act as owner, by the steady clock in milliseconds.
     lease_until: AtomicU64,
-    /// Whether this node owns a pool or the fleet.
+    /// Whether this node owns a pool, the fleet or the caps.
     pub is_owner: OwnershipFlag,
     /// Whether this node is stopping: it releases what it owns and reports that it is not ready for new connections.
     pub stopping: watch::Sender<bool>,
@@ -108,7 +108,7 @@
     }
 
     /// Returns a pool's log, creating it at the first call.
-    pub fn pool_log(self: &Arc<Self>, pool: &Arc<str>) -> Arc<PoolLog> {
+    pub fn ensure_pool_log(self: &Arc<Self>, pool: &Arc<str>) -> Arc<PoolLog> {
         let mut pools = lock(&self.pools);
         if let Some(log) = pools.get(pool) {
             return log.clone();
@@ -157,14 +157,14 @@
         steady_ms() < self.lease_until.load(Ordering::Relaxed)
     }
 
-    /// Returns whether this node may currently act as owner of a shard under a token.
+    /// Returns whether this node may currently act under a token as the owner of a shard: a pool, the fleet or the caps.
     pub fn may_act(&self, shard: &str, token: u64) -> bool {
-        // The lease may become valid again before the task of an owner that was replaced in the meantime has ended.
+        // The lease may become valid again while the async task of an owner that was replaced in the meantime still runs.
         self.lease_valid() && lock(&self.ownership).my_token(shard) == Some(token)
     }
 
-    /// Extends the lease after the store has written a heartbeat that was sent at `sent_at`, if this node may act as owner or has
-    /// read all claims since.
+    /// Extends the lease after the store has written a heartbeat or a claim that was sent at `sent_at`. To be called only if the
+    /// lease is still valid, this node owns nothing, or it has applied all current claims.
     pub fn renew_lease(&self, sent_at: Ms) {
         self.lease_until.fetch_max(sent_at + OWNER_LEASE_MS, Ordering::Relaxed);
     }
@@ -174,7 +174,7 @@
         self.lease_until.store(0, Ordering::Relaxed);
     }
 
-    /// Returns the longest lease of a task, in milliseconds.
+    /// Returns the longest lease of a job's task, in milliseconds.
     pub fn task_lease(&self) -> Ms {
         let max = self.settings.max_task_lease.0.as_millis();
         u64::try_from(max).map_or(TASK_LEASE_MS, |max| max.min(TASK_LEASE_MS))
--- a/crates/scheduler/src/overview.rs
+++ b/crates/scheduler/src/overview.rs
@@ -35,7 +35,6 @@
     unreadable: Vec<String>,
 }
 
-/// A pool.
 #[derive(Debug, Default, Serialize)]
 struct PoolView {
     owner: Option<OwnerView>,
@@ -52,7 +51,7 @@
     uses: Vec<CapUse>,
 }
 
-/// The owner of a pool.
+/// The owner of a pool or of the fleet.
 #[derive(Debug, Serialize)]
 struct OwnerView {
     node: String,
@@ -60,7 +59,6 @@
     released: bool,
 }
 
-/// A job.
 #[derive(Debug, Serialize)]
 struct JobView {
     id: String,
--- a/crates/scheduler/src/owner/link/hold.rs
+++ b/crates/scheduler/src/owner/link/hold.rs
@@ -1,4 +1,5 @@
-//! Renews the lease of a VM and receives the ends of its runs.
+//! Renews the lease of a VM and receives the ends of its runs, both with `hold` calls, which the VM may leave open until a
+//! run ends.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -79,8 +80,8 @@
                 let last = held.report.ended.iter().map(|e| e.sequence).max();
                 link.send_event(Event::Report(link.vm.clone(), held.report));
                 if let Some(last) = last {
-                    let settled = acked.wait_for(|&acked| acked >= last);
-                    if tokio::time::timeout(ACK_TIMEOUT, settled).await.is_err() {
+                    let all_acked = acked.wait_for(|&acked| acked >= last);
+                    if tokio::time::timeout(ACK_TIMEOUT, all_acked).await.is_err() {
                         tokio::time::sleep(UNACKED_PAUSE).await;
                         wait = Duration::ZERO;
                     }
@@ -95,7 +96,7 @@
                 return;
             }
             Err(e) if reachable && !wait.is_zero() => {
-                // One answer may have been lost. A query that does not wait for ends soon shows whether the VM still answers.
+                // One answer may have been lost. A call that does not wait for ends soon shows whether the VM still answers.
                 log::info!("vm step=asked-again vm={} error=\"{e}\"", link.vm);
                 lock(&link.lease).set_unresponsive();
                 wait = Duration::ZERO;
@@ -108,8 +109,8 @@
                 reachable = false;
                 lock(&link.lease).set_unresponsive();
                 wait = Duration::ZERO;
-                let over = lock(&link.lease).is_expired(steady_ms());
-                if over && !loss_reported {
+                let lease_expired = lock(&link.lease).is_expired(steady_ms());
+                if lease_expired && !loss_reported {
                     loss_reported = true;
                     link.send_loss(VmLoss::LeaseOver);
                 }
--- a/crates/scheduler/src/owner/link/mod.rs
+++ b/crates/scheduler/src/owner/link/mod.rs
@@ -25,15 +25,15 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Pause while this node may not act as owner.
 const NO_LEASE_PAUSE: Duration = Duration::from_millis(50);
-/// How long a call waits for the end of a run where none is expected. A longer wait needs fewer calls; each call
+/// How long a call waits for the end of a run on a VM where none is expected. A longer wait needs fewer calls; each call
 /// renews the lease.
 const LEASE_WAIT: Duration = Duration::from_millis(1_500);
-/// How long a call waits where tasks run that end by themselves. While a call is left unanswered the owner cannot
-/// receive their ends: at 1.5 s, ends of tasks of one second arrived up to 2.1 s late. Over three days on
+/// How long a call waits on a VM where tasks run that end by themselves. While a call is left unanswered the owner
+/// cannot receive their ends: at 1.5 s, ends of tasks of one second arrived up to 2.1 s late. Over three days on
 /// which VMs leave calls unanswered, jobs earn 0.53 of the value due, less costs, at 0.5 s and 0.49 at 1.5 s (means of
 /// four runs).
 const ENDS_WAIT: Duration = Duration::from_millis(500);
-/// How long a call waits where serving and filling tasks run on the same VM, whose metrics cover the last half second.
+/// How long a call waits on a VM where both serving and filling tasks run, whose metrics cover the last half second.
 const METRICS_WAIT: Duration = Duration::from_millis(400);
 /// The most orders of one kind that are in flight to one VM.
 const MAX_ORDERS_IN_FLIGHT: usize = 2;
@@ -82,18 +82,18 @@
     /// Opens the link; `losses` numbers all losses reported to the owner.
     pub fn open(
         node: &Arc<Node>,
-        vm: &Arc<VmFacts>,
+        facts: &Arc<VmFacts>,
         token: LinkToken,
         tx: UnboundedSender<Event>,
         losses: Arc<LossCounter>,
     ) -> Self {
         let shared = Arc::new(Shared {
             node: node.clone(),
-            vm: vm.id.clone(),
-            pool: vm.pool.clone(),
-            hall: vm.hall.clone(),
+            vm: facts.id.clone(),
+            pool: facts.pool.clone(),
+            hall: facts.hall.clone(),
             token,
-            client: WorkerClient::new(vm.addr, vm.id.clone()),
+            client: WorkerClient::new(facts.addr, facts.id.clone()),
             lease: Mutex::new(TaskLease::new(node.task_lease(), steady_ms())),
             acked: watch::Sender::new(0),
             closed: AtomicBool::new(false),
@@ -108,7 +108,7 @@
             tx,
         });
         let hold_task = tokio::spawn(hold::run(shared.clone())).abort_handle();
-        Self { shared, facts: vm.clone(), handled_loss: LossNumber::default(), hold_task }
+        Self { shared, facts: facts.clone(), handled_loss: LossNumber::default(), hold_task }
     }
 
     /// Returns the incarnation of the VM.
@@ -156,7 +156,7 @@
         });
     }
 
-    /// Sets how often the VM is polled while no run ends.
+    /// Sets how long a call waits for the end of a run, by what the owner polls the VM for.
     pub fn set_poll_reason(&self, reason: PollReason) {
         let wait = match reason {
             PollReason::Metrics => METRICS_WAIT,
--- a/crates/scheduler/src/owner/mod.rs
+++ b/crates/scheduler/src/owner/mod.rs
@@ -43,6 +43,7 @@
 /// How often all VMs are checked, in milliseconds. Checking them at each step is most of the cost of a step in a
 /// large pool.
 const VM_CHECK_EVERY_MS: Ms = 100;
+
 /// An event that the owner handles.
 #[derive(Debug)]
 pub enum Event {
@@ -98,6 +99,7 @@
 }
 
 impl Owner {
+    /// Handles events and changes of the node's state and takes the steps of the schedule, until this owner is fenced.
     async fn work(&mut self, mut rx: UnboundedReceiver<Event>) -> Result<(), Fenced> {
         let mut vms = self.node.vms.subscribe();
         let mut fleet = self.node.fleet.subscribe();
--- a/crates/scheduler/src/owner/progress.rs
+++ b/crates/scheduler/src/owner/progress.rs
@@ -26,11 +26,12 @@
 /// Numbers the owner's progress records and tracks which partitions hold them.
 #[derive(Debug)]
 pub(super) struct ProgressWriter {
-    next: Version,
-    /// Jobs whose newest progress is in a fallback or overflow partition and must be copied to the first one, with
-    /// that partition.
+    last_version: Version,
+    /// Jobs whose newest progress is in a fallback or overflow partition and must be copied to the first one, each with
+    /// the partition that holds it.
     overflowed: BTreeSet<(JobId, u32)>,
-    /// Jobs whose progress in a fallback or overflow partition is outdated and may be dropped, with that partition.
+    /// Jobs whose progress in a fallback or overflow partition is outdated and may be dropped, each with
+    /// that partition.
     outdated: BTreeSet<(JobId, u32)>,
     /// Whether this owner or its predecessor announced that the overflow partitions may hold progress.
     overflow_announced: bool,
@@ -45,7 +46,7 @@
     /// first partition.
     pub fn new(token: u64, overflowed: BTreeSet<(JobId, u32)>, overflow_announced: bool) -> Self {
         Self {
-            next: Version { token, number: 0 },
+            last_version: Version { token, number: 0 },
             overflowed,
             outdated: BTreeSet::new(),
             overflow_announced,
@@ -54,9 +55,9 @@
         }
     }
 
-    fn number(&mut self) -> Version {
-        self.next.number += 1;
-        self.next
+    fn next_version(&mut self) -> Version {
+        self.last_version.number += 1;
+        self.last_version
     }
 
     /// Records to which partition the progress of some jobs was written.
@@ -107,7 +108,7 @@
         let mut batch = Vec::new();
         let mut keyed = Vec::new();
         for (id, progress) in records {
-            let version = self.writer.number();
+            let version = self.writer.next_version();
             let record = KeyedRecord::new(progress_key(id), encode_progress(version, &progress));
             if size + record.framed_len() > self.node.settings.max_append_bytes && !keyed.is_empty()
             {
@@ -145,8 +146,8 @@
     }
 
     /// Opens the overflow partitions because neither the first nor the fallback partition accepts progress. Without
-    /// them, a pool stalls for 5.7 s at the onset of its peak load, and its kind of request earns 0.37 of the value due
-    /// on that day.
+    /// them, a pool stalls for 5.7 s if that happens at the onset of its peak load, and requests of its kind earn 0.37
+    /// of the value due on such a day.
     async fn open_overflow_partitions(&mut self) {
         let is_open = self.journal.parts().any(|part| OVERFLOW_PROGRESS.contains(&part));
         if is_open || !self.writer.may_try_overflow() {
--- a/crates/scheduler/src/owner/purge.rs
+++ b/crates/scheduler/src/owner/purge.rs
@@ -18,7 +18,7 @@
 const PURGE_BATCH: usize = 500;
 
 impl Owner {
-    /// Drops the records of jobs that settled before the retention time.
+    /// Drops the records of jobs that settled longer ago than the retention time.
     pub(super) async fn purge(&mut self) -> Result<(), Fenced> {
         if steady_ms().saturating_sub(self.purged_at) < PURGE_EVERY_MS {
             return Ok(());
--- a/crates/scheduler/src/owner/quota.rs
+++ b/crates/scheduler/src/owner/quota.rs
@@ -14,8 +14,8 @@
 use crate::clock::steady_ms;
 use crate::control::TOPIC;
 
-/// The shortest time between two reports of cap use, in milliseconds: a share moves within about two reports, and a
-/// pool's demand changes with each task.
+/// The shortest time between two reports of cap use, in milliseconds: a share moves to another pool within about two
+/// reports, and a pool's demand changes with each task.
 const REPORT_EVERY_MS: Ms = 40;
 /// Pause before a failed read of the records is retried.
 const READ_RETRY_PAUSE: Duration = Duration::from_millis(100);
@@ -38,7 +38,7 @@
 
 impl Owner {
     /// Applies the workspaces of the current configuration, and starts reading the records of their caps once there
-    /// are any: one call for each change of a pool's owner.
+    /// are any workspaces: one call to the store each time a pool changes its owner.
     pub(super) fn apply_workspaces(&mut self) {
         let Some(catalog) = self.node.catalog.borrow().clone() else { return };
         self.pool.set_workspaces(catalog.version, catalog.workspaces.all());
@@ -77,8 +77,8 @@
     /// Reports the use of workspaces that need larger shares or whose shares have changed.
     pub(super) fn report_cap_use(&mut self) {
         let now = steady_ms();
-        let quiet = now.saturating_sub(self.quota.reported_at) < REPORT_EVERY_MS;
-        if !self.quota.read || quiet || self.quota.in_flight.load(Ordering::Relaxed) {
+        let reported_recently = now.saturating_sub(self.quota.reported_at) < REPORT_EVERY_MS;
+        if !self.quota.read || reported_recently || self.quota.in_flight.load(Ordering::Relaxed) {
             return;
         }
         self.quota.reported_at = now;
--- a/crates/scheduler/src/owner/report.rs
+++ b/crates/scheduler/src/owner/report.rs
@@ -21,7 +21,8 @@
 const CHANGE_INTERVAL_MS: Ms = 250;
 /// The shortest time, in milliseconds, if only the work on the pool's VMs has changed.
 const WORK_INTERVAL_MS: Ms = 1_000;
-/// A need that has grown by one part in this many is reported with the shortest interval.
+/// A need that has grown by more than one part in this many, and by more than an average VM's CPU, is reported with
+/// the shortest interval.
 const JUMP_DIVISOR: u64 = 8;
 /// The unit to which needs are rounded up, in thousandths of a core: smaller changes are not reported.
 const NEED_UNIT: u64 = 1_000;
--- a/crates/scheduler/src/owner/tokens.rs
+++ b/crates/scheduler/src/owner/tokens.rs
@@ -1,7 +1,7 @@
 //! Tokens of an owner's links.
 
 /// The number of low bits of a wire token that number the links of one owner. Tokens repeat once an owner has opened
-/// more links than they can number.
+/// more links than these bits can number.
 const LINK_BITS: u32 = 24;
 const LAST_LINK: u64 = (1 << LINK_BITS) - 1;
 
--- a/crates/scheduler/src/owner/vms.rs
+++ b/crates/scheduler/src/owner/vms.rs
@@ -17,8 +17,8 @@
     /// Applies the current VM list.
     pub(super) fn apply_vm_list(&mut self, table: &VmTable) {
         let table = &*self.name_incarnations(table);
-        let listed = self.pool.vm_summaries();
-        self.incarnation_times.record_list(table, |id| listed.iter().any(|vm| vm.id == *id));
+        let pool_vms = self.pool.vm_summaries();
+        self.incarnation_times.record_list(table, |id| pool_vms.iter().any(|vm| vm.id == *id));
         let pool = self.log.pool.clone();
         for facts in table.values().filter(|f| f.pool == pool) {
             if self.pool.list_vm(facts.clone()) {
@@ -32,7 +32,7 @@
                 Some(_) | None => self.open_link(facts),
             }
         }
-        for vm in listed {
+        for vm in pool_vms {
             if listed_entry(table, &vm.id).is_some_and(|f| f.pool == self.log.pool) {
                 continue;
             }
@@ -43,7 +43,7 @@
         }
         // A VM that became unresponsive while it ran a task may be listed again in another pool.
         for (vm, name) in self.pool.unclear_losses() {
-            // The leftover entry of an earlier incarnation is no evidence.
+            // The leftover entry of an earlier incarnation does not show that this one has ended.
             let successor = |f: &VmFacts| {
                 *f.name == *name && f.id != vm && !self.incarnation_times.is_later(&vm, &f.id)
             };
@@ -161,10 +161,10 @@
 
     /// Records VMs that have runs but no link: their runs count until the lease has ended.
     fn record_orphans(&mut self) {
-        let over_at = steady_ms() + max_lease_duration(self.node.task_lease());
+        let expires_at = steady_ms() + max_lease_duration(self.node.task_lease());
         for vm in self.pool.unlisted_with_runs() {
             if self.link(&vm).is_none() {
-                self.orphans.entry(vm).or_insert(over_at);
+                self.orphans.entry(vm).or_insert(expires_at);
             }
         }
     }
@@ -172,13 +172,13 @@
     /// Handles VMs without a link as lost once their lease has ended.
     pub(super) fn expire_orphans(&mut self) {
         let now = now();
-        let over: Vec<VmIncarnation> = self
+        let expired: Vec<VmIncarnation> = self
             .orphans
             .iter()
             .filter(|(_, at)| now.steady >= **at)
             .map(|(vm, _)| vm.clone())
             .collect();
-        for vm in over {
+        for vm in expired {
             self.orphans.remove(&vm);
             self.lose_vm(&vm, VmLoss::LeaseOver);
         }
--- a/crates/scheduler/src/pool_log/mod.rs
+++ b/crates/scheduler/src/pool_log/mod.rs
@@ -25,15 +25,15 @@
 
 /// The partition to which any node appends submissions and cancellations.
 pub const SUBMISSIONS: u32 = 0;
-/// The partition to which only the pool's owner appends.
+/// The partition of progress, to which only the pool's owner appends.
 pub const PROGRESS: u32 = 1;
 /// The fallback partition, to which any node appends submissions and cancellations that the first one does not
 /// accept: an outage of the store may affect only some partitions.
 pub const FALLBACK_SUBMISSIONS: u32 = 2;
 /// The fallback partition of progress, to which the owner appends while the first one does not accept records.
 pub const FALLBACK_PROGRESS: u32 = 3;
-/// The overflow partitions, to which progress is appended while neither of the two accepts it. The owner announces
-/// their use first.
+/// The overflow partitions, to which the owner appends progress while neither of these two accepts it. The owner
+/// announces their use first.
 pub const OVERFLOW_PROGRESS: [u32; 2] = [5, 7];
 /// The partitions of submissions, in the order in which they are tried.
 pub const SUBMISSION_PARTITIONS: [u32; 2] = [SUBMISSIONS, FALLBACK_SUBMISSIONS];
@@ -83,7 +83,7 @@
 }
 
 impl PoolLog {
-    /// Creates a pool's log and starts the tasks that read and write it.
+    /// Creates a pool's log and starts the async tasks that read and write it.
     pub fn start(node: &Arc<Node>, pool: &Arc<str>) -> Arc<Self> {
         let (submitter, rx) = tokio::sync::mpsc::unbounded_channel();
         let log = Arc::new(Self {
@@ -122,7 +122,7 @@
         self.owned.get()
     }
 
-    /// Returns whether the pool has an owner now, as the caller states with `has_one`, or had one before.
+    /// Returns whether the pool has or had an owner; `has_one` states whether it has one now.
     pub fn has_had_owner(&self, has_one: bool) -> bool {
         self.had_owner.fetch_or(has_one, Ordering::Relaxed) || has_one
     }
@@ -134,7 +134,7 @@
 
     /// Passes a submission or a cancellation to the task that appends.
     pub fn submit(&self, submission: Submission) {
-        // The task ends only with the process; the caller then sees its reply channel closed.
+        // The task ends only with the process; the submission's outcome channel is then closed.
         let _ = self.submitter.send(submission);
     }
 
--- a/crates/scheduler/src/pool_log/read.rs
+++ b/crates/scheduler/src/pool_log/read.rs
@@ -17,8 +17,9 @@
 /// How often a standby reads new records of a pool, so that it has few left to read when it takes the pool over.
 /// Records that callers request are read on request.
 const STANDBY_READ_EVERY: Duration = Duration::from_millis(4_000);
-/// The age of the last complete read up to which a partition is read on from there, in milliseconds. After a longer
-/// time, the newest record of each key is smaller than the records since, as each progress record is written whole.
+/// The greatest age of the last complete read at which reading continues from its end, in milliseconds. After a longer
+/// time, the newest record of each key is read instead: this is less data than all records since, because each progress
+/// record contains the whole progress of its job.
 const MAX_RESUME_AGE_MS: Ms = 10_000;
 /// How long the owner's read waits for submissions. An append that is in flight when the read arrives does not end
 /// the wait, so this is the longest delay of its job.
@@ -55,6 +56,7 @@
         cursor: &mut Cursor,
         began: Ms,
     ) -> Result<(), StoreError> {
+        // `read_at` is 0 after the newest record of each key was read, until a read reaches the end.
         let is_old = began.saturating_sub(cursor.read_at) > MAX_RESUME_AGE_MS;
         let Some(from) = cursor.next.filter(|_| !is_old || cursor.read_at == 0) else {
             let newest = node.store.newest(&self.topic, part).await?;
--- a/crates/scheduler/src/pool_log/submission_partitions.rs
+++ b/crates/scheduler/src/pool_log/submission_partitions.rs
@@ -24,7 +24,8 @@
 
 impl PoolLog {
     /// Records that a partition did not answer an append of submissions, and probes it until it answers. The probes
-    /// run in a task of their own: made by callers, they held up one caller in each half second for 0.8 s.
+    /// run in a task of their own: made while a caller's request is handled, they would delay one caller in each half
+    /// second by 0.8 s.
     pub fn mark_unresponsive(self: &Arc<Self>, node: &Arc<Node>, part: u32) {
         if self.partition_state(part).unresponsive.send_replace(true) {
             return;
--- a/crates/scheduler/src/readiness.rs
+++ b/crates/scheduler/src/readiness.rs
@@ -40,11 +40,11 @@
     if is_ready(node) { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }
 }
 
-/// Returns whether this node accepts connections: it has a configuration, has known an owner of each pool to query about
-/// jobs, has recent replies from the store, and is not stopping.
+/// Returns whether this node accepts connections: it has a configuration, has at some time known an owner of each pool, which
+/// it queries about jobs, has recent replies from the store, and is not stopping.
 fn is_ready(node: &Node) -> bool {
-    let known = node.catalog.borrow().is_some();
-    known
+    let configured = node.catalog.borrow().is_some();
+    configured
         && node.store_health.is_reachable()
         && !*node.stopping.borrow()
         && find_job::has_known_all_owners(node)
--- a/crates/scheduler/src/reply.rs
+++ b/crates/scheduler/src/reply.rs
@@ -62,8 +62,8 @@
 }
 
 /// The body stalled, and nothing was accepted.
-pub fn body_timeout(within: Duration) -> Reply {
-    let remedy = format!("send each part of the body within {} ms", within.as_millis());
+pub fn body_timeout(part_timeout: Duration) -> Reply {
+    let remedy = format!("send each part of the body within {} ms", part_timeout.as_millis());
     error(StatusCode::REQUEST_TIMEOUT, &remedy)
 }
 
@@ -72,9 +72,9 @@
     error(StatusCode::METHOD_NOT_ALLOWED, "use POST, GET or DELETE")
 }
 
-/// Nothing was accepted; the caller may retry.
-pub fn unavailable(why: &str) -> Reply {
-    let mut reply = error(StatusCode::SERVICE_UNAVAILABLE, why);
+/// This node cannot handle the request now and accepted nothing; the caller may retry.
+pub fn unavailable(remedy: &str) -> Reply {
+    let mut reply = error(StatusCode::SERVICE_UNAVAILABLE, remedy);
     reply.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_S));
     reply
 }
--- a/crates/scheduler/src/request_body.rs
+++ b/crates/scheduler/src/request_body.rs
@@ -17,16 +17,21 @@
     Broken(String),
 }
 
-/// Reads a body of at most `limit` bytes. Each part of the body must arrive within `within`, so that a slow link may still
-/// send a large body. Without this timeout, 400 senders that stall in the middle of a body hold 400 file descriptors forever.
-pub async fn read(body: Incoming, limit: usize, within: Duration) -> Result<Bytes, BodyError> {
+/// Reads a body of at most `limit` bytes. Each part of the body must arrive within `part_timeout`, so that a slow link may
+/// still send a large body. Without this timeout, 400 senders that stall in the middle of a body hold 400 file descriptors
+/// forever.
+pub async fn read(
+    body: Incoming,
+    limit: usize,
+    part_timeout: Duration,
+) -> Result<Bytes, BodyError> {
     let mut incoming = Limited::new(body, limit);
     let mut body = Vec::new();
     loop {
-        let frame = match tokio::time::timeout(within, incoming.frame()).await {
+        let frame = match tokio::time::timeout(part_timeout, incoming.frame()).await {
             Ok(Some(frame)) => frame,
             Ok(None) => return Ok(body.into()),
-            Err(_) => return Err(BodyError::Stalled(within)),
+            Err(_) => return Err(BodyError::Stalled(part_timeout)),
         };
         match frame {
             // Trailers are ignored.
--- a/crates/scheduler/src/stats.rs
+++ b/crates/scheduler/src/stats.rs
@@ -8,7 +8,7 @@
 
 use crate::node::Node;
 
-/// Updates the gauges and returns all metrics as text.
+/// Updates the gauges and returns all metrics in the Prometheus text format.
 pub fn render(node: &Arc<Node>, handle: &PrometheusHandle) -> String {
     let version = node.catalog.borrow().as_ref().map_or(0, |c| c.version);
     gauge!("thistle_config_version").set(version as f64);
--- a/crates/scheduler/src/submit.rs
+++ b/crates/scheduler/src/submit.rs
@@ -17,7 +17,7 @@
 use crate::pool_log::PoolLog;
 use crate::write_outcome::WriteOutcome;
 
-/// How long a submission waits in the queue at most, in milliseconds: while the store is unresponsive, each earlier append
+/// The longest time that a submission waits in the queue, in milliseconds: while the store is unresponsive, each earlier append
 /// takes a second, and a caller that gets an early reply can still retry.
 const MAX_QUEUE_WAIT_MS: Ms = 1_000;
 /// The number of concurrent appends, so that an append that waits for the store does not block the next one.
@@ -91,7 +91,7 @@
         batch.into_iter().map(|s| (s.record, (s.at, s.outcome_tx))).unzip();
     let oldest = waiting.iter().map(|(at, _)| *at).min().unwrap_or_default();
     let outcomes = match forwarded {
-        true => append_all(node, log, &records, oldest).await,
+        true => append_as_owner(node, log, &records, oldest).await,
         false => write_local(node, log, &records, oldest).await,
     };
     for ((_, outcome_tx), outcome) in waiting.into_iter().zip(outcomes) {
@@ -108,7 +108,7 @@
     oldest: Ms,
 ) -> Vec<WriteOutcome> {
     if lock(&node.ownership).relay_of_owner(&log.pool).is_none() {
-        return append_all(node, log, records, oldest).await;
+        return append_as_owner(node, log, records, oldest).await;
     }
     let mut may_be_written = false;
     if !node.store.is_slow() {
@@ -119,7 +119,7 @@
     }
     let outcomes = match forward::to_owner(node, log, records).await {
         Some(outcomes) => outcomes,
-        None => append_all(node, log, records, oldest).await,
+        None => append_as_owner(node, log, records, oldest).await,
     };
     if !may_be_written {
         return outcomes;
@@ -127,7 +127,7 @@
     outcomes.into_iter().map(WriteOutcome::after_uncertain_append).collect()
 }
 
-async fn append_all(
+async fn append_as_owner(
     node: &Arc<Node>,
     log: &Arc<PoolLog>,
     records: &[KeyedRecord],
