--- a/crates/scheduler/tests/cancels.rs
+++ b/crates/scheduler/tests/cancels.rs
@@ -9,8 +9,8 @@
 use system::{System, job, send, submit, wait_until, wait_until_state};
 
 const ID: &str = "5c0e7a21d94b36f8";
-/// Longer than the delay after which a VM executes an order that it did not answer.
-const LATE_ORDERS_DONE: Duration = Duration::from_secs(4);
+/// The time within which VMs execute orders that they did not answer.
+const LATE_ORDERS_WITHIN: Duration = Duration::from_secs(4);
 
 async fn cancel(system: &System, node: usize) {
     let answer = send(&system.nodes[node], Method::DELETE, &format!("/quotes/{ID}")).await;
@@ -39,7 +39,7 @@
 }
 
 /// Guards against tasks of a cancelled job that start after the cancel. A VM stops answering while starts are sent, the
-/// job is cancelled, and the VM answers again. If unanswered starts are then sent again, and starts that waited in the
+/// job is cancelled, and the VM answers again. If unanswered starts are then sent again, and starts that waited for the
 /// rate limit are sent together with the stops of the same runs, a start that arrives before its stop begins a run.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -54,7 +54,7 @@
     tokio::time::sleep(Duration::from_millis(600)).await;
     set_all_unresponsive(&system, false);
     wait_until_state(&system.nodes[0], ID, "cancelled").await;
-    tokio::time::sleep(LATE_ORDERS_DONE).await;
+    tokio::time::sleep(LATE_ORDERS_WITHIN).await;
     expect_that!(system.starts_of(ID).len(), eq(0));
     expect_that!(runs_somewhere(&system), eq(false));
 }
@@ -67,14 +67,14 @@
     submit(&system.nodes[0], ID, &job(4, 0)).await;
     wait_until_order_sent(&system).await;
     cancel(&system, 0).await;
-    tokio::time::sleep(LATE_ORDERS_DONE).await;
+    tokio::time::sleep(LATE_ORDERS_WITHIN).await;
     wait_until("nothing runs", async || !runs_somewhere(&system)).await;
     wait_until_state(&system.nodes[0], ID, "cancelled").await;
 }
 
 /// Cancels a job before or after its owner is killed and not restarted while its starts are sent, and checks that all its
 /// tasks end.
-async fn job_ends_without_its_owner(net: u8, cancel_first: bool, unreachable: bool) {
+async fn expect_job_ends_without_owner(net: u8, cancel_first: bool, unreachable: bool) {
     let mut system = System::start(net, 2, 2).await;
     wait_until("a node owns the pool", async || system.owner().is_some()).await;
     let owner = system.owner().expect("there is one");
@@ -92,7 +92,7 @@
     }
     wait_until("the other node owns the pool", async || system.owner() == Some(other)).await;
     set_all_unresponsive(&system, false);
-    tokio::time::sleep(LATE_ORDERS_DONE).await;
+    tokio::time::sleep(LATE_ORDERS_WITHIN).await;
     wait_until("nothing runs", async || !runs_somewhere(&system)).await;
     wait_until_state(&system.nodes[other], ID, "cancelled").await;
 }
@@ -100,17 +100,17 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn tasks_end_if_their_job_is_cancelled_after_its_owner_died() {
-    job_ends_without_its_owner(72, false, false).await;
+    expect_job_ends_without_owner(72, false, false).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn tasks_end_if_their_owner_dies_right_after_their_job_is_cancelled() {
-    job_ends_without_its_owner(73, true, false).await;
+    expect_job_ends_without_owner(73, true, false).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn tasks_end_if_their_job_is_cancelled_while_their_vms_are_unreachable() {
-    job_ends_without_its_owner(74, false, true).await;
+    expect_job_ends_without_owner(74, false, true).await;
 }
--- a/crates/scheduler/tests/caps.rs
+++ b/crates/scheduler/tests/caps.rs
@@ -27,7 +27,7 @@
 async fn submit(node: &Node, id: &str, job: &Value) -> u16 {
     let path = format!("/quotes/{id}");
     let call = request(Method::POST, &path).with_json(job).with_header("api-key", "key-a");
-    node.callers().call(call).await.expect("the node answers").status
+    node.callers_client().call(call).await.expect("the node answers").status
 }
 
 async fn wait_until_in_force(system: &System, version: u64) {
--- a/crates/scheduler/tests/copies_of_starts.rs
+++ b/crates/scheduler/tests/copies_of_starts.rs
@@ -42,9 +42,9 @@
 #[derive(Clone, Copy, Debug)]
 enum FirstCopy {
     /// The copy is executed at once, and its answer is lost.
-    CarriedOut,
+    Executed,
     /// The copy is executed late, and its answer is lost.
-    CarriedOutLate,
+    ExecutedLate,
 }
 
 /// Starts a node and two VMs behind proxies that lose the answer to the first copy and refuse the next copies.
@@ -60,11 +60,11 @@
                     return request.forward().await;
                 }
                 match (copies.record_copy(&request), first) {
-                    (0, FirstCopy::CarriedOut) => {
+                    (0, FirstCopy::Executed) => {
                         request.forward().await;
                         None
                     }
-                    (0, FirstCopy::CarriedOutLate) => {
+                    (0, FirstCopy::ExecutedLate) => {
                         tokio::spawn(async move {
                             tokio::time::sleep(LATE_EXECUTION_DELAY).await;
                             request.forward().await;
@@ -102,21 +102,21 @@
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_task_is_started_once_if_the_answer_to_its_start_is_lost() {
-    expect_each_started_once(95, FirstCopy::CarriedOut, "").await;
+    expect_each_started_once(95, FirstCopy::Executed, "").await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_task_is_started_once_if_its_vm_answers_a_copy_with_503_or_429() {
-    expect_each_started_once(96, FirstCopy::CarriedOut, &http_response(503, "")).await;
-    expect_each_started_once(97, FirstCopy::CarriedOutLate, &http_response(429, "")).await;
+    expect_each_started_once(96, FirstCopy::Executed, &http_response(503, "")).await;
+    expect_each_started_once(97, FirstCopy::ExecutedLate, &http_response(429, "")).await;
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_task_is_started_once_if_its_vm_refuses_a_copy_of_its_start() {
     for (net, reason) in [(98, "room"), (99, "ticket"), (100, "old")] {
-        expect_each_started_once(net, FirstCopy::CarriedOut, &refusal_answer(reason)).await;
+        expect_each_started_once(net, FirstCopy::Executed, &refusal_answer(reason)).await;
     }
 }
 
@@ -127,5 +127,5 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_task_is_started_once_if_a_copy_is_executed_after_another_was_refused_for_lack_of_capacity()
  {
-    expect_each_started_once(101, FirstCopy::CarriedOutLate, &refusal_answer("room")).await;
+    expect_each_started_once(101, FirstCopy::ExecutedLate, &refusal_answer("room")).await;
 }
--- a/crates/scheduler/tests/evacuation.rs
+++ b/crates/scheduler/tests/evacuation.rs
@@ -49,10 +49,10 @@
     system.starts_in(hall).iter().filter(|(at, _)| *at >= since).count()
 }
 
-async fn wait_until_in_force(system: &System, step: &str, times: usize) {
+async fn wait_until_logged(system: &System, step: &str, times: usize) {
     let line = format!("step={step}");
     let all = async || system.nodes.iter().all(|node| node.log().matches(&line).count() >= times);
-    wait_until(&format!("all nodes know: {step}"), all).await;
+    wait_until(&format!("all nodes have logged step={step}"), all).await;
 }
 
 #[gtest]
@@ -88,7 +88,7 @@
 async fn jobs_wait_while_all_halls_are_evacuated() {
     let system = start_with_two_halls(201, 1).await;
     HALLS.iter().for_each(|hall| system.platform.evacuate(hall));
-    wait_until_in_force(&system, "evacuated", 2).await;
+    wait_until_logged(&system, "evacuated", 2).await;
     expect_that!(submit(&system.nodes[0], &id(1), &job(4, 50)).await.status, eq(200));
     tokio::time::sleep(Duration::from_secs(1)).await;
     expect_that!(system.platform.machines.started(), is_empty());
@@ -103,7 +103,7 @@
 async fn a_start_without_an_answer_is_not_sent_again_into_an_evacuated_hall() {
     let system = start_with_two_halls(202, 1).await;
     system.platform.evacuate("hall-b");
-    wait_until_in_force(&system, "evacuated", 1).await;
+    wait_until_logged(&system, "evacuated", 1).await;
     let set_hall_a_unresponsive = |unresponsive| {
         for vm in system.platform.machines.vms().iter().filter(|vm| vm.place.hall == "hall-a") {
             vm.set_unresponsive(unresponsive);
@@ -114,7 +114,7 @@
     tokio::time::sleep(Duration::from_millis(400)).await;
     system.platform.evacuate("hall-a");
     system.platform.return_to_service("hall-b");
-    wait_until_in_force(&system, "taken-back", 1).await;
+    wait_until_logged(&system, "taken-back", 1).await;
     set_hall_a_unresponsive(false);
     wait_until_state(&system.nodes[0], &id(1), "completed").await;
     expect_that!(system.starts_in("hall-a"), is_empty());
@@ -126,7 +126,7 @@
 async fn a_new_owner_starts_nothing_in_an_evacuated_hall() {
     let mut system = start_with_two_halls(203, 2).await;
     system.platform.evacuate("hall-a");
-    wait_until_in_force(&system, "evacuated", 1).await;
+    wait_until_logged(&system, "evacuated", 1).await;
     let evacuated_at = Instant::now();
     let owner = system.owner().expect("there is one");
     system.nodes[owner].kill();
--- a/crates/scheduler/tests/faults.rs
+++ b/crates/scheduler/tests/faults.rs
@@ -215,15 +215,17 @@
     // The nodes receive the heartbeats of each other.
     tokio::time::sleep(std::time::Duration::from_secs(3)).await;
     system.platform.store.set_fault(Fault::Slow);
-    let others = std::sync::Arc::new(thistle_platform::Store::new(system.platform.store_addr()));
+    let other_client =
+        std::sync::Arc::new(thistle_platform::Store::new(system.platform.store_addr()));
     for _ in 0..60 {
-        let others = others.clone();
+        let other_client = other_client.clone();
         tokio::spawn(async move {
             // A cancel of a job that is never submitted has no effect.
             let record = thistle_platform::KeyedRecord::new("c00000000000000ee", vec![1]);
             loop {
                 let guard = thistle_platform::Guard::Always;
-                let _ = others.append("jobs.desk", 0, guard, std::slice::from_ref(&record)).await;
+                let _ =
+                    other_client.append("jobs.desk", 0, guard, std::slice::from_ref(&record)).await;
             }
         });
     }
--- a/crates/scheduler/tests/fleet_record.rs
+++ b/crates/scheduler/tests/fleet_record.rs
@@ -1,4 +1,4 @@
-//! The fleet's record with thousands of VMs in it, with real nodes and a store that enforces its size limits.
+//! The fleet's record with thousands of VMs, one row for each, with real nodes and a store that enforces its size limits.
 //!
 //! No order goes out before its record is written. If the record were one value for all VMs, tens of thousands of VMs would
 //! outgrow the 262,144 bytes that the store accepts; it would refuse every append with status 400, and the fleet's owner
@@ -47,9 +47,9 @@
         };
         wait_until("the wave is reported as completed", reported).await;
     }
-    let left = &system.nodes[1 - owner];
-    expect_that!(submit(left, "00000000000000aa", &job(2, 50)).await.status, eq(200));
-    wait_until_state(left, "00000000000000aa", "completed").await;
+    let remaining = &system.nodes[1 - owner];
+    expect_that!(submit(remaining, "00000000000000aa", &job(2, 50)).await.status, eq(200));
+    wait_until_state(remaining, "00000000000000aa", "completed").await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     let rows = system.platform.store.keys("control", 2);
     expect_that!(rows.iter().filter(|key| key.contains("gone")).count(), eq(0), "rows are dropped");
--- a/crates/scheduler/tests/foreign_entries.rs
+++ b/crates/scheduler/tests/foreign_entries.rs
@@ -1,8 +1,8 @@
 //! Entries of VMs that another writer has written.
 //!
-//! An entry that has no address, has an unknown state or is not JSON names no usable VM. If what was known of the VM stayed
+//! An entry that has no address, has an unknown state or is not JSON names no usable VM. If the previous entry of the VM stayed
 //! in force, or an unknown state were accepted, tasks would be started there. Runs on a VM whose entry becomes unreadable go
-//! on, and other entries hold.
+//! on, and other entries stay in force.
 
 mod system;
 
@@ -50,8 +50,8 @@
         &busy.id,
         r#"{"service":7,"state":null}"#,
     );
-    let reported = async || node.log().contains("step=unreadable");
-    wait_until("it is reported", reported).await;
+    let is_logged = async || node.log().contains("step=unreadable");
+    wait_until("an unreadable entry is logged", is_logged).await;
     tokio::time::sleep(std::time::Duration::from_millis(600)).await;
     expect_that!(submit(node, SECOND, &job(2, 100)).await.status, eq(200));
     wait_until_state(node, SECOND, "completed").await;
--- a/crates/scheduler/tests/jobs.rs
+++ b/crates/scheduler/tests/jobs.rs
@@ -141,7 +141,7 @@
         }
         // Each client opens a new connection.
         let call = system::request(Method::GET, &format!("/quotes/{number:016x}"));
-        match node.callers().call(call).await {
+        match node.callers_client().call(call).await {
             Ok(_) => answered += 1,
             Err(CallError::NotSent(..)) => (),
             Err(CallError::Unanswered(..)) => unanswered += 1,
--- a/crates/scheduler/tests/keys.rs
+++ b/crates/scheduler/tests/keys.rs
@@ -29,7 +29,7 @@
         Some(key) => request(method, path).with_header("api-key", key),
         None => request(method, path),
     };
-    node.callers().call(call).await.expect("the node answers")
+    node.callers_client().call(call).await.expect("the node answers")
 }
 
 async fn submit(node: &Node, path: &str, key: Option<&str>) -> u16 {
@@ -38,7 +38,7 @@
         Some(key) => call.with_header("api-key", key),
         None => call,
     };
-    node.callers().call(call).await.expect("the node answers").status
+    node.callers_client().call(call).await.expect("the node answers").status
 }
 
 async fn wait_until_status(node: &Node, key: &str, status: u16) {
@@ -92,7 +92,7 @@
         expect_that!(call(node, Method::DELETE, &path, Some("key-n")).await.status, eq(410));
         expect_that!(call(node, Method::GET, &path, Some("key-a")).await.status, eq(200));
     }
-    let running = async || {
+    let is_running = async || {
         system
             .platform
             .machines
@@ -100,10 +100,10 @@
             .iter()
             .any(|vm| vm.running().iter().any(|t| t.starts_with(ID)))
     };
-    expect_that!(running().await, eq(true));
+    expect_that!(is_running().await, eq(true));
     let cancelled = call(&system.nodes[1], Method::DELETE, &path, Some("key-a")).await;
     expect_that!(cancelled.status, eq(200));
-    wait_until("it is stopped", async || !running().await).await;
+    wait_until("it is stopped", async || !is_running().await).await;
 }
 
 /// A withdrawn key gives no access. A job that was submitted with it goes on and is visible with other keys of its workspace.
--- a/crates/scheduler/tests/late_starts.rs
+++ b/crates/scheduler/tests/late_starts.rs
@@ -24,7 +24,7 @@
 const LOST_WITHIN: Duration = Duration::from_millis(7_500);
 /// A VM that replies again is queried within this time.
 const QUERIED_WITHIN: Duration = Duration::from_millis(1_000);
-/// Tasks that fill a VM of the fake: two starts are in flight to it and as many wait.
+/// Tasks that fill a VM of the fake platform: two starts are in flight to it and as many wait.
 const TASKS_PER_VM: u32 = 4;
 
 /// Returns a job of which each VM takes [`TASKS_PER_VM`] tasks.
@@ -75,13 +75,13 @@
         vm.set_unresponsive(true);
         tokio::time::sleep(Duration::from_millis(70)).await;
     }
-    let filling = job_that_fills(u32::from(UNRESPONSIVE_VMS));
-    expect_that!(submit(node, ID, &filling).await.status, eq(200));
+    let large_job = job_that_fills(u32::from(UNRESPONSIVE_VMS));
+    expect_that!(submit(node, ID, &large_job).await.status, eq(200));
     let ordered = format!("start step=ordered run={ID}");
     let all = (TASKS_PER_VM * u32::from(UNRESPONSIVE_VMS)) as usize;
     wait_until("all starts were ordered", async || node.log().matches(&ordered).count() >= all)
         .await;
-    // The tasks are done on this VM meanwhile.
+    // The tasks are started on this VM once the other VMs are lost.
     let ip = system::ip(90, 120);
     system.platform.machines.add("m-late", system::POOL, ip).await.expect("the VM starts");
     futures::future::join_all(vms.into_iter().map(|vm| reply_once_lost(&system, vm))).await;
@@ -97,17 +97,17 @@
     let system = start(91, 1).await;
     let vm = system.platform.machines.vms().remove(0);
     vm.set_unresponsive(true);
-    let progress_fails = |fault| {
+    let set_progress_fault = |fault| {
         for part in PROGRESS_PARTITIONS {
             system.platform.store.set_part_fault("jobs.desk", part, fault);
         }
     };
-    progress_fails(Fault::Unresponsive);
-    let filling = job_that_fills(1);
-    expect_that!(submit(&system.nodes[0], ID, &filling).await.status, eq(200));
+    set_progress_fault(Fault::Unresponsive);
+    let large_job = job_that_fills(1);
+    expect_that!(submit(&system.nodes[0], ID, &large_job).await.status, eq(200));
     tokio::time::sleep(LOST_WITHIN).await;
     vm.set_unresponsive(false);
     tokio::time::sleep(QUERIED_WITHIN).await;
-    progress_fails(Fault::None);
+    set_progress_fault(Fault::None);
     expect_each_started_once(&system, TASKS_PER_VM as usize).await;
 }
--- a/crates/scheduler/tests/misleading_replies.rs
+++ b/crates/scheduler/tests/misleading_replies.rs
@@ -29,16 +29,17 @@
     record
 }
 
-/// A node that relays calls replies with status 502 if it has not forwarded one. If it passed on the store's own 502
-/// unchanged, the caller would take an append that was done for not sent.
+/// A node that relays a call replies with status 502 if it has not forwarded it. If it passed on the store's own 502
+/// unchanged, the caller would conclude that an append that was done was never sent.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_502_of_the_store_to_a_relayed_append_leaves_the_outcome_unknown() {
     let mut system = System::start(102, 0, 0).await;
     let rule = |request: ReceivedCall| async move {
-        let is_ours = request.path.starts_with(APPEND) && request.path.contains("keyed.passed");
+        let is_test_append =
+            request.path.starts_with(APPEND) && request.path.contains("keyed.passed");
         let reply = request.forward().await;
-        if is_ours { Some(http_response(NOT_FORWARDED, "")) } else { reply }
+        if is_test_append { Some(http_response(NOT_FORWARDED, "")) } else { reply }
     };
     let store = system.platform.store_addr();
     let endpoint = proxy::start_proxy(store, system::ip(102, 2), rule).await;
@@ -52,9 +53,9 @@
     expect_that!(reply.map(|a| a.status), ok(eq(&NOT_ANSWERED)));
 }
 
-/// A VM that has seen a higher token ends its pool's owner, which restarts under the same token and numbers its writes
-/// from the start again. The store treats a number that it has already seen under a token as a copy: it acknowledges the
-/// write and keeps nothing. If the end of a task is acknowledged this way, it is lost with its owner, and the next owner
+/// A VM's reply that it has seen a higher token ends its pool's owner. If the owner restarts under the same token, it
+/// numbers its writes from the start again. The store treats a number that it has already seen under a token as a copy: it
+/// acknowledges the write and keeps nothing. An end that is recorded this way is lost with its owner, and the next owner
 /// starts the task again.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/crates/scheduler/tests/mixed_builds.rs
+++ b/crates/scheduler/tests/mixed_builds.rs
@@ -60,7 +60,7 @@
     let old = PathBuf::from(std::env::var("THISTLE_OLD_SCHEDULER").expect("the older program"));
     let mut system = System::start(108, 6, 0).await;
     let new = std::mem::replace(&mut system.program, old.clone());
-    // With a capped workspace the nodes also exchange caps and uses through the store.
+    // With a capped workspace the nodes also exchange caps and usage reports through the store.
     system.cap = Some(CAP);
     system.put_config(2, &["/quotes/"]);
     // Only the older build runs at first, so the first records of the store are its own.
--- a/crates/scheduler/tests/partitions.rs
+++ b/crates/scheduler/tests/partitions.rs
@@ -13,7 +13,7 @@
 const PROGRESS: u32 = 1;
 const FALLBACK_PROGRESS: u32 = 3;
 
-/// Waits until the pool's owner has completed a job: then it has read all jobs, which it cannot do while the partition is down.
+/// Waits until the pool's owner has completed a job. It has then read all jobs, which it cannot do while a partition is down.
 async fn wait_until_served(system: &System) {
     wait_until("the pool has an owner", async || system.owner().is_some()).await;
     let first = "00000000000000ff";
@@ -156,10 +156,10 @@
     wait_until("a node is ready", || system.nodes[1].is_ready()).await;
     wait_until_state(&system.nodes[1], ID, "completed").await;
     expect_that!(system.starts_of(ID).values().all(|&n| n == 1), eq(true));
-    let gone = async || {
+    let is_gone = async || {
         system.platform.store.newest(TOPIC, FALLBACK_PROGRESS, &format!("q{ID}")).is_none()
     };
-    wait_until("the fallback partition is empty again", gone).await;
+    wait_until("the fallback partition is empty again", is_gone).await;
 }
 
 /// Owners that depend on the partition of heartbeats lose their right to act within 2.2 s while it is down.
--- a/crates/scheduler/tests/paused_owners.rs
+++ b/crates/scheduler/tests/paused_owners.rs
@@ -3,8 +3,8 @@
 //! A node is paused for longer than its right to act lasts, while starts to a VM wait in its queue. Another node claims the
 //! pool, cannot reach that VM, waits until its lease ends and starts the tasks elsewhere. The first node resumes: the store
 //! accepts its heartbeat, which renews its right to act, before it has read the new claim. The owner handles nothing while it
-//! waits for the store, so neither its other VM nor a refused record stops it. The queued starts must not go out then: the VM
-//! has seen no higher token and would accept them with a new lease.
+//! waits for the store, so it learns of its loss neither from another VM, which has seen the higher token, nor from a refused
+//! record. The queued starts must not go out then: their VM has seen no higher token and would accept them with a new lease.
 
 mod system;
 
@@ -19,7 +19,7 @@
 const TASKS: usize = 4;
 /// The partitions that may hold the pool's progress.
 const PROGRESS_PARTITIONS: [u32; 4] = [1, 3, 5, 7];
-/// The record of an end is being written this long after the end was received.
+/// The delay from the receipt of an end to the pause of the node: the record of the end is being written then.
 const PAUSE_DELAY: Duration = Duration::from_millis(150);
 /// How long a start takes to arrive after the node has resumed: slightly longer than the query that renews the lease.
 const START_DELAY: Duration = Duration::from_millis(20);
@@ -44,19 +44,20 @@
     let step = serde_json::json!({"count": TASKS, "cpu": 3_500, "memMb": 256, "estimatedMs": 100});
     expect_that!(submit(node, ID, &bodies::job_of("ms=100", &[step])).await.status, eq(200));
     let ordered = format!("start step=ordered run={ID}");
-    wait_until("all were ordered", async || node.log().matches(&ordered).count() == TASKS).await;
+    wait_until("all starts were ordered", async || node.log().matches(&ordered).count() == TASKS)
+        .await;
     // The owner waits for the store to record the end of another task.
-    let progress_fails = |fault| {
+    let set_progress_fault = |fault| {
         for part in PROGRESS_PARTITIONS {
             system.platform.store.set_part_fault("jobs.desk", part, fault);
         }
     };
-    progress_fails(Fault::Unresponsive);
+    set_progress_fault(Fault::Unresponsive);
     let end = format!("end run={ending}");
-    wait_until("it has received the end", async || node.log().contains(&end)).await;
+    wait_until("the owner has received the end", async || node.log().contains(&end)).await;
     tokio::time::sleep(PAUSE_DELAY).await;
     node.signal("STOP");
-    progress_fails(Fault::None);
+    set_progress_fault(Fault::None);
     let claim = system.platform.store.offset_of("control", 0, "owner/desk").expect("a claim");
     // Tokens are derived from the offsets of claims.
     vm.lose_tokens_from(claim + 2);
@@ -64,7 +65,7 @@
     system.platform.machines.add("m-late", system::POOL, late).await.expect("the VM starts");
     wait_until_state(next, ID, "completed").await;
     vm.lose_starts(false);
-    progress_fails(Fault::Unresponsive);
+    set_progress_fault(Fault::Unresponsive);
     vm.delay_starts(START_DELAY);
     node.signal("CONT");
     tokio::time::sleep(SETTLE_TIME).await;
--- a/crates/scheduler/tests/proxy/mod.rs
+++ b/crates/scheduler/tests/proxy/mod.rs
@@ -51,8 +51,8 @@
         if let Some(incarnation) = &self.incarnation {
             call = call.with_header(INCARNATION, incarnation);
         }
-        let reply = HttpClient::new(self.upstream, 0).call(call).await.ok()?;
-        Some(http_response(reply.status, &String::from_utf8_lossy(&reply.body)))
+        let response = HttpClient::new(self.upstream, 0).call(call).await.ok()?;
+        Some(http_response(response.status, &String::from_utf8_lossy(&response.body)))
     }
 }
 
@@ -88,7 +88,7 @@
     addr
 }
 
-/// Starts a proxy for a VM, which nodes use that start from now on.
+/// Starts a proxy for a VM and writes its address into the VM's entry, so that nodes started from now on use it.
 pub async fn start_vm_proxy<F, R>(platform: &FakePlatform, vm: &VmFake, rule: F)
 where
     F: Fn(ReceivedCall) -> R + Clone + Send + Sync + 'static,
@@ -120,8 +120,8 @@
     let end = buf.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
     let head = String::from_utf8_lossy(&buf[..end]).into_owned();
     let header = |name: &str| {
-        let value = |l: &str| {
-            let (key, value) = l.split_once(':')?;
+        let value = |line: &str| {
+            let (key, value) = line.split_once(':')?;
             key.eq_ignore_ascii_case(name).then(|| value.trim().to_owned())
         };
         head.lines().skip(1).find_map(value)
@@ -130,9 +130,9 @@
     if buf.len() < end + length {
         return None;
     }
-    let mut line = head.split(' ');
-    let method = line.next().and_then(|m| m.parse().ok()).unwrap_or_default();
-    let path = line.next().unwrap_or_default().to_owned();
+    let mut words = head.split(' ');
+    let method = words.next().and_then(|m| m.parse().ok()).unwrap_or_default();
+    let path = words.next().unwrap_or_default().to_owned();
     let body = Bytes::copy_from_slice(&buf[end..end + length]);
     buf.drain(..end + length);
     Some(ReceivedCall { method, path, body, incarnation: header(INCARNATION), upstream })
--- a/crates/scheduler/tests/refused_copies.rs
+++ b/crates/scheduler/tests/refused_copies.rs
@@ -1,9 +1,9 @@
 //! Starts of which the first copy has no reply and the second one is refused, with real nodes.
 //!
-//! The VM carries out the first copy two seconds later, though it refused the second one for lack of room. If that refusal is
-//! taken for the outcome, the next list without the run frees its task, which then runs on two VMs at once. A refusal only
-//! covers the first copy too if the VM has the run, had it or barred it (`Old`), or if the lease that all copies carry has
-//! ended (`Late`).
+//! The VM carries out the first copy two seconds later, though it refused the second one for lack of room. If that refusal
+//! counts as the outcome of the start, the owner starts the task elsewhere after the next list without the run, and the task
+//! runs on two VMs at once. A refusal settles the first copy too only if the VM has the run, had it or may not start it any
+//! more (`Old`), or if the lease that all copies carry has ended (`Late`).
 
 mod system;
 
--- a/crates/scheduler/tests/reordered_replies.rs
+++ b/crates/scheduler/tests/reordered_replies.rs
@@ -1,9 +1,9 @@
 //! Lists of a VM's runs that arrive after the reply to a start that they do not contain yet, with real nodes.
 //!
 //! Orders and lists use separate connections, so a list that was made before a start was carried out may arrive after the
-//! start's reply. If the owner takes it for newer, the run counts as gone and its task is started again elsewhere. Here a
-//! proxy in front of the VM holds a list back until the start is answered. The node may also be paused in between, so that it
-//! receives both at once.
+//! start's reply. If the owner treats that list as newer than the start, the run counts as gone and its task is started again
+//! elsewhere. Here a proxy in front of the VM holds a list back until the reply to the start. The node may also be paused in
+//! between, so that it receives both at once.
 
 mod proxy;
 mod system;
@@ -55,8 +55,8 @@
     reply
 }
 
-/// Starts a node with two VMs behind gates; a task whose run is abandoned on one VM would be started again on the other. Has
-/// a list made on the VM that gets the task, and then the task started there.
+/// Starts a node with two VMs behind gates, has each VM make a list that its gate holds back, and then has a task started.
+/// Returns the gate of the VM that got the task. If the run there counted as gone, the task would be started on the other VM.
 async fn start_after_list(net: u8, ms: u32) -> (System, Arc<Gate>) {
     let mut system = System::start(net, 2, 0).await;
     let gates: Vec<Arc<Gate>> = vec![Arc::default(), Arc::default()];
@@ -79,14 +79,14 @@
     }
     expect_that!(submit(&system.nodes[0], ID, &job(1, ms)).await.status, eq(200));
     let started = gates.iter().map(|gate| Box::pin(wait_until_set(&gate.start_done)));
-    let (_, chosen, _) = futures::future::select_all(started).await;
+    let (_, task_vm, _) = futures::future::select_all(started).await;
     for (i, gate) in gates.iter().enumerate() {
-        if i != chosen {
+        if i != task_vm {
             gate.list_released.send_replace(true);
             gate.start_released.send_replace(true);
         }
     }
-    (system, gates[chosen].clone())
+    (system, gates[task_vm].clone())
 }
 
 async fn expect_one_start(system: &System) {
--- a/crates/scheduler/tests/restarted_owners.rs
+++ b/crates/scheduler/tests/restarted_owners.rs
@@ -1,12 +1,12 @@
-//! Owners that end by mistake and are restarted by their node, with real nodes.
+//! Owners that end unexpectedly and are restarted by their node, with real nodes.
 //!
 //! An owner ends after a panic, or when a VM reports that it has seen a higher token. Its node then starts another
 //! owner. If the second owner has the same token, its records and orders cannot be distinguished from those of the
 //! first owner:
 //!
 //! - It numbers its records from 1 again. Readers that know a record with a higher number ignore the new ones as older.
-//!   So the job is never shown as completed, and the next owner starts completed tasks once more, as it takes them for
-//!   placed and their VM does not list them.
+//!   So the job is never shown as completed. The next owner starts completed tasks once more, because the records that it
+//!   knows still place them on a VM, and the VM does not list them.
 //! - It numbers its appends from 0 again, within the same epoch. If the first owner sent at most five, the store takes
 //!   the new ones for copies, answers as before, and stores nothing.
 //! - VMs still accept orders of the first owner. A start that is executed late begins after the second owner's first
@@ -38,10 +38,10 @@
 }
 
 fn is_acknowledged_as_done(system: &System) -> bool {
-    let mut all = system.platform.machines.histories().into_iter().flatten();
+    let mut events = system.platform.machines.histories().into_iter().flatten();
     let done =
         |step: &RunEventKind| matches!(step, RunEventKind::Acknowledged(how) if how == "done");
-    all.any(|h| h.task.starts_with(ID) && done(&h.step))
+    events.any(|event| event.task.starts_with(ID) && done(&event.step))
 }
 
 /// Runs `earlier_jobs` jobs, and then a job of one task during which the owner is restarted.
--- a/crates/scheduler/tests/soak.rs
+++ b/crates/scheduler/tests/soak.rs
@@ -47,16 +47,16 @@
 /// 100 (a fault of the fake platform): two concurrent runs of a task, as the fake executed a start 2.5 s late on a VM
 /// that had crashed 1.7 s after the start got no answer.
 const REGRESSION_SEEDS: [u64; 1] = [100];
-/// The number of nodes in a run with many processes.
-const MANY_NODES: u8 = 48;
+/// The number of nodes in a run of [`Kind::ManyProcesses`].
+const MANY_PROCESSES: u8 = 48;
 /// How long a run injects faults by default, in seconds.
 const DEFAULT_SECONDS: u64 = 12;
-/// Seeds of a short run with nodes that follow no pool's records.
+/// Seeds of a short run in which most nodes follow no pool's records.
 ///
 /// 415 (a fault of the check): a VM was unreachable for 12 s while the store did not respond for 7 s. The VM's lease
 /// expired, its tasks were started elsewhere once the store was back, and 1 ms later the VM reported that they had
 /// ended before the expiry. An end that is acknowledged after the lease has expired does not count.
-const MANY_NODES_SEEDS: [u64; 2] = [70, 415];
+const NODES_WITHOUT_POOL_SEEDS: [u64; 2] = [70, 415];
 
 /// Seeds of a short run with jobs that crash their VMs.
 ///
@@ -73,13 +73,14 @@
 /// Seeds of a short run with bursts of work.
 ///
 /// 3013: a working VM whose entry had vanished counted as replaced by its previous incarnation, whose entry was still listed.
-/// 3049: starts that waited in the rate limit were sent 0.4 s after the loss of their VM, 20 ms before the task was
+/// 3049: starts that waited for the rate limit were sent 0.4 s after the loss of their VM, 20 ms before the task was
 /// started elsewhere.
 const BURST_SEEDS: [u64; 2] = [3_013, 3_049];
 /// Seeds of a short run with VMs that restart under the same IDs.
 ///
 /// 4055: a link that had waited 1.1 s for a slow store did not notice that its VM had restarted 0.8 s before. Its next
-/// query acknowledged 60 ends of the previous incarnation, so that a task of the new incarnation was started again.
+/// query acknowledged 60 ends of the previous incarnation. The new incarnation then dropped an end of its own, and the
+/// task was started again.
 const RESTART_SEEDS: [u64; 2] = [4_000, 4_055];
 /// Seeds of a short run with data halls that are evacuated and returned to service.
 const EVACUATION_SEEDS: [u64; 2] = [5_000, 5_001];
@@ -96,10 +97,10 @@
 }
 
 /// Returns the seeds from the environment, or else the default seeds of a kind of run.
-fn seeds_or_default(own: impl IntoIterator<Item = u64>) -> Vec<u64> {
+fn seeds_or_default(default: impl IntoIterator<Item = u64>) -> Vec<u64> {
     match std::env::var("THISTLE_SOAK_SEEDS") {
         Ok(_) => seeds(),
-        Err(_) => own.into_iter().collect(),
+        Err(_) => default.into_iter().collect(),
     }
 }
 
@@ -124,7 +125,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn guarantees_hold_where_most_nodes_follow_no_pool() {
-    for seed in seeds_or_default(MANY_NODES_SEEDS) {
+    for seed in seeds_or_default(NODES_WITHOUT_POOL_SEEDS) {
         run_seed(seed, Kind::FaultsOfMany).await;
     }
 }
@@ -178,15 +179,15 @@
 enum Kind {
     /// Any fault.
     Faults,
-    /// Any fault, with more nodes than follow a pool's records.
+    /// Any fault, with so many nodes that most of them follow no pool's records.
     FaultsOfMany,
-    /// Any fault, and jobs that crash their VMs and entries of another writer.
+    /// Any fault, jobs that crash their VMs, and entries of another writer.
     CrashingJobs,
     /// Any fault, and changes of the cap of the callers' workspace.
     Cap,
     /// Any fault, and bursts of work, VMs that are cut off together, entries that vanish, and nodes that are replaced.
     Bursts,
-    /// The same with [`MANY_NODES`] node processes.
+    /// As [`Self::Bursts`], with [`MANY_PROCESSES`] nodes.
     ManyProcesses,
     /// Any fault, and VMs that crash and restart under the same IDs, one or all at once.
     Restarts,
@@ -197,8 +198,8 @@
 }
 
 impl Kind {
-    /// Returns the first of its networks and their number. The seeds of one process cycle through them, so this is also
-    /// the number of seeds that one process may run.
+    /// Returns the first of the networks of this kind and their number. The seeds of one process cycle through them, so
+    /// this is also the number of seeds that one process may run.
     const fn nets(self) -> (u8, u64) {
         match self {
             Self::Faults => (100, 60),
@@ -224,7 +225,7 @@
             Self::FaultsOfMany => 14,
             // One node is down at first and replaces another one later.
             Self::Bursts => 4,
-            Self::ManyProcesses => MANY_NODES,
+            Self::ManyProcesses => MANY_PROCESSES,
         }
     }
 
--- a/crates/scheduler/tests/soak/bursts.rs
+++ b/crates/scheduler/tests/soak/bursts.rs
@@ -1,9 +1,9 @@
 //! Faults during bursts of work: VMs that are cut off and reconnected together, entries that vanish while their VMs
 //! keep working, nodes that are paused, replaced, or killed and restarted at once.
 //!
-//! A VM is one incarnation of its machine, and all its runs end before the next incarnation starts. So the next
-//! incarnation is never listed while the previous one works. The faults here are an entry that remains after the next
-//! incarnation is listed, and an entry that vanishes seconds before its VM crashes or is listed again.
+//! All runs of a VM end before its next incarnation starts, so the next incarnation is never listed while the previous one
+//! works. The faults of entries are therefore an entry that remains after the next incarnation is listed, and an entry that
+//! vanishes seconds before its VM crashes or is listed again.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 use super::faults::Soak;
 use super::load_pattern::LoadPattern;
 
-/// VMs that are not cut off, so that there is capacity for the tasks of those that are.
+/// The number of VMs that are never cut off, so that there is capacity for the tasks of those that are.
 const MIN_CONNECTED_VMS: usize = 2;
 /// How long several VMs are cut off together, in milliseconds. Leases last 6 s at most, so some of them expire.
 const SEVERAL_CUT_OFF_MS: std::ops::Range<u64> = 5_000..9_000;
@@ -42,14 +42,15 @@
 }
 
 impl Soak {
-    /// Applies due repairs, then injects a fault of this kind or any other fault.
+    /// Applies due repairs, then injects one of the faults of this module or any other fault.
     pub async fn inject_burst_fault(&mut self) {
         self.apply_due_repairs();
         self.start_nodes_ended_by_sighup();
         if LoadPattern::Bursts.is_burst(self.started_at) != self.last_fault_in_burst {
             self.last_fault_in_burst = !self.last_fault_in_burst;
             if self.last_fault_in_burst {
-                // Orders at the beginning of a burst wait behind unanswered ones, while other VMs have free capacity.
+                // Orders to these VMs at the beginning of a burst wait behind unanswered ones, while other VMs have free
+                // capacity.
                 let description = self.cut_off_several(BURST_CUT_OFF_MS);
                 self.faults.push(description);
             }
@@ -84,15 +85,16 @@
 
     /// Returns whether a VM is cut off until a scheduled repair.
     pub fn is_cut_off(&self, vm: &VmFake) -> bool {
-        let of = |repair: &Repair| matches!(repair, Repair::Reconnect(vms) if vms.iter().any(|v| v.id == vm.id));
-        self.scheduled_repairs.iter().any(|(_, repair)| of(repair))
+        let reconnects = |repair: &Repair| matches!(repair, Repair::Reconnect(vms) if vms.iter().any(|v| v.id == vm.id));
+        self.scheduled_repairs.iter().any(|(_, repair)| reconnects(repair))
     }
 
     fn apply_due_repairs(&mut self) {
         let now = Instant::now();
-        let (due, left) =
-            std::mem::take(&mut self.scheduled_repairs).into_iter().partition(|l| l.0 <= now);
-        self.scheduled_repairs = left;
+        let (due, remaining) = std::mem::take(&mut self.scheduled_repairs)
+            .into_iter()
+            .partition(|scheduled| scheduled.0 <= now);
+        self.scheduled_repairs = remaining;
         let due: Vec<(Instant, Repair)> = due;
         for (_, repair) in due {
             self.apply_repair(repair);
@@ -117,7 +119,8 @@
         after
     }
 
-    /// Returns VMs that are up and connected, those with runs first and otherwise shuffled, without those that stay connected.
+    /// Returns the VMs that may be cut off now: all that are up and connected but [`MIN_CONNECTED_VMS`], in random order
+    /// with those that have runs first.
     fn vms_to_cut_off(&mut self) -> Vec<Arc<VmFake>> {
         let mut vms = self.system.platform.machines.vms();
         vms.retain(|vm| !self.is_cut_off(vm));
@@ -208,12 +211,12 @@
         format!("kill and start {node}")
     }
 
-    /// Stops a node and at once starts one that is down in its place. Both answer callers for a time.
+    /// Stops a node and at once starts one that is down in its place. Both answer callers for a while.
     fn replace(&mut self, node: usize) -> String {
         let nodes = &mut self.system.nodes;
         let mut ended = self.down.iter().copied().filter(|&n| n != node && nodes[n].has_ended());
         let Some(standby) = ended.next() else {
-            // This node replaces the next one.
+            // No stopped node has exited, so this one is only stopped and replaces another one later.
             return self.terminate(node);
         };
         let description = self.terminate(node);
--- a/crates/scheduler/tests/soak/callers.rs
+++ b/crates/scheduler/tests/soak/callers.rs
@@ -16,7 +16,7 @@
 use super::load_pattern::LoadPattern;
 use super::system::{KEY, job};
 
-/// How often a caller sends a request that was refused or had no answer.
+/// How many times a caller sends a request that is refused or has no answer.
 const MAX_TRIES: u32 = 4;
 /// How long a caller waits for an answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
@@ -40,9 +40,9 @@
     pub id: String,
     pub outcome: SubmitOutcome,
     pub tasks: usize,
-    /// A cancel was acknowledged, or may have been received.
+    /// Whether a node acknowledged a cancel or may have received one.
     pub cancelled: bool,
-    /// A node replied that it does not know the job, long after its acceptance.
+    /// Whether a node answered that it does not know the job, long after its acceptance.
     pub denied: bool,
     /// The node of each try, and whether the node answered.
     pub tries: Vec<(usize, bool)>,
@@ -93,6 +93,7 @@
     /// The node that was called last.
     last_node: usize,
     jobs: Vec<Job>,
+    /// The indices of jobs that were accepted and not cancelled, each with the time of its acceptance.
     accepted: Vec<(usize, Instant)>,
 }
 
@@ -134,7 +135,7 @@
         let job_load = self.load_pattern.current_load(self.started_at);
         let tasks = self.rng.random_range(job_load.tasks);
         // Long tasks are still running when the lease of an unresponsive VM expires.
-        let task_ms = match self.rng.random_bool(job_load.long) {
+        let task_ms = match self.rng.random_bool(job_load.long_share) {
             true => self.rng.random_range(2_000..8_000),
             false => self.rng.random_range(30..700),
         };
@@ -191,8 +192,8 @@
         if self.accepted.is_empty() {
             return;
         }
-        let (job, at) = self.accepted[self.rng.random_range(0..self.accepted.len())];
-        if at.elapsed() < VISIBLE_WITHIN {
+        let (job, accepted_at) = self.accepted[self.rng.random_range(0..self.accepted.len())];
+        if accepted_at.elapsed() < VISIBLE_WITHIN {
             return;
         }
         let id = self.jobs[job].id.clone();
--- a/crates/scheduler/tests/soak/caps.rs
+++ b/crates/scheduler/tests/soak/caps.rs
@@ -9,7 +9,7 @@
 use super::faults::Soak;
 use super::system::wait_until;
 
-/// The caps that a run draws from, in thousandths of a core. A task takes 500.
+/// The caps of which one is put in force at random, in thousandths of a core. A task takes 500.
 const CAPS: [u32; 4] = [6_000, 2_000, 1_000, 3_500];
 /// The CPU that a caller's task takes, in thousandths of a core.
 const TASK_CPU: u32 = 500;
@@ -69,14 +69,15 @@
         let mut broken = Vec::new();
         for (at, run, change) in changes {
             running += change;
-            let most = f64::from(self.max_cap_at(at)) * 1.1 + f64::from(TASK_CPU);
-            if change > 0 && running as f64 * f64::from(TASK_CPU) > most {
+            let max_cpu = f64::from(self.max_cap_at(at)) * 1.1 + f64::from(TASK_CPU);
+            if change > 0 && running as f64 * f64::from(TASK_CPU) > max_cpu {
                 broken.push(BrokenGuarantee::OverCap { run, running });
             }
         }
         broken
     }
 
+    /// Returns the highest cap that may have been in force at a time.
     fn max_cap_at(&self, at: Instant) -> u32 {
         let until = |i: usize| self.caps.get(i + 1).map(|next| next.0 + MAX_CONFIG_DELAY);
         let in_force =
--- a/crates/scheduler/tests/soak/checks.rs
+++ b/crates/scheduler/tests/soak/checks.rs
@@ -18,7 +18,7 @@
     TwoAtOnce { task: String },
     /// A task was started after a run of it was done, and that end was acknowledged before or after the start.
     RunAgain { task: String, acknowledged: AckTiming },
-    /// A node replied that there is no such job, long after its acceptance.
+    /// A node answered that there is no such job, long after its acceptance.
     Denied { job: String },
     /// A task ran whose job no caller submitted.
     NotSubmitted { task: String },
@@ -131,7 +131,7 @@
 fn runs_by_task(histories: Vec<Vec<RunEvent>>) -> BTreeMap<String, Vec<Run>> {
     let mut runs: BTreeMap<String, Vec<Run>> = BTreeMap::new();
     for history in histories {
-        let mut here: BTreeMap<(String, u32), Run> = BTreeMap::new();
+        let mut vm_runs: BTreeMap<(String, u32), Run> = BTreeMap::new();
         for event in history {
             let key = (event.task, event.attempt);
             match event.step {
@@ -142,29 +142,29 @@
                         done_acknowledged_at: None,
                         lease_expired_unacknowledged: false,
                     };
-                    here.insert(key, run);
+                    vm_runs.insert(key, run);
                 }
                 RunEventKind::Ended(_) => {
-                    if let Some(run) = here.get_mut(&key) {
+                    if let Some(run) = vm_runs.get_mut(&key) {
                         run.ended_at = Some(event.at);
                     }
                 }
                 RunEventKind::Acknowledged(how) => {
                     let counts =
                         |run: &&mut Run| how == "done" && !run.lease_expired_unacknowledged;
-                    if let Some(run) = here.get_mut(&key).filter(counts) {
+                    if let Some(run) = vm_runs.get_mut(&key).filter(counts) {
                         run.done_acknowledged_at = Some(event.at);
                     }
                 }
                 RunEventKind::LeaseExpired => {
-                    let ended = here.values_mut().filter(|run| run.ended_at.is_some());
+                    let ended = vm_runs.values_mut().filter(|run| run.ended_at.is_some());
                     for run in ended.filter(|run| run.done_acknowledged_at.is_none()) {
                         run.lease_expired_unacknowledged = true;
                     }
                 }
             }
         }
-        for ((task, _), run) in here {
+        for ((task, _), run) in vm_runs {
             runs.entry(task).or_default().push(run);
         }
     }
@@ -184,16 +184,16 @@
 
     /// Returns the guarantees broken by these events on one VM and a start of the same task on another VM after 30 ms.
     fn guarantees_broken_after(first: &[(u64, RunEventKind)]) -> Vec<BrokenGuarantee> {
-        let first_event = Instant::now();
-        let at = |&(ms, ref step): &(u64, RunEventKind), attempt| RunEvent {
-            at: first_event + Duration::from_millis(ms),
+        let base = Instant::now();
+        let event_at = |&(ms, ref step): &(u64, RunEventKind), attempt| RunEvent {
+            at: base + Duration::from_millis(ms),
             // The expiry of a lease belongs to no run.
             task: if *step == RunEventKind::LeaseExpired { String::new() } else { TASK.to_owned() },
             attempt: if *step == RunEventKind::LeaseExpired { 0 } else { attempt },
             step: step.clone(),
         };
-        let first = first.iter().map(|step| at(step, 1)).collect();
-        let second = vec![at(&(30, RunEventKind::Started), 2)];
+        let first = first.iter().map(|step| event_at(step, 1)).collect();
+        let second = vec![event_at(&(30, RunEventKind::Started), 2)];
         let runs = runs_by_task(vec![first, second]);
         runs.iter().flat_map(|(task, runs)| guarantees_broken_by_runs(task, runs)).collect()
     }
--- a/crates/scheduler/tests/soak/crashing_jobs.rs
+++ b/crates/scheduler/tests/soak/crashing_jobs.rs
@@ -13,7 +13,7 @@
 const MAX_STARTS: usize = 5;
 
 impl Soak {
-    /// Injects a fault of this kind or any other fault.
+    /// Injects one of the faults of this module or any other fault.
     pub async fn crashing_job_or_fault(&mut self) {
         match self.rng.random_range(0..100) {
             0..15 => self.submit_crashing_job().await,
@@ -35,9 +35,12 @@
         let job = bodies::job_of("ms=20 how=crash", &[step]);
         let call = request(hyper::Method::POST, &format!("/quotes/{id}")).with_json(&job);
         // The job may be accepted or not.
-        let accepted =
-            self.system.nodes[node].callers().call(call).await.is_ok_and(|a| a.status == 200);
-        self.faults.push(format!("crashing job {id} kept={accepted}"));
+        let accepted = self.system.nodes[node]
+            .callers_client()
+            .call(call)
+            .await
+            .is_ok_and(|a| a.status == 200);
+        self.faults.push(format!("crashing job {id} accepted={accepted}"));
         self.crashing_job_ids.push(id);
     }
 
@@ -74,7 +77,7 @@
     }
 
     /// Returns whether a job was abandoned because VMs crashed under one of its tasks, in a run with jobs that crash
-    /// them. The platform allows this after two crashes. With seed 302 on a busy machine, five of six VMs crashed under
+    /// VMs. The platform allows this after two crashes. With seed 302 on a busy machine, five of six VMs crashed under
     /// a task that ran next to nine crashing jobs.
     pub fn was_abandoned(&self, id: &str) -> bool {
         let line = format!("job step=given-up task={id}.");
--- a/crates/scheduler/tests/soak/evacuations.rs
+++ b/crates/scheduler/tests/soak/evacuations.rs
@@ -11,17 +11,18 @@
 pub const SETTINGS: &str = "evacuate_within: 3s\n";
 /// The time within which an evacuation must be in force, as in [`SETTINGS`].
 const EVACUATE_WITHIN: Duration = Duration::from_secs(3);
-/// The delay after which the fake executes an order that it has not answered.
+/// The delay after which the fake platform executes an order that it has not answered.
 const LATE_EXECUTION_DELAY: Duration = Duration::from_millis(2_500);
 const HALLS: [&str; 2] = ["hall-a", "hall-b"];
 /// The number of VMs in the second hall.
 const SECOND_HALL_VMS: u8 = 4;
 
-/// An evacuation of a hall, with its end if it is over.
+/// An evacuation of a hall.
 #[derive(Clone, Copy, Debug)]
 pub struct Evacuation {
     hall: &'static str,
     started_at: Instant,
+    /// When the hall was returned to service, if it was.
     ended_at: Option<Instant>,
 }
 
@@ -82,7 +83,7 @@
     }
 
     /// Returns the starts in evacuated halls after the evacuation had to be in force. Allows for starts that were sent
-    /// before and that the fake executed late.
+    /// before and that the fake platform executed late.
     pub fn starts_in_evacuated_halls(&self) -> Vec<BrokenGuarantee> {
         let mut broken = Vec::new();
         for evacuation in &self.evacuations {
--- a/crates/scheduler/tests/soak/faults.rs
+++ b/crates/scheduler/tests/soak/faults.rs
@@ -21,7 +21,7 @@
 /// A system into which faults are injected.
 pub struct Soak {
     pub system: System,
-    /// Descriptions of all faults so far, printed when a run fails.
+    /// Descriptions of all faults, repairs and new configurations so far, printed when a run fails.
     pub faults: Vec<String>,
     /// The IDs of jobs that crash their VMs.
     pub crashing_job_ids: Vec<String>,
@@ -41,8 +41,9 @@
     pub paused: Vec<usize>,
     /// Nodes that were stopped or killed and are to be started again.
     pub down: Vec<usize>,
+    /// The newest configuration version that was written.
     pub version: u64,
-    /// The newest configuration version that each node has shown since its last start.
+    /// The newest configuration version that each node has served since its last start.
     pub seen_versions: Vec<u64>,
 }
 
@@ -231,7 +232,7 @@
         format!("version {}", self.version)
     }
 
-    /// Checks that a node does not go back to an older configuration, by requesting the newest queue that it has shown.
+    /// Checks that a node does not go back to an older configuration, by requesting the newest queue that it has served.
     pub async fn check_newest_config(&mut self) {
         let node = self.rng.random_range(0..self.store_proxies.len());
         if !self.is_up(node) || self.version == 1 {
@@ -240,9 +241,9 @@
         let version = self.version;
         let requested =
             if self.seen_versions[node] > 1 { self.seen_versions[node] } else { version };
-        let callers = self.system.nodes[node].callers();
+        let client = self.system.nodes[node].callers_client();
         let call = super::system::request(Method::GET, &path_of(requested));
-        let Ok(answer) = callers.call(call).await else { return };
+        let Ok(answer) = client.call(call).await else { return };
         assert!(
             answer.status != 404 || self.seen_versions[node] < requested,
             "node {node} went back to a version before {requested}\nfaults: {:#?}",
--- a/crates/scheduler/tests/soak/load_pattern.rs
+++ b/crates/scheduler/tests/soak/load_pattern.rs
@@ -12,7 +12,7 @@
     /// The number of tasks of a job.
     pub tasks: Range<u32>,
     /// The share of jobs that are long enough to be still running when the lease of an unresponsive VM expires.
-    pub long: f64,
+    pub long_share: f64,
     /// How long a caller waits after a job, in milliseconds.
     pub pause_ms: Range<u64>,
 }
@@ -44,15 +44,19 @@
     /// Returns the present load of each caller.
     pub fn current_load(self, started_at: Instant) -> Load {
         match (self, self.is_burst(started_at)) {
-            (Self::Even, _) => Load { tasks: 1..4, long: 0.2, pause_ms: 10..120 },
-            (Self::Bursts, true) => Load { tasks: 3..9, long: 0.15, pause_ms: 60..200 },
+            (Self::Even, _) => Load { tasks: 1..4, long_share: 0.2, pause_ms: 10..120 },
+            (Self::Bursts, true) => Load { tasks: 3..9, long_share: 0.15, pause_ms: 60..200 },
             (Self::Bursts, false) => {
-                // All callers are back when the next burst begins.
+                // No caller is still pausing when the next burst begins.
                 let left = (BURST_LENGTH + QUIET_LENGTH)
                     .saturating_sub(time_in_cycle(started_at))
                     .as_millis();
                 let left = u64::try_from(left).unwrap_or(0);
-                Load { tasks: 1..3, long: 0.2, pause_ms: left.min(2_000)..(left + 100).min(7_000) }
+                Load {
+                    tasks: 1..3,
+                    long_share: 0.2,
+                    pause_ms: left.min(2_000)..(left + 100).min(7_000),
+                }
             }
         }
     }
--- a/crates/scheduler/tests/soak/repairs.rs
+++ b/crates/scheduler/tests/soak/repairs.rs
@@ -9,6 +9,7 @@
 use super::system::{send, state, wait_until};
 
 impl Soak {
+    /// Repairs all faults of a random kind.
     pub async fn repair_some(&mut self) -> String {
         match self.rng.random_range(0..4) {
             0 => {
@@ -90,7 +91,7 @@
         }
         for &node in &self.down {
             let node = &mut self.system.nodes[node];
-            wait_until("it has ended", || std::future::ready(node.has_ended())).await;
+            wait_until("a stopped node has exited", || std::future::ready(node.has_ended())).await;
         }
         self.system.platform.store.set_fault(Fault::None);
         self.store_proxies.iter().for_each(|proxy| proxy.set_cut_off(false));
--- a/crates/scheduler/tests/stalled_connections.rs
+++ b/crates/scheduler/tests/stalled_connections.rs
@@ -167,20 +167,20 @@
     // Opening all connections may take longer than a node holds each of them; the first are then closed before the last
     // are open. The test therefore checks the highest number held at any time.
     let mut opening = std::pin::pin!(open_and_stall(addr(&system), text));
-    let mut most = before;
+    let mut max_held = before;
     let open = loop {
         tokio::select! {
             open = &mut opening => break open,
-            () = tokio::time::sleep(Duration::from_millis(20)) => most = most.max(node.descriptors()),
+            () = tokio::time::sleep(Duration::from_millis(20)) => max_held = max_held.max(node.descriptors()),
         }
     };
     // Connections that the node has yet to accept, a thousand at most, do not count as its descriptors yet.
     let opened = Instant::now();
-    while most < before + STALLED_CONNECTIONS / 2 && opened.elapsed() < MAX_HOLD {
+    while max_held < before + STALLED_CONNECTIONS / 2 && opened.elapsed() < MAX_HOLD {
         tokio::time::sleep(Duration::from_millis(20)).await;
-        most = most.max(node.descriptors());
+        max_held = max_held.max(node.descriptors());
     }
-    expect_that!(most, ge(before + STALLED_CONNECTIONS / 2), "they are held");
+    expect_that!(max_held, ge(before + STALLED_CONNECTIONS / 2), "they are held");
     // Other callers are served meanwhile.
     expect_that!(submit(node, &id(1), &job(1, 10)).await.status, eq(200));
     wait_until("they are closed", async || node.descriptors() < before + STALLED_CONNECTIONS / 10)
--- a/crates/scheduler/tests/system/mod.rs
+++ b/crates/scheduler/tests/system/mod.rs
@@ -22,8 +22,8 @@
 /// The API key of callers. It is not checked if no workspace is configured.
 pub const KEY: &str = "soak-key";
 
-/// Returns an address in a test's own part of the loopback network. Concurrent test runs each have a part of that
-/// network, set by `THISTLE_TEST_NET` (20 to 120).
+/// Returns the loopback address `127.PART.net.host`. Each test uses its own `net`, and each of several concurrent test
+/// runs its own `PART`, set by `THISTLE_TEST_NET` (20 to 120).
 pub fn ip(net: u8, host: u8) -> Ipv4Addr {
     let part = std::env::var("THISTLE_TEST_NET").map_or(20, |part| part.parse().expect("a number"));
     Ipv4Addr::new(127, part, net, host)
@@ -32,7 +32,7 @@
 /// A node process, which is killed when dropped.
 pub struct Node {
     pub name: String,
-    /// The program of the process, used from its next start.
+    /// The program that the next start runs.
     pub program: PathBuf,
     ip: Ipv4Addr,
     settings: PathBuf,
@@ -58,7 +58,7 @@
         &self.settings
     }
 
-    /// Returns the output of the subcommand that shows the store's contents.
+    /// Returns the output of the subcommand `show`, which prints the store's contents.
     pub fn show(&self, args: &[&str]) -> String {
         let mut command = Command::new(&self.program);
         let output = command.arg("show").arg(&self.settings).args(args).output();
@@ -93,7 +93,7 @@
         child.try_wait().ok()??.signal()
     }
 
-    /// Returns the log of the process since its first start.
+    /// Returns the log of all processes of this node since the first start.
     pub fn log(&self) -> String {
         let log = std::fs::read(self.settings.with_extension("log")).unwrap_or_default();
         String::from_utf8_lossy(&log).into_owned()
@@ -119,7 +119,7 @@
         std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count)
     }
 
-    pub fn callers(&self) -> HttpClient {
+    pub fn callers_client(&self) -> HttpClient {
         HttpClient::new(self.callers_addr(), 4)
     }
 
@@ -169,10 +169,10 @@
 }
 
 impl System {
-    /// Starts a platform with VMs and nodes. `net` is the test's own part of the loopback network.
+    /// Starts a platform with VMs and nodes. `net` is the third part of their addresses; see [`ip`].
     pub async fn start(net: u8, vms: u8, nodes: u8) -> Self {
         let ip = |host: u8| ip(net, host);
-        let platform = FakePlatform::start(ip(1)).await.expect("the fake starts");
+        let platform = FakePlatform::start(ip(1)).await.expect("the fake platform starts");
         for i in 0..vms {
             let added = platform.machines.add(&format!("m-{i}"), POOL, ip(100 + i)).await;
             added.expect("the VM starts");
@@ -204,14 +204,14 @@
     pub fn starts_in(&self, hall: &str) -> Vec<(Instant, String)> {
         let events = self.platform.machines.histories_in(hall).into_iter().flatten();
         let started = events.filter(|event| event.step == RunEventKind::Started);
-        started.map(|h| (h.at, format!("{}#{}", h.task, h.attempt))).collect()
+        started.map(|run| (run.at, format!("{}#{}", run.task, run.attempt))).collect()
     }
 
     pub fn add_node(&mut self, ip: Ipv4Addr) {
         self.add_node_at(ip, self.platform.store_addr());
     }
 
-    /// Adds a node that uses its own address for the store.
+    /// Adds a node that reaches the store at the address `store`.
     pub fn add_node_at(&mut self, ip: Ipv4Addr, store: SocketAddr) {
         let name = format!("node-{}", ip.octets()[3]);
         let settings = self.dir.join(format!("{name}.yaml"));
@@ -263,21 +263,21 @@
 
 pub async fn submit(node: &Node, id: &str, job: &serde_json::Value) -> Answer {
     let call = Call::new(Method::POST, format!("/quotes/{id}"), CALL_TIMEOUT).with_json(job);
-    call_host(node, call).await
+    call_with_key(node, call).await
 }
 
-/// Returns a call to the address that serves callers.
+/// Returns a call without an API key to the address that serves callers.
 pub fn request(method: Method, path: &str) -> Call {
     Call::new(method, path, CALL_TIMEOUT).with_header("host", bodies::HOST)
 }
 
 pub async fn send(node: &Node, method: Method, path: &str) -> Answer {
-    call_host(node, Call::new(method, path, CALL_TIMEOUT)).await
+    call_with_key(node, Call::new(method, path, CALL_TIMEOUT)).await
 }
 
-async fn call_host(node: &Node, call: Call) -> Answer {
+async fn call_with_key(node: &Node, call: Call) -> Answer {
     let call = call.with_header("host", bodies::HOST).with_header(KEY_HEADER, KEY);
-    node.callers().call(call).await.expect("the node answers")
+    node.callers_client().call(call).await.expect("the node answers")
 }
 
 pub async fn state(node: &Node, id: &str) -> String {
@@ -285,7 +285,7 @@
     bodies::state(&answer.body).unwrap_or_else(|| answer.status.to_string())
 }
 
-/// Waits until a condition holds. The timeout covers also a check that never returns.
+/// Waits until a condition holds. The timeout also applies to a check of the condition that never returns.
 pub async fn wait_until<F, R>(what: &str, mut holds: F)
 where
     F: FnMut() -> R,
--- a/crates/scheduler/tests/unlisted_vms.rs
+++ b/crates/scheduler/tests/unlisted_vms.rs
@@ -1,8 +1,8 @@
 //! VMs that go on working while the store does not list them, with real nodes.
 //!
 //! If the store does not list a VM and the VM does not reply, its runs may be abandoned at once only when a newer incarnation
-//! of the VM is listed. Another listed incarnation may be older: the entry of a crashed incarnation stays for three
-//! heartbeats, the store drops entries at times while it is down, and replies are lost for a second. Here the entry of the
+//! of the VM is listed. The listed incarnation may be the older one: the entry of a crashed incarnation stays for three
+//! heartbeats, the store may drop entries while it is down, and replies may be lost for a second. Here the entry of the
 //! newer incarnation is dropped while that of the older one stays. If the tasks were started elsewhere, they would be done
 //! twice and both ends acknowledged.
 
@@ -18,7 +18,7 @@
 const ID: &str = "5c0e7a21d94b36f8";
 /// Tasks that fill the VMs.
 const TASKS: u32 = 96;
-/// How long the VM is neither listed nor replies: far less than a lease.
+/// How long the VM is not listed and does not reply: far less than a lease.
 const UNLISTED_FOR: Duration = Duration::from_secs(2);
 
 #[gtest]
--- a/crates/scheduler/tests/vm_incarnations.rs
+++ b/crates/scheduler/tests/vm_incarnations.rs
@@ -2,8 +2,8 @@
 //!
 //! A VM crashes and restarts under its ID, with nothing running and its counts at zero. If its owner's link continues
 //! unchanged, it acknowledges ends up to the highest number of the previous incarnation, and the VM drops the first ends of
-//! the new one before the owner has received them. The next list has those runs neither running nor ended, so the owner takes
-//! them for never started and starts their tasks again.
+//! the new one before the owner has received them. The next list contains those runs neither as running nor as ended, so the
+//! owner concludes that they never started and starts their tasks again.
 
 mod system;
 
@@ -13,7 +13,7 @@
 use system::{System, job, submit, wait_until, wait_until_state};
 use thistle_platform::standin::{Connectivity, bodies};
 
-/// Ends that the VM has listed before its restart: more than it lists afterwards.
+/// Ends that the VM has listed before its restart: at least as many as it lists afterwards.
 const ENDS_BEFORE: u32 = 16;
 /// How long the VM is down.
 const DOWNTIME: Duration = Duration::from_millis(100);
@@ -89,7 +89,7 @@
     assert!(starts.values().all(|&n| n == 1), "{starts:?}");
 }
 
-/// An order names a VM's ID, and any incarnation under that ID may carry it out. If a start without a reply is taken as lost
+/// An order names a VM's ID, and any incarnation under that ID may carry it out. If a start without a reply counts as lost
 /// with the incarnation that it was sent to, the next incarnation carries it out seconds later, when its task has been done
 /// elsewhere.
 #[gtest]
