--- a/crates/schedule/tests/admission.rs
+++ b/crates/schedule/tests/admission.rs
@@ -66,7 +66,7 @@
 /// Callers must not be held until their deadline when nothing can be written. While the store is unresponsive for 3 s, each
 /// submission waits 0.6 s for the first partition and as long for the fallback one, unless the node knows of the outage.
 /// A node that notices the outage only after 2.2 s, and draws no conclusion about one partition from the unanswered appends
-/// of the other, holds 220 of these 300 callers for 1.2 s each, 264 s in all (computed). With the limits of `StoreView` 120
+/// of the other, holds 220 of these 300 callers for 1.2 s each, 264 s in all. With the limits of `StoreView` 120
 /// are held for 0.6 s each, 72 s in all.
 #[gtest]
 fn an_unresponsive_store_delays_few_callers_and_briefly() {
@@ -74,7 +74,7 @@
     expect_that!(outcome.unknown, le(120));
     expect_that!(outcome.held_ms, le(72_000));
     expect_that!(outcome.refused_at_once, ge(180));
-    // Until the next read after the outage.
+    // Submissions are refused until the next read after the outage.
     expect_that!(
         outcome.refused_needlessly,
         le((READ_INTERVAL_MS / SUBMISSION_INTERVAL_MS) as u32 + 1)
--- a/crates/schedule/tests/caps_of_settled_jobs.rs
+++ b/crates/schedule/tests/caps_of_settled_jobs.rs
@@ -34,9 +34,9 @@
     JobSpec { workspace: "lunch".into(), admitted_by: 1, ..spec.as_ref().clone() }.into()
 }
 
-/// A job is cancelled and its pool's owner replaced before the stops are carried out. The record of a settled job names no runs,
-/// so that the next owner must count the runs that VMs report. Otherwise the workspace gets twice its cap:
-/// with a cap of 1,000 and 1,000 in use on VM a, two tasks of 500 each are ordered on VM b.
+/// A job is cancelled and its pool's owner replaced before the stops are carried out. The record of a settled job names no
+/// runs, so the next owner must count the runs that VMs report. Otherwise the workspace gets twice its cap: with a cap of
+/// 1,000 and 1,000 in use on VM a, two tasks of 500 each are ordered on VM b.
 #[gtest]
 fn runs_of_a_cancelled_job_that_are_still_reported_count_against_the_cap() {
     let (first, second) = (JobId(1), JobId(2));
--- a/crates/schedule/tests/common/mod.rs
+++ b/crates/schedule/tests/common/mod.rs
@@ -88,7 +88,7 @@
     starts[0].clone()
 }
 
-/// Plans and applies the result `Started` to every start.
+/// Plans, applies the result `Started` to every start, and returns the starts.
 pub fn plan_and_start(pool: &mut Pool, now: Ms) -> Vec<StartOrder> {
     let started = starts(&pool.plan(at(now)));
     pool.take_records();
--- a/crates/schedule/tests/crash_histories.rs
+++ b/crates/schedule/tests/crash_histories.rs
@@ -1,6 +1,6 @@
 //! Random histories of a pool in which some jobs have a task that crashes its VMs, while other VMs crash at random,
-//! racks fail, VMs are cut off and keep running, VMs leave, and owners are replaced. No such task may be started more
-//! than twice after its third crash, and no other job may fail.
+//! racks fail, VMs are cut off and keep running, VMs leave, and owners are replaced. No task that crashes its VMs may be
+//! started more than twice after its third crash, and no other job may fail.
 
 mod common;
 mod histories;
--- a/crates/schedule/tests/crashing_tasks.rs
+++ b/crates/schedule/tests/crashing_tasks.rs
@@ -1,8 +1,8 @@
 //! Tasks that crash the VMs on which they start.
 //!
-//! A task that crashed each VM 10 ms after its start was started about thirty times, every 3.3 s on another VM, and jobs on
-//! the same VMs failed. A run that was lost with its VM was queued again without counting as an attempt, because only ends
-//! that a VM lists as failed counted, and a VM that has crashed lists nothing.
+//! Guards against a task that crashes each VM 10 ms after its start and is started about thirty times, every 3.3 s on another
+//! VM, so that jobs on the same VMs fail. This happens if only ends that a VM lists as failed count as attempts: a VM that has
+//! crashed lists nothing, and a run that is lost with its VM is queued again.
 
 mod common;
 
@@ -20,18 +20,18 @@
 
 /// The downtime of a VM that crashed.
 const DOWNTIME_MS: Ms = 3_300;
-/// The most starts of a task under which VMs crash: the platform allows two starts after the third crash.
-const MOST_STARTS: usize = 5;
+/// How often a task that crashes its VMs may be started: the platform allows two starts after the third crash.
+const MAX_STARTS: usize = 5;
 
 /// A pool of VMs that crash and restart as their next incarnation.
-struct Crashes {
+struct CrashingPool {
     pool: Pool,
     incarnations: BTreeMap<&'static str, u32>,
     now: Ms,
     phase: Phase,
 }
 
-impl Crashes {
+impl CrashingPool {
     fn new(steps: Vec<Step>) -> Self {
         let names = ["a", "b", "c"];
         let mut pool = pool_with_vms(&names);
@@ -114,8 +114,8 @@
         ("a gang", Step { gang: true, ..step(2, 3_000) }, false),
     ];
     for (what, step, change_owner) in cases {
-        let mut crashes = Crashes::new(vec![step]);
-        expect_that!(crashes.run(change_owner), le(MOST_STARTS), "{what}");
+        let mut crashes = CrashingPool::new(vec![step]);
+        expect_that!(crashes.run(change_owner), le(MAX_STARTS), "{what}");
         expect_that!(crashes.phase, eq(Phase::Failed), "{what}");
     }
 }
@@ -233,9 +233,9 @@
     expect_that!(pool.crash_history_of(second[0].run.task), none());
 }
 
-/// A task that crashed its VMs was started a sixth time, because a crash was taken for a departure, which does not count. The VM
-/// was unlisted before it was noticed to be unresponsive, and an answer to a request from before that made it look like a VM
-/// that is leaving.
+/// Guards against a task that crashes its VMs and is started a sixth time, because a crash counts as a departure of the VM. The
+/// VM is unlisted before it is noticed to be unresponsive, and an answer to a request from before it was unlisted makes it look
+/// like a VM that is leaving.
 #[gtest]
 fn an_answer_to_an_older_request_does_not_make_a_crash_a_departure() {
     let mut pool = pool_with_vms(&["a", "b"]);
@@ -266,8 +266,8 @@
     expect_that!(pool.crash_history_of(task).map(|history| history.crashes), some(eq(1)));
 }
 
-/// The answer to a start and the end of the VM's connections are handled by different tasks, so the end may be
-/// handled first. By the time of the answer, the run then started after its VM was gone, and the crash did not count.
+/// The answer to a start and the closing of the VM's connections are handled by different async tasks, so the closing may be
+/// handled first. By the time of the answer, the run then started after its VM was gone, but the crash must still count.
 #[gtest]
 fn a_crash_counts_though_it_is_noticed_before_the_answer_to_the_start() {
     let mut pool = pool_with_vms(&["a"]);
@@ -281,9 +281,8 @@
     expect_that!((history.crashes, history.alone), eq((1, 1)));
 }
 
-/// Each suspect runs alone, so the VM that it holds and the VMs for which further suspects wait are no room for other
-/// jobs. The pool's need counted only the processor of the suspects, so that in a pool of three or four VMs another
-/// job did not start for 3 s.
+/// Each suspect runs alone, so other jobs have no room on the VM that it holds and on the VMs for which further suspects wait.
+/// If the pool's need counts only the CPU of the suspects, another job in a pool of three or four VMs does not start for 3 s.
 #[gtest]
 fn the_need_of_a_pool_includes_the_vms_that_suspects_hold_and_wait_for() {
     let mut pool = pool_with_vms(&["a", "b", "c"]);
--- a/crates/schedule/tests/dropped_submissions.rs
+++ b/crates/schedule/tests/dropped_submissions.rs
@@ -1,7 +1,7 @@
 //! Jobs whose submission is dropped or missing in one partition while it may be in another.
 //!
-//! A settled job must not run again. It does if its progress is forgotten when its submission is dropped in one partition but is still
-//! in the other, or if a node that has not read for a while only adds the newest records to the jobs that it knows.
+//! A settled job must not run again. It does if its progress is forgotten when its submission is dropped in one partition but
+//! is still in the other, or if a node that has not read for a while only adds the newest records to the jobs that it knows.
 
 mod common;
 
--- a/crates/schedule/tests/emptying.rs
+++ b/crates/schedule/tests/emptying.rs
@@ -15,9 +15,9 @@
 }
 
 /// Starts one task on VM a, which is then to be emptied urgently. VM b has room.
-fn urgent_drain(shape: Step) -> (Pool, StartOrder) {
+fn urgent_drain(task_step: Step) -> (Pool, StartOrder) {
     let mut pool = pool_with_vms(&["a"]);
-    pool.submit(JOB, job(vec![shape]), at(0));
+    pool.submit(JOB, job(vec![task_step]), at(0));
     let started = plan_and_start(&mut pool, 10).remove(0);
     let b = common::vm("b", 1);
     pool.list_vm(b.clone());
@@ -47,8 +47,8 @@
     let (mut pool, started) = urgent_drain(checkpointing_step(1, 1_000));
     pool.apply_report(&started.vm, &report(3_000, vec![row(started.run, 90)], vec![]), at(3_010));
     expect_that!(stops(&pool.plan(at(3_020))), is_empty(), "a tenth of 3.3 s is left");
-    for shape in [step(1, 1_000), Step { gang: true, ..checkpointing_step(1, 1_000) }] {
-        let (mut pool, started) = urgent_drain(shape);
+    for task_step in [step(1, 1_000), Step { gang: true, ..checkpointing_step(1, 1_000) }] {
+        let (mut pool, started) = urgent_drain(task_step);
         pool.apply_report(&started.vm, &report(100, vec![row(started.run, 1)], vec![]), at(110));
         expect_that!(stops(&pool.plan(at(120))), is_empty());
     }
@@ -67,12 +67,21 @@
     let mut pool = pool_with_vms(&["a", "b"]);
     // The run on the fuller VM is nearly done, the other run has just started.
     pool.submit(JOB, job(vec![step(1, 4_000)]), at(0));
-    let long = plan_and_start(&mut pool, 10).remove(0);
+    let nearly_done = plan_and_start(&mut pool, 10).remove(0);
     pool.submit(JobId(2), job(vec![step(1, 1_000)]), at(0));
-    let short = plan_and_start(&mut pool, 10).remove(0);
-    pool.apply_report(&long.vm, &report(900, vec![row(long.run, 90)], vec![]), at(910));
-    pool.apply_report(&short.vm, &report(900, vec![row(short.run, 20)], vec![]), at(910));
-    let names = [long.vm, short.vm].map(|vm| vm.id().split('-').nth(1).map(Arc::from));
+    let just_started = plan_and_start(&mut pool, 10).remove(0);
+    pool.apply_report(
+        &nearly_done.vm,
+        &report(900, vec![row(nearly_done.run, 90)], vec![]),
+        at(910),
+    );
+    pool.apply_report(
+        &just_started.vm,
+        &report(900, vec![row(just_started.run, 20)], vec![]),
+        at(910),
+    );
+    let names =
+        [nearly_done.vm, just_started.vm].map(|vm| vm.id().split('-').nth(1).map(Arc::from));
     expect_that!(
         pool.without_lasting_tasks(at(910)),
         eq(&names.into_iter().flatten().collect::<Vec<Arc<str>>>())
@@ -104,8 +113,8 @@
     expect_that!(stops(&pool.plan(at(50))), eq(&vec![started.run]));
 }
 
-/// A lasting task was moved off a healthy VM and then another task of its step off a draining VM, whose stop came
-/// first, so that more tasks of the step were missing than allowed.
+/// If a lasting task is moved off a healthy VM and then another task of its step off a draining VM, whose stop arrives
+/// first, more tasks of the step are missing than allowed.
 #[gtest]
 fn a_lasting_task_on_a_draining_vm_is_moved_before_one_on_a_healthy_vm() {
     let mut pool = pool_with_vms(&["a", "b"]);
--- a/crates/schedule/tests/evacuation.rs
+++ b/crates/schedule/tests/evacuation.rs
@@ -1,6 +1,6 @@
 //! Evacuated data halls in the decisions of a pool and of the fleet.
 //!
-//! In the expected load, all VMs are full when a hall with half of them is evacuated, and the hall returns to use
+//! The tests assume that all VMs are full when a hall with half of them is evacuated, and that the hall returns to service
 //! later.
 
 mod common;
@@ -49,7 +49,7 @@
     let mut pool = two_halls();
     pool.submit(JOB, job(vec![step(16, 1_000)]), at(0));
     let started = plan_and_start(&mut pool, 10);
-    expect_that!(started, len(eq(16)), "all is full");
+    expect_that!(started, len(eq(16)), "all VMs are full");
     pool.set_halls(evacuated(&["a"]), true);
     pool.submit(JobId(2), job(vec![step(16, 1_000)]), at(20));
     let orders = pool.plan(at(20));
@@ -74,7 +74,7 @@
     bring_up(&mut pool, "a", "a1");
     pool.submit(JOB, job(vec![step(1, 1_000)]), at(0));
     expect_that!(starts(&pool.plan(at(10))), is_empty());
-    expect_that!(pool.load(at(10)).vms, eq(0), "it is no capacity");
+    expect_that!(pool.load(at(10)).vms, eq(0), "the VM counts as no capacity");
     expect_that!(pool.idle(), is_empty());
     bring_up(&mut pool, "b", "b1");
     expect_that!(starts(&pool.plan(at(20))), len(eq(1)));
--- a/crates/schedule/tests/fleet.rs
+++ b/crates/schedule/tests/fleet.rs
@@ -154,7 +154,7 @@
         fleet.set_report(&"hub".into(), report, i * 400);
     }
     fleet.plan(2_810);
-    expect_that!(fleet.record().cordoned().count(), eq(1), "five are needed of six on the whole");
+    expect_that!(fleet.record().cordoned().count(), eq(1), "five of the six are needed on average");
 }
 
 #[gtest]
--- a/crates/schedule/tests/fleet_common/mod.rs
+++ b/crates/schedule/tests/fleet_common/mod.rs
@@ -50,7 +50,7 @@
     fleet
 }
 
-/// Returns the report of a pool whose running work stays the same while its waiting work triples.
+/// Returns the report of a pool that expects to need the CPU in use and three times the waiting CPU soon.
 pub fn busy_report(waiting: u64, used: u64, idle: &[&str]) -> PoolReport {
     PoolReport {
         waiting_cpu: waiting,
--- a/crates/schedule/tests/fleet_rows.rs
+++ b/crates/schedule/tests/fleet_rows.rs
@@ -49,7 +49,7 @@
     work.sort_by(|a, b| a.vm.cmp(&b.vm));
     let mut ordered_lately = record.ordered_lately.clone();
     ordered_lately.sort();
-    let open = |w: &WaveRecord| match w.completed {
+    let wave_content = |w: &WaveRecord| match w.completed {
         true => (w.wave, true, Vec::new(), Vec::new()),
         false => {
             let sorted = |names: &indexmap::IndexSet<String>| {
@@ -60,7 +60,7 @@
             (w.wave, false, sorted(&w.left), sorted(&w.done))
         }
     };
-    let mut waves: Vec<_> = record.waves.iter().map(open).collect();
+    let mut waves: Vec<_> = record.waves.iter().map(wave_content).collect();
     waves.sort();
     (record.owner.clone(), record.move_ms, work, ordered_lately, waves)
 }
--- a/crates/schedule/tests/histories/machine.rs
+++ b/crates/schedule/tests/histories/machine.rs
@@ -30,7 +30,7 @@
 pub type Ended = RunEnd;
 
 #[derive(Debug)]
-pub struct Machine {
+pub struct SimVm {
     name: String,
     rack: usize,
     incarnation: u32,
@@ -48,7 +48,7 @@
     sequence: u64,
 }
 
-impl Machine {
+impl SimVm {
     pub fn new(number: usize, rack: usize) -> Self {
         Self {
             name: format!("m{number}"),
@@ -116,8 +116,8 @@
         true
     }
 
-    pub fn start(&mut self, run: RunId, shape: &Step, now: Ms, ends_at: Ms) {
-        let cpu = shape.room().cpu;
+    pub fn start(&mut self, run: RunId, task_step: &Step, now: Ms, ends_at: Ms) {
+        let cpu = task_step.room().cpu;
         self.runs.insert(run.task, Run { attempt: run.attempt, started: now, ends_at, cpu });
         let used: u32 = self.runs.values().map(|r| r.cpu).sum();
         assert!(used <= self.facts().room.cpu, "{} is over its room at {now}", self.name);
--- a/crates/schedule/tests/histories/mod.rs
+++ b/crates/schedule/tests/histories/mod.rs
@@ -14,7 +14,7 @@
 };
 
 use crate::common::{at, job, lasting_step, step};
-use machine::{Ended, Machine, State};
+use machine::{Ended, SimVm, State};
 
 /// The simulated milliseconds of one tick.
 const TICK: Ms = 50;
@@ -27,14 +27,14 @@
 /// The downtime of a VM that crashed.
 const DOWNTIME: Ms = 3_300;
 /// The time after the last contact with a VM when its lease has expired for certain.
-const LEASE: Ms = 6_300;
+const LEASE_EXPIRED_AFTER: Ms = 6_300;
 
 /// The parameters of a history.
 #[derive(Clone, Copy, Debug)]
 pub struct Setting {
-    /// The percentage of jobs that have a task that crashes its VMs.
+    /// The percentage of jobs that have a faulty task, which crashes each VM on which it starts.
     pub faulty_percent: u32,
-    /// Whether suspects are kept apart.
+    /// Whether suspects share their VM with no other job.
     pub suspects_apart: bool,
 }
 
@@ -77,7 +77,7 @@
     rng: StdRng,
     setting: Setting,
     now: Ms,
-    machines: Vec<Machine>,
+    vms: Vec<SimVm>,
     pool: Pool,
     log: JobLog,
     token: u64,
@@ -90,19 +90,19 @@
     /// Lasting jobs and the times at which their callers cancel them.
     cancel_times: BTreeMap<JobId, Ms>,
     settled: BTreeSet<JobId>,
-    /// VMs that are gone and on which a new owner knows of runs, and when their leases have expired for certain.
+    /// VMs that are gone and on which the owner knows of runs, and when their leases have expired for certain.
     orphans: BTreeMap<VmIncarnation, Ms>,
     results: HistoryResults,
 }
 
 impl History {
     pub fn new(seed: u64, setting: Setting) -> Self {
-        let machines = (0..VMS).map(|i| Machine::new(i, i / VMS_PER_RACK)).collect();
+        let vms = (0..VMS).map(|i| SimVm::new(i, i / VMS_PER_RACK)).collect();
         let mut history = Self {
             rng: StdRng::seed_from_u64(seed),
             setting,
             now: 0,
-            machines,
+            vms,
             pool: Pool::new(),
             log: JobLog::default(),
             token: 0,
@@ -128,7 +128,7 @@
                 self.inject_faults();
             }
             self.cancel_lasting();
-            self.advance_machines();
+            self.advance_vms();
             self.report();
             self.expire_orphans();
             self.plan();
@@ -194,10 +194,10 @@
         for (id, entry) in self.log.iter().filter(|(id, _)| !self.settled.contains(id)) {
             self.pool.adopt(id, entry, at(self.now));
         }
-        for machine in &mut self.machines {
-            machine.last_contact = self.now;
-            if machine.is_listed(self.now) {
-                self.pool.list_vm(machine.facts());
+        for sim in &mut self.vms {
+            sim.last_contact = self.now;
+            if sim.is_listed(self.now) {
+                self.pool.list_vm(sim.facts());
             }
         }
         self.pool.set_listing_is_complete(true);
@@ -213,8 +213,8 @@
                     .filter(|i| i / VMS_PER_RACK == rack)
                     .for_each(|i| self.crash(i, 2 * DOWNTIME));
             }
-            3..5 => self.machines[i].cut_until = self.now + self.rng.random_range(500..12_000),
-            5 => self.machines[i].leave(self.now),
+            3..5 => self.vms[i].cut_until = self.now + self.rng.random_range(500..12_000),
+            5 => self.vms[i].leave(self.now),
             6..9 => self.replace_owner(),
             _ => (),
         }
@@ -222,53 +222,51 @@
 
     fn crash(&mut self, i: usize, downtime: Ms) {
         let unresponsive = self.rng.random_bool(0.3);
-        self.machines[i].crash(self.now, downtime, unresponsive);
+        self.vms[i].crash(self.now, downtime, unresponsive);
     }
 
     /// Restarts VMs that are due and ends runs that are done or whose lease has expired.
-    fn advance_machines(&mut self) {
+    fn advance_vms(&mut self) {
         for i in 0..VMS {
-            let before = self.machines[i].facts().id.clone();
-            if self.machines[i].restart_if_due(self.now) {
-                let facts = self.machines[i].facts();
+            let before = self.vms[i].facts().id.clone();
+            if self.vms[i].restart_if_due(self.now) {
+                let facts = self.vms[i].facts();
                 self.pool.list_vm(facts);
                 self.pool.vm_lost(&before, VmLoss::Replaced, at(self.now));
                 self.pool.unlist_vm(&before);
             }
-            self.machines[i].end_runs(self.now);
+            self.vms[i].end_runs(self.now);
         }
-        let down =
-            self.machines.iter().filter(|m| m.crashed_by_task && m.state != State::Up).count();
+        let down = self.vms.iter().filter(|v| v.crashed_by_task && v.state != State::Up).count();
         self.results.max_down = self.results.max_down.max(down);
     }
 
     fn report(&mut self) {
         let now = self.now;
-        for machine in &mut self.machines {
-            let id = machine.facts().id.clone();
-            if !machine.answers(now) {
+        for sim in &mut self.vms {
+            let id = sim.facts().id.clone();
+            if !sim.answers(now) {
                 // A closed connection is noticed at once, unresponsiveness after a while.
-                if !machine.unresponsive || now >= machine.last_contact + 600 {
+                if !sim.unresponsive || now >= sim.last_contact + 600 {
                     self.pool.set_reachable(&id, false, at(now));
                 }
-                if now >= machine.last_contact + LEASE && !machine.is_lost {
-                    machine.is_lost = true;
+                if now >= sim.last_contact + LEASE_EXPIRED_AFTER && !sim.is_lost {
+                    sim.is_lost = true;
                     self.pool.vm_lost(&id, VmLoss::LeaseOver, at(now));
                 }
                 continue;
             }
-            machine.last_contact = now;
-            machine.is_lost = false;
+            sim.last_contact = now;
+            sim.is_lost = false;
             self.pool.set_reachable(&id, true, at(now));
-            self.pool.apply_report(&id, &machine.report(now), at(now));
+            self.pool.apply_report(&id, &sim.report(now), at(now));
         }
     }
 
     fn expire_orphans(&mut self) {
-        let present: Vec<VmIncarnation> =
-            self.machines.iter().map(|m| m.facts().id.clone()).collect();
+        let present: Vec<VmIncarnation> = self.vms.iter().map(|v| v.facts().id.clone()).collect();
         for id in self.pool.unlisted_with_runs().into_iter().filter(|id| !present.contains(id)) {
-            self.orphans.entry(id).or_insert(self.now + LEASE);
+            self.orphans.entry(id).or_insert(self.now + LEASE_EXPIRED_AFTER);
         }
         let now = self.now;
         for (id, _) in self.orphans.extract_if(.., |_, over_at| now >= *over_at) {
@@ -288,16 +286,16 @@
             }
         }
         for (id, sequence) in self.pool.take_acks() {
-            for machine in self.machines.iter_mut().filter(|m| m.facts().id == id) {
-                machine.ended.retain(|end: &Ended| end.sequence > sequence);
+            for sim in self.vms.iter_mut().filter(|v| v.facts().id == id) {
+                sim.ended.retain(|end: &Ended| end.sequence > sequence);
             }
         }
         for order in orders {
             match order {
                 Order::Start(start) => self.start(&start),
                 Order::Stop { vm, run } => {
-                    for machine in self.machines.iter_mut().filter(|m| m.facts().id == vm) {
-                        machine.end(run.task, EndKind::Stopped);
+                    for sim in self.vms.iter_mut().filter(|v| v.facts().id == vm) {
+                        sim.end(run.task, EndKind::Stopped);
                     }
                     self.pool.record_stop_answer(&vm, run, at(self.now));
                 }
@@ -322,17 +320,17 @@
 
     fn start(&mut self, start: &StartOrder) {
         let now = self.now;
-        let Some(i) = self.machines.iter().position(|m| m.facts().id == start.vm) else { return };
-        if !self.machines[i].answers(now) {
+        let Some(i) = self.vms.iter().position(|v| v.facts().id == start.vm) else { return };
+        if !self.vms[i].answers(now) {
             let result = StartResult::Unhealthy;
             self.pool.apply_start_result(&start.vm, start.run, result, at(now));
             return;
         }
         let task = start.run.task;
-        let shape = &self.steps[&task.job][usize::from(task.step)];
-        let duration = if shape.lasting { Ms::MAX } else { self.rng.random_range(300..1_500) };
-        let machine = &mut self.machines[i];
-        machine.start(start.run, shape, now, now.saturating_add(duration));
+        let task_step = &self.steps[&task.job][usize::from(task.step)];
+        let duration = if task_step.lasting { Ms::MAX } else { self.rng.random_range(300..1_500) };
+        let sim = &mut self.vms[i];
+        sim.start(start.run, task_step, now, now.saturating_add(duration));
         if !self.faulty_tasks.contains(&task) {
             self.pool.apply_start_result(&start.vm, start.run, StartResult::Started, at(now));
             return;
@@ -342,8 +340,8 @@
         self.results.started_too_often += u32::from(*starts > 2);
         *crashes += 1;
         self.results.crashes += 1;
-        self.results.lost_work_of_others += machine.work_of_others(task, now);
+        self.results.lost_work_of_others += sim.work_of_others(task, now);
         self.crash(i, DOWNTIME);
-        self.machines[i].crashed_by_task = true;
+        self.vms[i].crashed_by_task = true;
     }
 }
--- a/crates/schedule/tests/incarnations.rs
+++ b/crates/schedule/tests/incarnations.rs
@@ -15,7 +15,7 @@
 const AFTER_CRASH_PAUSE: Ms = 1_000;
 
 /// Returns the facts of a VM whose incarnation started at the given time.
-fn listed(name: &str, started_at: u64) -> Arc<VmFacts> {
+fn facts_started_at(name: &str, started_at: u64) -> Arc<VmFacts> {
     let facts = vm(name, 1);
     let id = VmIncarnation::new(facts.id.id().clone(), Some(started_at));
     Arc::new(VmFacts { id, ..VmFacts::clone(&facts) })
@@ -24,10 +24,10 @@
 /// Returns a pool whose only VM has answered in its first incarnation, with that incarnation and the next one.
 fn pool_of_one() -> (Pool, VmIncarnation, VmIncarnation) {
     let mut pool = Pool::new();
-    let facts = listed("a", 1_000);
+    let facts = facts_started_at("a", 1_000);
     pool.list_vm(facts.clone());
     pool.apply_report(&facts.id, &VmReport::default(), at(0));
-    (pool, facts.id.clone(), listed("a", 2_000).id.clone())
+    (pool, facts.id.clone(), facts_started_at("a", 2_000).id.clone())
 }
 
 #[gtest]
@@ -49,7 +49,7 @@
     pool.apply_report(&previous, &report(30, vec![row(run, 10)], vec![]), at(30));
     let lost = pool.vm_restarted(&previous, &next, at(40));
     expect_that!((lost.len(), lost[0].may_exist), eq((1, false)));
-    pool.list_vm(listed("a", 2_000));
+    pool.list_vm(facts_started_at("a", 2_000));
     pool.apply_report(&next, &VmReport::default(), at(50));
     expect_that!(starts(&pool.plan(at(AFTER_CRASH_PAUSE))).len(), eq(1));
 }
@@ -67,7 +67,7 @@
             pool.apply_start_result(&previous, run, answer, at(20));
         }
         expect_that!(pool.vm_restarted(&previous, &next, at(40))[0].may_exist, eq(true));
-        pool.list_vm(listed("a", 2_000));
+        pool.list_vm(facts_started_at("a", 2_000));
         expect_that!(starts(&pool.plan(at(50))), is_empty());
         let ended = is_done.then(|| end(1, run, EndKind::Done));
         pool.apply_report(&next, &report(60, vec![], ended.into_iter().collect()), at(60));
@@ -87,7 +87,7 @@
 
     let mut after = Pool::new();
     after.adopt(JOB, &JobEntry { spec: Some(spec), progress, ..JobEntry::default() }, at(100));
-    let facts = listed("a", 1_000);
+    let facts = facts_started_at("a", 1_000);
     after.list_vm(facts.clone());
     let ended = vec![end(7, run, EndKind::Done)];
     after.apply_report(&facts.id, &report(110, vec![], ended), at(110));
@@ -106,7 +106,7 @@
 
     let mut after = Pool::new();
     after.adopt(JOB, &JobEntry { spec: Some(spec), progress, ..JobEntry::default() }, at(100));
-    let facts = listed("a", 500);
+    let facts = facts_started_at("a", 500);
     expect_that!(facts.id.is_other_incarnation_of(&previous), eq(true));
     after.list_vm(facts.clone());
     let ended = vec![end(1, run, EndKind::Done)];
--- a/crates/schedule/tests/job_records.rs
+++ b/crates/schedule/tests/job_records.rs
@@ -84,11 +84,11 @@
     /// Reads some further records of a partition, at times starting with one that was read before.
     fn read_further(&mut self, partition: usize, rng: &mut StdRng) {
         let from = self.next[partition] - rng.random_range(0..=self.next[partition].min(1));
-        let most = self.partitions[partition].len() - from;
+        let max_count = self.partitions[partition].len() - from;
         let records: Vec<Record> = self.partitions[partition]
             .iter()
             .skip(from)
-            .take(rng.random_range(0..=most))
+            .take(rng.random_range(0..=max_count))
             .cloned()
             .collect();
         for record in &records {
--- a/crates/schedule/tests/late_calls.rs
+++ b/crates/schedule/tests/late_calls.rs
@@ -100,9 +100,9 @@
     assert_guarantees_hold(faults);
 }
 
-/// An owner that ended on its own was restarted under the same token. Its first VM list released runs whose starts were
-/// still in flight, and its records, numbered from one again, counted as older than those of the previous owner and were
-/// ignored. Of 3,000 seeds, 410 fail by the first fault and 2,846 by the second.
+/// Guards against an owner that ends unexpectedly and is restarted under the same token. Its first list of a VM's runs
+/// releases runs whose starts are still in flight, and its records, numbered from one again, count as older than those of
+/// the previous owner and are ignored. Of 3,000 seeds, 410 fail by the first fault and 2,846 by the second.
 #[test]
 fn guarantees_hold_when_an_owner_ends_on_its_own_and_is_restarted() {
     assert_guarantees_hold(Faults { owners_restart: true, ..Faults::default() });
@@ -133,9 +133,9 @@
     assert_guarantees_hold(RESTARTS_AND_LATE_CALLS);
 }
 
-/// A hold request that acknowledged ends of a VM's previous incarnation reached the next one, which had already run
-/// and ended a task on a start meant for the previous one. The VM dropped that end, number 1, before the owner
-/// received it, and the task was started again.
+/// Guards against a hold request that acknowledges ends of a VM's previous incarnation and reaches the next one, which
+/// has already run and ended a task on a start meant for the previous one. The VM drops that end, number 1, before the
+/// owner receives it, and the task is started again.
 #[test]
 fn an_acknowledgement_that_reaches_the_next_incarnation_drops_none_of_its_ends() {
     let failing: Vec<u64> = [410, 1_264]
--- a/crates/schedule/tests/late_ends.rs
+++ b/crates/schedule/tests/late_ends.rs
@@ -1,7 +1,8 @@
 //! Ends `done` of runs that were abandoned.
 //!
-//! A VM was unresponsive until its lease was over, and its run was abandoned and the task waited for room. The VM answered again
-//! and listed the run as done before its lease was over: the end was acknowledged and dropped, and the task ran a second time.
+//! Guards against a task that runs a second time after it was done. Its VM is unresponsive until the lease is over, so the run
+//! is abandoned and the task waits for room. The VM then answers again and lists the run as done before its lease was over. If
+//! this end is acknowledged and otherwise ignored, the task is started again.
 
 mod common;
 
--- a/crates/schedule/tests/link_world/link.rs
+++ b/crates/schedule/tests/link_world/link.rs
@@ -1,4 +1,4 @@
-//! The link of an owner to one VM incarnation, modelled on the real one: one hold request at a time and at most two
+//! The link of an owner to one VM incarnation, modelled on the scheduler's link: one hold request at a time and at most two
 //! starts and two stops in flight, each resent until its outcome is known.
 
 use thistle_schedule::pool::{StartOrder, StartResult};
@@ -15,7 +15,7 @@
 /// A VM takes at least this long to restart.
 const MIN_RESTART_TIME: Ms = 50;
 
-/// A call in flight.
+/// A call that waits for its answer.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     call: u64,
@@ -49,6 +49,7 @@
     pub token: u64,
     /// When the last hold request was answered by this incarnation of the VM, if it was.
     answered_at: Option<Ms>,
+    /// Ends of the VM up to this number are recorded and may be acknowledged.
     pub acked: u64,
     pub wait: Ms,
     /// The number of times that all runs on the VM were lost.
@@ -59,6 +60,7 @@
     reachable: bool,
     lost: bool,
     next_wait: Ms,
+    /// The number of calls in a row that had no answer.
     unanswered: u32,
     /// The hold request in flight, when it was sent, and how long the VM may delay its answer.
     hold: Option<(Pending, Ms, Ms)>,
@@ -258,7 +260,7 @@
         }
     }
 
-    /// Closes the link because the VM has restarted.
+    /// Closes the link because another incarnation of the VM runs under its ID.
     pub fn close_as_restarted(&mut self, incarnation: VmIncarnation, events: &mut Vec<Event>) {
         self.closed = true;
         self.losses += 1;
--- a/crates/schedule/tests/link_world/machines.rs
+++ b/crates/schedule/tests/link_world/machines.rs
@@ -38,7 +38,7 @@
                     self.answer(&message, answer);
                 } else {
                     let waits_until = Some(until);
-                    self.messages.push(Message { arrives: now + TICK, waits_until, ..message });
+                    self.messages.push(Message { arrives_at: now + TICK, waits_until, ..message });
                 }
             }
             Call::Start { order, deadline } => self.handle_start(&name, &message, &order, deadline),
@@ -86,7 +86,7 @@
                 order.vm, message.token
             )
         });
-        let source = OrderSource { token: message.token, at: message.sent };
+        let source = OrderSource { token: message.token, at: message.sent_at };
         self.runs.record_start(&incarnation, run, source, now);
         self.check_start(run);
         assert!(
@@ -104,12 +104,12 @@
             due.is_none_or(|due| due <= WALL_CLOCK_MS + self.now),
             "ORDER: {run} starts before it is due"
         );
-        let shape = &self.steps[&task.job][usize::from(task.step)];
-        for &on in &shape.depends_on {
-            let count = self.steps[&task.job][usize::from(on)].count;
-            let all =
-                (0..count).all(|index| self.done.contains(&TaskId { step: on, index, ..task }));
-            assert!(all, "ORDER: {run} starts at {} before step {on} is done", self.now);
+        let task_step = &self.steps[&task.job][usize::from(task.step)];
+        for &dependency in &task_step.depends_on {
+            let count = self.steps[&task.job][usize::from(dependency)].count;
+            let all = (0..count)
+                .all(|index| self.done.contains(&TaskId { step: dependency, index, ..task }));
+            assert!(all, "ORDER: {run} starts at {} before step {dependency} is done", self.now);
         }
         let failed = self.failures.get(&task).copied().unwrap_or(0);
         assert!(failed < 2, "BUDGET: {run} starts at {} after {failed} failures", self.now);
@@ -118,8 +118,8 @@
     pub(super) fn answer(&mut self, message: &Message, answer: Answer) {
         if message.answered {
             let path = self.vms.values().find(|v| v.id.id() == message.vm.id()).map(|v| v.path);
-            let most = if path == Some(PathState::Slow) { 300 } else { 30 };
-            let delay = self.rng.random_range(0..most);
+            let max_delay = if path == Some(PathState::Slow) { 300 } else { 30 };
+            let delay = self.rng.random_range(0..max_delay);
             self.answers.push((self.now + delay, message.id, answer));
         }
     }
@@ -184,9 +184,9 @@
 
     pub(super) fn acknowledge(&mut self, name: &str, last_seen: u64) {
         let Some(vm) = self.vms.get_mut(name) else { return };
-        let (seen, left): (Vec<_>, Vec<_>) =
+        let (seen, unseen): (Vec<_>, Vec<_>) =
             std::mem::take(&mut vm.ended).into_iter().partition(|e| e.sequence <= last_seen);
-        vm.ended = left;
+        vm.ended = unseen;
         let id = vm.id.clone();
         let void_up_to = vm.void_up_to;
         let counts = |e: &RunEnd| e.kind == EndKind::Failed && e.sequence > void_up_to;
--- a/crates/schedule/tests/link_world/mod.rs
+++ b/crates/schedule/tests/link_world/mod.rs
@@ -45,7 +45,7 @@
     pub late_copies: bool,
     /// The store takes up to 12 s, which delays the owner's events and decisions by as much.
     pub slow_store: bool,
-    /// Owners end on their own and are restarted by their nodes.
+    /// Owners end unexpectedly and are restarted by their nodes.
     pub owners_restart: bool,
     /// VMs are unlisted for a while and listed again.
     pub vms_are_unlisted: bool,
@@ -70,8 +70,8 @@
 #[derive(Clone, Debug)]
 struct Message {
     id: u64,
-    arrives: Ms,
-    sent: Ms,
+    arrives_at: Ms,
+    sent_at: Ms,
     vm: VmIncarnation,
     token: u64,
     call: Call,
@@ -85,7 +85,7 @@
 
 /// A plan whose records are being written.
 struct PendingWrite {
-    until: Ms,
+    done_at: Ms,
     records: Vec<(JobId, Progress)>,
     acks: Vec<(VmIncarnation, u64)>,
     orders: Vec<Order>,
@@ -97,12 +97,14 @@
     faults: Faults,
     vms: BTreeMap<String, SimVm>,
     messages: Vec<Message>,
+    /// Answers in flight: when each arrives, the number of its call, and the answer.
     answers: Vec<(Ms, u64, Answer)>,
     next_call: u64,
     /// Links by VM ID.
     links: BTreeMap<Arc<str>, Link>,
     links_opened: u64,
     events: Vec<Event>,
+    /// VMs without a link on which the owner knows of runs, and when these have ended for certain.
     orphans: BTreeMap<VmIncarnation, Ms>,
     pending_write: Option<PendingWrite>,
     planned_at: Ms,
@@ -238,8 +240,8 @@
         if path != PathState::Cut {
             self.messages.push(Message {
                 id: self.next_call,
-                arrives: self.now + delay,
-                sent: self.now,
+                arrives_at: self.now + delay,
+                sent_at: self.now,
                 vm: vm.clone(),
                 token,
                 call,
@@ -254,7 +256,7 @@
     fn deliver(&mut self) {
         let now = self.now;
         let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.messages).into_iter().partition(|m| m.arrives <= now);
+            std::mem::take(&mut self.messages).into_iter().partition(|m| m.arrives_at <= now);
         self.messages = later;
         for message in due {
             self.handle_call(message);
--- a/crates/schedule/tests/link_world/owner.rs
+++ b/crates/schedule/tests/link_world/owner.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl World {
-    /// The owner ends on its own, by a panic or an invalid answer of a VM, and its node starts another one.
+    /// Ends the owner, as after a panic or an invalid answer of a VM, and has its node start another one.
     pub(super) fn restart_owner(&mut self) {
         self.ownership.record_owner_end(&self.pool_name, self.token, self.now);
         match self.ownership.my_token(&self.pool_name) {
@@ -13,7 +13,7 @@
         }
     }
 
-    /// The node claims the pool again, like a node that takes it over.
+    /// Has the node claim the pool again, which has the same effect as a takeover by another node.
     pub(super) fn replace_owner(&mut self) {
         let owner = NodeIncarnation { name: "a".to_owned(), incarnation: 1 };
         let claim = Claim { owner, released: false };
@@ -42,7 +42,7 @@
         self.list_vms();
     }
 
-    /// The owner reads the list of VMs.
+    /// Applies the list of VMs to the owner's pool and links.
     pub(super) fn list_vms(&mut self) {
         let names: Vec<String> = self.vms.keys().cloned().collect();
         let listed = self.pool.vm_summaries();
@@ -104,11 +104,11 @@
 
     pub(super) fn run_owner(&mut self, fault_free: bool) {
         if let Some(pending) = self.pending_write.take() {
-            if pending.until > self.now {
+            if pending.done_at > self.now {
                 self.pending_write = Some(pending);
                 return;
             }
-            self.carry_out(pending);
+            self.finish_write(pending);
         }
         if self.events.is_empty() && self.now < self.planned_at + PLAN_INTERVAL {
             return;
@@ -127,11 +127,11 @@
             false if slow => self.rng.random_range(200..12_000),
             false => self.rng.random_range(0..3) * TICK,
         };
-        let pending = PendingWrite { until: self.now + write_time, records, acks, orders };
+        let pending = PendingWrite { done_at: self.now + write_time, records, acks, orders };
         if write_time > 0 {
             self.pending_write = Some(pending);
         } else {
-            self.carry_out(pending);
+            self.finish_write(pending);
         }
         let known: BTreeSet<VmIncarnation> =
             self.pool.vm_summaries().into_iter().map(|vm| vm.id).collect();
@@ -147,7 +147,8 @@
         }
     }
 
-    pub(super) fn carry_out(&mut self, pending: PendingWrite) {
+    /// Stores the records of a plan, then sends its acknowledgements and orders.
+    pub(super) fn finish_write(&mut self, pending: PendingWrite) {
         self.write(pending.records);
         for (vm, sequence) in pending.acks {
             if let Some(link) = self.link_mut(&vm) {
@@ -238,7 +239,7 @@
 
     pub(super) fn drop_orphans(&mut self) {
         let now = self.now;
-        let expired = self.orphans.iter().filter(|(_, at)| **at <= now);
+        let expired = self.orphans.iter().filter(|(_, ended_by)| **ended_by <= now);
         let expired: Vec<VmIncarnation> = expired.map(|(vm, _)| vm.clone()).collect();
         for vm in expired {
             self.orphans.remove(&vm);
@@ -248,8 +249,8 @@
 
     pub(super) fn facts(&self, name: &str) -> std::sync::Arc<VmFacts> {
         let vm = &self.vms[name];
-        let usual = vm_facts(name, vm.incarnation);
-        let facts = VmFacts { id: vm.id.clone(), room: vm.room, ..usual.as_ref().clone() };
+        let defaults = vm_facts(name, vm.incarnation);
+        let facts = VmFacts { id: vm.id.clone(), room: vm.room, ..defaults.as_ref().clone() };
         std::sync::Arc::new(facts)
     }
 }
--- a/crates/schedule/tests/link_world/vm.rs
+++ b/crates/schedule/tests/link_world/vm.rs
@@ -24,7 +24,9 @@
         ended: Vec<RunEnd>,
     },
     Started,
+    /// The VM runs another attempt of the task, or does not start this attempt any more.
     Old,
+    /// The start's deadline is over.
     Late,
     NoRoom,
     Stopped,
@@ -67,6 +69,7 @@
     pub started_at: Ms,
     /// The speed of the VM's clock, in thousandths.
     pub speed: u64,
+    /// The highest token that the VM has seen.
     pub fence: u64,
     pub room: Room,
     /// Whether the VM rejects starts that do not fit.
@@ -74,6 +77,7 @@
     /// The room that the VM has, which may be less for a while than the room that it reports.
     pub actual_room: Room,
     pub runs: BTreeMap<TaskId, Run>,
+    /// The highest attempt of each task that ended or was stopped, which the VM does not start any more.
     pub barred: BTreeMap<TaskId, u32>,
     /// Ends that the VM lists until they are acknowledged.
     pub ended: Vec<RunEnd>,
@@ -133,6 +137,7 @@
         self.runs.values().fold(Room::default(), |sum, run| sum.plus(run.demand))
     }
 
+    /// Keeps the VM from starting a run, or an earlier attempt of its task, any more.
     pub fn bar(&mut self, run: RunId) {
         let barred = self.barred.entry(run.task).or_default();
         *barred = run.attempt.max(*barred);
--- a/crates/schedule/tests/need.rs
+++ b/crates/schedule/tests/need.rs
@@ -28,7 +28,7 @@
 #[gtest]
 fn a_late_job_waits_for_jobs_in_time_until_its_last_useful_moment() {
     expect_that!(first_of_late_and_new(1_000), eq(JOB), "both in time, the older is due first");
-    expect_that!(first_of_late_and_new(3_000), eq(JobId(2)), "late, and has time yet");
+    expect_that!(first_of_late_and_new(3_000), eq(JobId(2)), "late, but it can still wait");
     expect_that!(first_of_late_and_new(4_800), eq(JOB), "of use only if it starts now");
     expect_that!(first_of_late_and_new(6_000), eq(JobId(2)), "too late to be of use");
 }
@@ -106,8 +106,8 @@
     expect_that!((now.staying, now.waiting, now.following), eq((2_000, 0, 0)));
 }
 
-/// A pool reported a need of 3,900 cores where 2,000 were used two seconds later. A third of the need was work that
-/// starts and ends before the new VMs arrive.
+/// Guards against a pool that reports a need of 3,900 cores where 2,000 are used two seconds later. A third of that need is
+/// work that starts and ends before the new VMs arrive.
 #[gtest]
 fn steps_that_start_and_end_before_vms_arrive_add_no_need() {
     let mut pool = pool_with_vms(&["a"]);
@@ -137,8 +137,8 @@
     expect_that!(pool.demand(LEAD_TIME, at(60_000)).waiting, eq(0));
 }
 
-/// Lasting tasks that fitted on none of eleven VMs, half of whose room was in use, waited for 12 s because the
-/// processor of the tasks alone called for no further VM.
+/// Guards against lasting tasks that fit on none of eleven VMs, half of whose room is in use, and wait for 12 s because the
+/// CPU of the tasks alone requires no further VM.
 #[gtest]
 fn lasting_tasks_that_fit_on_no_vm_add_more_need_than_their_processor() {
     let mut pool = pool_with_vms(&["a"]);
@@ -149,9 +149,9 @@
     expect_that!(pool.demand(LEAD_TIME, at(10)).waiting, eq(3_000), "two of 500 each");
 }
 
-/// A task that needed a whole VM of sixteen cores was not started for 25 s in a pool that used less than half of its
-/// processor. All VMs ran something, so the task fitted nowhere, and its demand was so small that the reported need
-/// stayed below the pool's size.
+/// Guards against a task that needs a whole VM of sixteen cores and is not started for 25 s in a pool that uses less than
+/// half of its CPU. All VMs run something, so the task fits nowhere, and its demand is so small that the reported need stays
+/// below the pool's size.
 #[gtest]
 fn a_task_that_fills_more_than_half_of_a_vm_adds_the_need_of_a_whole_vm() {
     let need = |cpu| {
--- a/crates/schedule/tests/policies.rs
+++ b/crates/schedule/tests/policies.rs
@@ -42,8 +42,8 @@
     expect_that!(requests[0].vms, len(eq(2)));
     // A step has one open request at a time.
     expect_that!(advice_requests(&pool.plan(at(20))), is_empty());
-    let good = vec![(requests[0].vms[1].clone(), "t-1".to_owned())];
-    pool.apply_advice(requests[0].step, Some((good, 3_000)), at(60));
+    let advised_vms = vec![(requests[0].vms[1].clone(), "t-1".to_owned())];
+    pool.apply_advice(requests[0].step, Some((advised_vms, 3_000)), at(60));
     let started = starts(&pool.plan(at(70)));
     expect_that!(started, len(eq(2)));
     expect_that!(started.iter().all(|s| s.vm == requests[0].vms[1]), eq(true));
@@ -55,8 +55,8 @@
     let mut pool = pool_with_vms(&["a"]);
     pool.submit(JOB, advised_job(), at(0));
     let requests = advice_requests(&pool.plan(at(10)));
-    let good = vec![(requests[0].vms[0].clone(), "t-1".to_owned())];
-    pool.apply_advice(requests[0].step, Some((good, 1_000)), at(60));
+    let advised_vms = vec![(requests[0].vms[0].clone(), "t-1".to_owned())];
+    pool.apply_advice(requests[0].step, Some((advised_vms, 1_000)), at(60));
     let orders = pool.plan(at(1_100));
     expect_that!(starts(&orders), is_empty());
     expect_that!(advice_requests(&orders), len(eq(1)));
@@ -72,7 +72,8 @@
     expect_that!(advice_requests(&pool.plan(at(1_300))), len(eq(1)));
 }
 
-/// Returns a pool whose only VM runs a serving task, with a tail target of 100 ms, and a filling task, and the rows of both runs.
+/// Returns a pool whose only VM runs a serving task (a lasting task with a tail target, here 100 ms) and a filling task, and
+/// the rows of both runs.
 fn pool_with_serving_and_filling_task() -> (Pool, Vec<RunRow>) {
     let mut pool = pool_with_vms(&["a"]);
     let serving = Step { lasting: true, tail_target_ms: 100, ..step(1, 500) };
@@ -117,8 +118,8 @@
     expect_that!(started[0].vm, not(eq(&started[1].vm)));
 }
 
-/// A filling task's progress must not be taken for its share of speed: each report of a task at 41% of its work
-/// would throttle it to 61% of its speed.
+/// A filling task's progress must not count as its speed: each report of a task at 41% of its work would then throttle
+/// it to 61% of its speed.
 #[gtest]
 fn the_progress_of_a_filling_task_is_not_its_speed() {
     let (mut pool, rows) = pool_with_serving_and_filling_task();
--- a/crates/schedule/tests/quota_histories.rs
+++ b/crates/schedule/tests/quota_histories.rs
@@ -24,10 +24,11 @@
 
 /// Seeds that failed before and are simulated in each run.
 ///
-/// 658: a cap was unlimited for a while; when it was limited again, a pool used the part that it was lent before, in addition to the tasks
-/// that another pool had started without a limit (4 starts over the cap). 176, 3507: the same with owners and lenders that were replaced
-/// in between and used older records. 14: a workspace that was limited for the first time was lent its whole cap in addition to its running
-/// tasks. 3240: a new owner whose node did not know the limit yet started tasks that its predecessor had left waiting.
+/// 658: a cap was unlimited for a while. When it was limited again, a pool used the part that it was lent before, in
+/// addition to the tasks that another pool had started without a limit (4 starts over the cap).
+/// 176, 3507: the same with owners and lenders that were replaced in between and used older records.
+/// 14: a workspace that was limited for the first time was lent its whole cap in addition to its running tasks.
+/// 3240: a new owner whose node did not know the limit yet started tasks that its predecessor had left waiting.
 const REGRESSION_SEEDS: [u64; 5] = [14, 176, 658, 3240, 3507];
 
 fn seeds() -> std::ops::Range<u64> {
@@ -64,10 +65,11 @@
     }
 }
 
-/// The pools are busy one after the other. With equal parts, the busy pool has waiting tasks while the parts of the others are idle.
+/// The pools are busy one after the other. With equal parts, the busy pool has waiting tasks while the parts of the others
+/// are idle.
 #[test]
 fn little_of_a_cap_is_idle_while_a_pool_waits_for_it() {
-    let idle = |split| {
+    let idle_share = |split| {
         let (mut idle, mut cap, mut waits_ms) = (0, 0, Vec::new());
         for seed in 0..20 {
             let world = simulate(seed, split, DisabledSafeguard::Nothing, false);
@@ -77,14 +79,15 @@
             waits_ms.extend(world.waits_for_share_ms);
         }
         waits_ms.sort_unstable();
-        let at = |part: usize| waits_ms.get(waits_ms.len() * part / 100).copied().unwrap_or(0);
+        let percentile =
+            |percent: usize| waits_ms.get(waits_ms.len() * percent / 100).copied().unwrap_or(0);
         println!(
             "{split:?}: {idle} of {cap} idle, share after {} ms p50, {} ms p99",
-            at(50),
-            at(99)
+            percentile(50),
+            percentile(99)
         );
         idle as f64 / cap as f64
     };
-    let (lent, equal) = (idle(Split::Lent), idle(Split::Equal));
+    let (lent, equal) = (idle_share(Split::Lent), idle_share(Split::Equal));
     assert!(lent < 0.1 && lent * 3.0 < equal, "lent {lent:.3}, equal parts {equal:.3}");
 }
--- a/crates/schedule/tests/quota_kinds.rs
+++ b/crates/schedule/tests/quota_kinds.rs
@@ -1,4 +1,4 @@
-//! A cap that limits its resources one after the other: processors first, memory later.
+//! A cap that limits one resource at first and another one later: processors first, then memory as well.
 
 use thistle_schedule::quota::{CapUse, Lender};
 use thistle_schedule::{Room, Workspace};
@@ -16,8 +16,8 @@
     lender.record_use(CapUse { pool, workspace, sequence: (1, count), number, used, wanted: used });
 }
 
-/// While memory has no limit, the reported use of it binds no pool. When it is limited later, the whole cap must not be lent
-/// in addition to the memory that is in use.
+/// While memory has no limit, a pool may take more of it than it has reported. When memory is limited later, the whole cap
+/// must not be lent in addition to the memory that is in use.
 #[test]
 fn a_resource_that_is_limited_later_is_not_lent_in_addition_to_its_use() {
     let pools = || ["desk".into(), "plan".into()].into_iter();
--- a/crates/schedule/tests/quota_world/mod.rs
+++ b/crates/schedule/tests/quota_world/mod.rs
@@ -33,9 +33,10 @@
     split: Split,
     disabled: DisabledSafeguard,
     pub now: u64,
+    /// The cap of each configuration version, with the tick at which it was written.
     configs: Vec<(u64, Room)>,
     records: Vec<LentCap>,
-    /// Configuration versions up to which the records are complete, each with the number of records then.
+    /// Numbers of records, each with the configuration version up to which that many records are complete.
     as_of: Vec<(usize, u64)>,
     /// Usage reports in flight, each with the tick of its arrival.
     reports_in_flight: Vec<(u64, CapUse)>,
@@ -63,8 +64,8 @@
 
 impl World {
     pub fn new(seed: u64, split: Split, disabled: DisabledSafeguard, has_faults: bool) -> Self {
-        let of_seed = usize::try_from(seed).unwrap_or(0) % CAPS.len();
-        let first = if has_faults { CAPS[of_seed] } else { CAPS[0] };
+        let cap_index = usize::try_from(seed).unwrap_or(0) % CAPS.len();
+        let first_cap = if has_faults { CAPS[cap_index] } else { CAPS[0] };
         let owners = POOLS.iter().map(|_| Owner {
             ledger: Ledger::default(),
             key: None,
@@ -84,7 +85,7 @@
             split,
             disabled,
             now: 0,
-            configs: vec![(0, cap(first))],
+            configs: vec![(0, cap(first_cap))],
             records: Vec::new(),
             as_of: Vec::new(),
             reports_in_flight: Vec::new(),
@@ -363,10 +364,10 @@
             // Capacity is not idle if no waiting task fits into it, or if a run whose end is not reported yet takes it:
             // neither is a fault of the split.
             let counted = self.owners.iter().flat_map(|o| &o.runs).map(|r| u64::from(r.room.cpu));
-            let left = cap.saturating_sub(counted.sum());
-            let heads = self.owners.iter().filter_map(|o| o.waiting.first());
-            let fits = heads.map(|r| u64::from(r.cpu)).any(|cpu| cpu <= left);
-            let idle = if fits { left.min(waiting) } else { 0 };
+            let free = cap.saturating_sub(counted.sum());
+            let first_waiting = self.owners.iter().filter_map(|o| o.waiting.first());
+            let fits = first_waiting.map(|r| u64::from(r.cpu)).any(|cpu| cpu <= free);
+            let idle = if fits { free.min(waiting) } else { 0 };
             self.waiting_cpu += waiting;
             self.idle_cpu_while_waiting += idle;
             self.cap_cpu_while_waiting += cap;
--- a/crates/schedule/tests/quota_world/parts.rs
+++ b/crates/schedule/tests/quota_world/parts.rs
@@ -49,6 +49,7 @@
     /// The runs whose end is not reported yet.
     pub runs: Vec<Run>,
     pub waiting: Vec<Room>,
+    /// The tick since which the first waiting task does not fit into the pool's share.
     pub short_since: Option<u64>,
     pub next_report_at: u64,
 }
--- a/crates/schedule/tests/readers.rs
+++ b/crates/schedule/tests/readers.rs
@@ -35,7 +35,7 @@
     (0..views.len()).filter(|&i| views[i].is_reader(pool, now) == Some(true)).collect()
 }
 
-/// All nodes start again after a loss of power. When every node followed every pool, 97 nodes requested 13 MB each.
+/// If every node followed every pool, 97 nodes that start again after a loss of power would request 13 MB each.
 #[gtest]
 fn the_number_of_readers_of_a_pool_does_not_grow_with_the_number_of_nodes() {
     for nodes in [6, 9, 32, 97, 300] {
--- a/crates/schedule/tests/retry_backoff.rs
+++ b/crates/schedule/tests/retry_backoff.rs
@@ -1,8 +1,8 @@
 //! Retries without a limit are made with growing pauses.
 //!
-//! A lasting task that failed right after each start was restarted at once for as long as its job was open, each time at the
-//! cost of a record and a call. An order that the machine service rejected was repeated every 0.4 s for as long as the VM did
-//! not change.
+//! Guards against a lasting task that fails right after each start and is restarted at once for as long as its job is open,
+//! each time at the cost of a record and a call, and against an order that the machine service rejects and that is repeated
+//! every 0.4 s for as long as the VM does not change.
 
 mod common;
 mod fleet_common;
@@ -57,8 +57,8 @@
     expect_that!(pauses.max(), some(le(2_000)), "a wave has a deadline: {orders:?}");
 }
 
-/// A job with a thousand million repetitions due at once was expanded in full by one owner after the other: it exhausted the
-/// memory of the node, and the next node took over the pool and the job.
+/// Guards against a job with a thousand million repetitions due at once that is expanded in full. It exhausts the memory of
+/// the owner's node, and then that of each node that takes over the pool and the job.
 #[gtest]
 fn a_job_with_many_repetitions_due_at_once_uses_bounded_memory() {
     let repeats = Some(Repeats { count: 20_000, start_at_ms: 0, interval_ms: 1 });
@@ -81,7 +81,7 @@
     expect_that!(seen.len(), gt(300));
 }
 
-/// A record of a job whose steps depended on steps that do not exist made one owner after the other fail.
+/// Guards against a record of a job whose steps depend on steps that do not exist, which makes one owner after the other fail.
 #[gtest]
 fn a_record_of_an_invalid_job_is_rejected() {
     let wrong = Step { depends_on: vec![7], ..step(1, 500) };
--- a/crates/schedule/tests/room.rs
+++ b/crates/schedule/tests/room.rs
@@ -1,8 +1,8 @@
 //! The room of a VM that shrinks and grows while the VM runs.
 //!
-//! The room that a VM reports applies from a few seconds after it changed. A start that was decided before and that the VM had
-//! not answered was resent for up to the length of a lease, and could then exceed the room that the VM had when
-//! it arrived. A VM that rejected a start for lack of room received the order again every half second.
+//! The room that a VM reports applies from a few seconds after it changed. If a start that was decided before and that the VM
+//! has not answered is resent for up to the length of a lease, it may exceed the room that the VM has when it arrives. A VM
+//! that rejects a start for lack of room must not receive the order again every half second.
 
 mod common;
 
--- a/crates/schedule/tests/shares.rs
+++ b/crates/schedule/tests/shares.rs
@@ -29,9 +29,12 @@
 
 struct Simulation {
     pool: Pool,
+    /// Whether each job belongs to one of the other workspaces, and when it is due.
     due: BTreeMap<JobId, (bool, Ms)>,
+    /// Running tasks, each with the time of its end.
     runs: Vec<(Ms, VmIncarnation, RunId)>,
     sequence: u64,
+    /// The number of jobs of the other workspaces that ended in time.
     in_time: usize,
 }
 
@@ -60,30 +63,31 @@
 
     fn submit(&mut self, workspace: usize, now: Ms) {
         let id = JobId(self.due.len() as u64 + 1);
-        let one = job(vec![step(1, 1_000)]);
+        let template = job(vec![step(1, 1_000)]);
         let spec = JobSpec {
             workspace: format!("w{workspace}"),
             accepted_ms: WALL_CLOCK_MS + now,
-            ..one.as_ref().clone()
+            ..template.as_ref().clone()
         };
         self.pool.submit(id, Arc::new(spec), at(now));
         self.due.insert(id, (workspace > 0, now + DUE_AFTER_MS));
     }
 
     fn tick(&mut self, now: Ms) {
-        let (over, left) = std::mem::take(&mut self.runs).into_iter().partition(|run| run.0 <= now);
-        self.runs = left;
-        let over: Vec<(Ms, VmIncarnation, RunId)> = over;
-        let vms: BTreeSet<VmIncarnation> = over.iter().map(|run| run.1.clone()).collect();
+        let (ended_runs, remaining) =
+            std::mem::take(&mut self.runs).into_iter().partition(|run| run.0 <= now);
+        self.runs = remaining;
+        let ended_runs: Vec<(Ms, VmIncarnation, RunId)> = ended_runs;
+        let vms: BTreeSet<VmIncarnation> = ended_runs.iter().map(|run| run.1.clone()).collect();
         for vm in vms {
             let rows =
                 self.runs.iter().filter(|r| r.1 == vm).map(|r| common::row(r.2, 50)).collect();
             let mut ended = Vec::new();
-            for (_, _, run) in over.iter().filter(|r| r.1 == vm) {
+            for (_, _, run) in ended_runs.iter().filter(|r| r.1 == vm) {
                 self.sequence += 1;
                 ended.push(end(self.sequence, *run, EndKind::Done));
-                let (counts, due) = self.due[&run.task.job];
-                self.in_time += usize::from(counts && now <= due);
+                let (is_of_others, due) = self.due[&run.task.job];
+                self.in_time += usize::from(is_of_others && now <= due);
             }
             self.pool.apply_report(&vm, &report(now, rows, ended), at(now));
         }
@@ -106,8 +110,8 @@
                 }
             }
             for i in 0..burst {
-                let at = i * 1_000 / burst.max(1);
-                if now % 1_000 <= at && at < now % 1_000 + TICK_MS {
+                let due_ms = i * 1_000 / burst.max(1);
+                if now % 1_000 <= due_ms && due_ms < now % 1_000 + TICK_MS {
                     simulation.submit(0, now);
                 }
             }
--- a/crates/schedule/tests/takeover.rs
+++ b/crates/schedule/tests/takeover.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// Returns a new owner that knows the job by its record. VM b has reported to the new owner, VM a has not.
+/// Returns the pool of a new owner that knows the job by its record. VM b has reported to the new owner, VM a has not.
 fn successor(entry: &JobEntry) -> Pool {
     let mut after = Pool::new();
     after.adopt(JOB, entry, at(100));
@@ -71,8 +71,8 @@
     expect_that!(stops(&after.plan(at(140))), eq(&vec![run]));
 }
 
-/// A new owner moved a lasting task while another one of its step was still stopping on an order of the previous
-/// owner, of which there is no record.
+/// Guards against a new owner that moves a lasting task while another one of its step is still stopping on an order of
+/// the previous owner, of which there is no record.
 #[gtest]
 fn a_new_owner_moves_nothing_while_stops_of_the_previous_owner_may_be_in_flight() {
     let spec = job(vec![lasting_step(2, 1)]);
@@ -200,7 +200,7 @@
     expect_that!(log.is_empty(), eq(true));
 }
 
-/// The failed attempts of a gang were not in the records, so a new owner let the gang fail once more than allowed.
+/// If failed attempts of a gang are not in the records, a new owner lets the gang fail once more than allowed.
 #[gtest]
 fn failed_attempts_of_a_gang_still_count_and_count_once_for_all_members() {
     let spec = job(vec![thistle_schedule::Step { gang: true, ..step(2, 500) }]);
@@ -225,8 +225,8 @@
     expect_that!(after.take_records()[0].1.phase, eq(Phase::Failed));
 }
 
-/// A job was cancelled while its pool changed owners. The stops were ordered before there was a link to the VM, and
-/// were not repeated.
+/// A job is cancelled while its pool changes owners. Stops that are ordered before there is a link to the VM must be
+/// repeated.
 #[gtest]
 fn a_run_that_was_ordered_to_stop_and_is_still_listed_is_stopped_again() {
     let spec = job(vec![common::lasting_step(1, 1)]);
@@ -295,8 +295,8 @@
     );
 }
 
-/// A cancellation applied to any job with its ID. One of another workspace, written before the submission of the job
-/// was read, would have cancelled the job.
+/// If a cancellation applied to any job with its ID, one by another workspace that is read before the submission of the
+/// job would cancel the job.
 #[gtest]
 fn a_cancellation_by_another_workspace_changes_nothing_before_and_after_the_submission() {
     let by = |name: &str| {
--- a/crates/schedule/tests/unclear.rs
+++ b/crates/schedule/tests/unclear.rs
@@ -1,9 +1,9 @@
 //! A start whose outcome is not known.
 //!
-//! The first copy of a start had no answer and was still in flight, as calls without an answer may be carried out seconds later.
-//! The second copy was rejected for lack of room, so the owner only knew that the run might start. The VM's next report did not
-//! list the run, and the task was released and started elsewhere. Then the first copy started the task a second time. Only a
-//! stop bars a run that has not arrived.
+//! Guards against a task that is started twice. The first copy of its start has no answer and is still in flight, as calls
+//! without an answer may be carried out seconds later. The second copy is rejected for lack of room, so the owner only knows
+//! that the run may start. If the task is started elsewhere when the VM's next report does not list the run, the first copy
+//! starts the task a second time. Only a stop bars a run whose start has not arrived.
 
 mod common;
 
--- a/crates/schedule/tests/world/checks.rs
+++ b/crates/schedule/tests/world/checks.rs
@@ -1,4 +1,4 @@
-//! Checks whenever a run starts, and at the end.
+//! Checks of the guarantees, made whenever a run starts and at the end.
 
 use thistle_schedule::pool::StartOrder;
 use thistle_schedule::{Phase, TaskId};
@@ -11,15 +11,15 @@
         let elsewhere = self.vms.iter().find(|(_, sim)| sim.runs.contains_key(&task));
         assert!(elsewhere.is_none(), "{task} starts on {name} at {now}, runs on {elsewhere:?}");
         assert!(!self.acknowledged.contains(&task), "{task} starts at {now} after its end");
-        let shape = &self.steps[&task.job][usize::from(task.step)];
-        for &on in &shape.depends_on {
-            let count = self.steps[&task.job][usize::from(on)].count;
-            let all =
-                (0..count).all(|index| self.done.contains(&TaskId { step: on, index, ..task }));
-            assert!(all, "{task} starts at {now} before step {on} is done");
+        let task_step = &self.steps[&task.job][usize::from(task.step)];
+        for &dependency in &task_step.depends_on {
+            let count = self.steps[&task.job][usize::from(dependency)].count;
+            let all = (0..count)
+                .all(|index| self.done.contains(&TaskId { step: dependency, index, ..task }));
+            assert!(all, "{task} starts at {now} before step {dependency} is done");
         }
         let failed = self.failures.get(&task).copied().unwrap_or(0);
-        assert!(shape.lasting || failed < 2, "{task} starts at {now} after {failed} failures");
+        assert!(task_step.lasting || failed < 2, "{task} starts at {now} after {failed} failures");
     }
 
     pub fn check_settled(&self) {
@@ -33,11 +33,12 @@
                 entry.progress
             );
             if entry.progress.phase == Phase::Completed {
-                for (i, shape) in (0..).zip(&self.steps[&id]) {
+                for (i, task_step) in (0..).zip(&self.steps[&id]) {
                     let task = |index| TaskId { job: id, time: 0, step: i, index };
-                    let done = (0..shape.count).filter(|&n| self.done.contains(&task(n))).count();
+                    let done =
+                        (0..task_step.count).filter(|&n| self.done.contains(&task(n))).count();
                     assert!(
-                        done == shape.count as usize || (shape.gang && done > 0),
+                        done == task_step.count as usize || (task_step.gang && done > 0),
                         "{id} step {i}"
                     );
                 }
--- a/crates/schedule/tests/world/in_flight.rs
+++ b/crates/schedule/tests/world/in_flight.rs
@@ -5,7 +5,7 @@
 /// An order in flight.
 #[derive(Clone, Debug)]
 pub(super) struct InFlightOrder {
-    arrives: Ms,
+    arrives_at: Ms,
     ordered_at: Ms,
     token: u64,
     deadline: Ms,
@@ -31,7 +31,7 @@
         let (token, deadline) = (self.token, self.now + LEASE);
         self.trace(|| format!("ordered {} late {late}", describe(&order)));
         let sent = InFlightOrder {
-            arrives: self.now + delay,
+            arrives_at: self.now + delay,
             ordered_at: self.now,
             token,
             deadline,
@@ -40,7 +40,8 @@
         };
         if late {
             // The order is resent until it is answered; the late copy arrives nevertheless.
-            let again = InFlightOrder { arrives: self.now + 600, answered: true, ..sent.clone() };
+            let again =
+                InFlightOrder { arrives_at: self.now + 600, answered: true, ..sent.clone() };
             self.in_flight.push(again);
         }
         self.in_flight.push(sent);
@@ -48,7 +49,8 @@
 
     pub(super) fn deliver(&mut self) {
         let now = self.now;
-        let (due, later) = self.in_flight.drain(..).partition(|f: &InFlightOrder| f.arrives <= now);
+        let (due, later) =
+            self.in_flight.drain(..).partition(|f: &InFlightOrder| f.arrives_at <= now);
         self.in_flight = later;
         for sent in due {
             self.handle_arrival(sent);
@@ -84,7 +86,7 @@
             // The order is resent once the VM is reachable, unless the owner has changed or the VM is lost. Resending
             // does not extend the lease.
             if sent.answered && sent.token == self.token && !self.lost.contains(&target) {
-                self.in_flight.push(InFlightOrder { arrives: now + 200, ..sent });
+                self.in_flight.push(InFlightOrder { arrives_at: now + 200, ..sent });
             }
             return;
         }
@@ -134,9 +136,9 @@
             let source = OrderSource { token: sent.token, at: sent.ordered_at };
             self.runs.record_start(&start.vm, run, source, now);
             self.check_start(name, start);
-            let shape = &self.steps[&run.task.job][usize::from(run.task.step)];
-            let ends_at = if shape.lasting && !fails { Ms::MAX } else { now + duration };
-            let demand = shape.room();
+            let task_step = &self.steps[&run.task.job][usize::from(run.task.step)];
+            let ends_at = if task_step.lasting && !fails { Ms::MAX } else { now + duration };
+            let demand = task_step.room();
             let sim = self.vms.get_mut(name).expect("it was found");
             sim.runs.insert(run.task, Run { attempt: run.attempt, ends_at, fails, demand });
             let used = sim.runs.values().fold(Room::default(), |sum, r| sum.plus(r.demand));
--- a/crates/schedule/tests/world/mod.rs
+++ b/crates/schedule/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! VMs that lose answers, carry out orders late, are cut off and crash, and owners that are replaced
+//! A simulation of a pool: VMs that lose answers, carry out orders late, are cut off and crash, and owners that are replaced
 //! at any moment.
 
 mod checks;
@@ -41,7 +41,7 @@
     last_records: BTreeMap<JobId, Vec<u8>>,
     pool: Pool,
     steps: BTreeMap<JobId, Vec<Step>>,
-    /// Tasks whose end `done` was listed.
+    /// Tasks that have ended `done` on a VM.
     done: BTreeSet<TaskId>,
     /// Tasks whose end `done` was acknowledged by an owner.
     acknowledged: BTreeSet<TaskId>,
@@ -49,7 +49,9 @@
     runs: Runs,
     /// Whether to print all events.
     verbose: bool,
-    last_answer: BTreeMap<VmIncarnation, Ms>,
+    /// When each VM last answered the owner, or when the owner took over.
+    last_contacts: BTreeMap<VmIncarnation, Ms>,
+    /// VMs whose loss the owner knows.
     lost: BTreeSet<VmIncarnation>,
     /// Evacuated halls and the times of their evacuation.
     evacuated: BTreeMap<&'static str, Ms>,
@@ -94,7 +96,7 @@
             failures: BTreeMap::new(),
             runs: Runs::default(),
             verbose: std::env::var_os("THISTLE_SEED").is_some(),
-            last_answer: BTreeMap::new(),
+            last_contacts: BTreeMap::new(),
             lost: BTreeSet::new(),
             evacuated: BTreeMap::new(),
         };
@@ -154,11 +156,11 @@
         }
         let now = self.now;
         for (name, sim) in &self.vms {
-            self.last_answer.insert(incarnation_of(name, sim), now);
+            self.last_contacts.insert(incarnation_of(name, sim), now);
         }
         self.list_vms();
         for id in self.pool.unlisted_with_runs() {
-            self.last_answer.insert(id, now);
+            self.last_contacts.insert(id, now);
         }
     }
 
@@ -277,17 +279,17 @@
             }
             self.pool.set_reachable(&id, true, at(now));
             self.pool.apply_report(&id, &report, at(now));
-            self.last_answer.insert(id.clone(), now);
+            self.last_contacts.insert(id.clone(), now);
             self.lost.remove(&id);
         }
     }
 
     fn expire_leases(&mut self) {
-        let is_over = |answered_at: Ms| self.now >= answered_at + LEASE * 103 / 100 + 200;
+        let is_over = |last_contact: Ms| self.now >= last_contact + LEASE * 103 / 100 + 200;
         let expired: Vec<VmIncarnation> = self
-            .last_answer
+            .last_contacts
             .iter()
-            .filter(|(id, answered_at)| is_over(**answered_at) && !self.lost.contains(*id))
+            .filter(|(id, last_contact)| is_over(**last_contact) && !self.lost.contains(*id))
             .map(|(id, _)| id.clone())
             .collect();
         for id in expired {
@@ -303,8 +305,8 @@
             return;
         };
         self.runs.record_acknowledgement(id, sequence, self.now);
-        let (seen, left) = sim.ended.drain(..).partition(|e: &RunEnd| e.sequence <= sequence);
-        sim.ended = left;
+        let (seen, unseen) = sim.ended.drain(..).partition(|e: &RunEnd| e.sequence <= sequence);
+        sim.ended = unseen;
         for end in seen {
             match end.kind {
                 EndKind::Done if end.sequence > sim.void_up_to => {
@@ -354,8 +356,8 @@
                 } else {
                     self.pool.vm_lost(&old, VmLoss::Replaced, at(now));
                 }
-                self.last_answer.remove(&old);
-                self.last_answer.insert(new, now);
+                self.last_contacts.remove(&old);
+                self.last_contacts.insert(new, now);
             }
             5..8 => self.replace_owner(),
             8..10 => self.toggle_evacuation(hall_of(&name)),
--- a/crates/schedule/tests/world/twice.rs
+++ b/crates/schedule/tests/world/twice.rs
@@ -6,15 +6,15 @@
 
 use thistle_schedule::{EndKind, Ms, RunId, TaskId, VmIncarnation};
 
-/// How a run ended.
+/// The end of a run.
 #[derive(Clone, Debug)]
 struct End {
     sequence: u64,
     kind: EndKind,
     at: Ms,
-    /// The number of this event among all events, which orders events of the same time.
-    order: u64,
-    acknowledged: Option<Ms>,
+    /// The number of this end among all events, which distinguishes events of the same time.
+    event: u64,
+    acknowledged_at: Option<Ms>,
     /// The VM's lease expired before the end was acknowledged, so the end does not count even if it is acknowledged
     /// later.
     void: bool,
@@ -26,9 +26,10 @@
     vm: VmIncarnation,
     attempt: u32,
     token: u64,
-    ordered: Ms,
-    at: Ms,
-    order: u64,
+    ordered_at: Ms,
+    started_at: Ms,
+    /// The number of this start among all events.
+    event: u64,
     end: Option<End>,
     /// The VM is gone with all its runs.
     vm_is_gone: bool,
@@ -61,14 +62,14 @@
         source: OrderSource,
         now: Ms,
     ) {
-        let order = self.next_event();
+        let event = self.next_event();
         let started = StartedRun {
             vm: vm.clone(),
             attempt: run.attempt,
             token: source.token,
-            ordered: source.at,
-            at: now,
-            order,
+            ordered_at: source.at,
+            started_at: now,
+            event,
             end: None,
             vm_is_gone: false,
         };
@@ -85,19 +86,20 @@
         sequence: u64,
         at: Ms,
     ) {
-        let order = self.next_event();
+        let event = self.next_event();
         let runs = self.by_task.get_mut(&run.task).into_iter().flatten();
         // A run that was barred before its start arrived has an end but no start.
         let started =
             runs.filter(|r| r.vm == *vm && r.attempt == run.attempt).find(|r| r.end.is_none());
         if let Some(started) = started {
-            started.end = Some(End { sequence, kind, at, order, acknowledged: None, void: false });
+            started.end =
+                Some(End { sequence, kind, at, event, acknowledged_at: None, void: false });
         }
     }
 
     pub(super) fn record_lease_expiry(&mut self, vm: &VmIncarnation) {
         let runs = self.by_task.values_mut().flatten().filter(|r| r.vm == *vm);
-        for end in runs.filter_map(|r| r.end.as_mut()).filter(|e| e.acknowledged.is_none()) {
+        for end in runs.filter_map(|r| r.end.as_mut()).filter(|e| e.acknowledged_at.is_none()) {
             end.void = true;
         }
     }
@@ -113,8 +115,8 @@
         for (&task, runs) in &mut self.by_task {
             for started in runs.iter_mut().filter(|r| r.vm == *vm && !r.vm_is_gone) {
                 let end = started.end.as_mut().filter(|e| e.sequence <= sequence);
-                let Some(end) = end.filter(|e| e.acknowledged.is_none()) else { continue };
-                end.acknowledged = Some(now);
+                let Some(end) = end.filter(|e| e.acknowledged_at.is_none()) else { continue };
+                end.acknowledged_at = Some(now);
                 tasks.push(task);
             }
         }
@@ -129,14 +131,14 @@
         assert!(running <= 1, "TWICE: {task} runs {running} times at once:\n{}", Trace(runs));
     }
 
-    /// Checks that no run started after an end `done` that counts, at each start and each acknowledgement.
+    /// Checks that no run started after an end `done` that counts. Called at each start and each acknowledgement.
     fn check_no_start_after_done(&self, task: TaskId) {
         let runs = &self.by_task[&task];
-        let counts = |e: &&End| e.kind == EndKind::Done && e.acknowledged.is_some() && !e.void;
+        let counts = |e: &&End| e.kind == EndKind::Done && e.acknowledged_at.is_some() && !e.void;
         let first =
-            runs.iter().filter_map(|r| r.end.as_ref()).filter(counts).map(|e| e.order).min();
+            runs.iter().filter_map(|r| r.end.as_ref()).filter(counts).map(|e| e.event).min();
         let Some(first) = first else { return };
-        let again = runs.iter().any(|r| r.order > first);
+        let again = runs.iter().any(|r| r.event > first);
         assert!(!again, "TWICE: {task} was started after it was done:\n{}", Trace(runs));
     }
 }
@@ -146,10 +148,14 @@
 impl Display for Trace<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         for run in self.0 {
-            let StartedRun { vm, attempt, token, ordered, at, end, vm_is_gone, .. } = run;
-            write!(f, "  run {attempt} on {vm}: token {token}, ordered {ordered}, started {at}")?;
-            if let Some(End { kind, at, acknowledged, void, .. }) = end {
-                write!(f, ", {kind:?} at {at}, acknowledged {acknowledged:?}, void {void}")?;
+            let StartedRun { vm, attempt, token, ordered_at, started_at, end, vm_is_gone, .. } =
+                run;
+            write!(
+                f,
+                "  run {attempt} on {vm}: token {token}, ordered {ordered_at}, started {started_at}"
+            )?;
+            if let Some(End { kind, at, acknowledged_at, void, .. }) = end {
+                write!(f, ", {kind:?} at {at}, acknowledged {acknowledged_at:?}, void {void}")?;
             }
             writeln!(f, "{}", if *vm_is_gone { ", VM gone" } else { "" })?;
         }
--- a/crates/schedule/tests/world/vm.rs
+++ b/crates/schedule/tests/world/vm.rs
@@ -17,8 +17,10 @@
     pub incarnation: u32,
     /// The number in the ID under which the VM is listed. The VM may restart under the same ID.
     pub id_number: u32,
+    /// The highest token that the VM has seen.
     pub fence: u64,
     pub runs: BTreeMap<TaskId, Run>,
+    /// The highest attempt of each task that ended or was stopped, which the VM does not start any more.
     pub barred: BTreeMap<TaskId, u32>,
     pub ended: Vec<RunEnd>,
     /// Ends up to this number were listed before the lease expired and do not count when they are acknowledged later.
