--- a/crates/schedule/tests/crashing_tasks.rs
+++ b/crates/schedule/tests/crashing_tasks.rs
@@ -73,8 +73,8 @@
         let mut log = JobLog::default();
         let version = Version { token: self.now, number: 1 };
         let record = encode_progress(version, &progress);
-        log.apply(&progress_key(JOB), Some(&record)).expect("it is read");
-        let progress = log.get(JOB).expect("it is known").progress.clone();
+        log.apply(&progress_key(JOB), Some(&record)).expect("the record is read");
+        let progress = log.get(JOB).expect("the job is known").progress.clone();
         let spec = Some(job(vec![step(1, 500)]));
         self.pool = Pool::new();
         self.pool.adopt(JOB, &JobEntry { spec, progress, ..JobEntry::default() }, at(self.now));
@@ -180,9 +180,10 @@
         let mut log = JobLog::default();
         let value = encode_progress(version, &progress);
         assert!(log.apply(&progress_key(JOB), Some(&value)).is_ok());
-        expect_that!(log.get(JOB).expect("it is known").progress, eq(&progress));
+        expect_that!(log.get(JOB).expect("the job is known").progress, eq(&progress));
         // Older programs read the part of the record that they know.
-        let (read, known): (Version, Progress) = postcard::from_bytes(&value).expect("it is read");
+        let (read, known): (Version, Progress) =
+            postcard::from_bytes(&value).expect("the record is read");
         expect_that!((read, known.begun), eq((version, true)));
     }
 }
@@ -194,7 +195,7 @@
     pool.submit(JOB, job(vec![step(1, 500)]), at(0));
     pool.submit(other, job(vec![step(1, 500)]), at(1));
     let started = plan_and_start(&mut pool, 10);
-    expect_that!(started[0].vm, eq(&started[1].vm), "they are packed on one");
+    expect_that!(started[0].vm, eq(&started[1].vm), "both are packed on one VM");
     pool.set_reachable(&started[0].vm, false, at(30));
     pool.list_vm(vm(&started[0].vm.id()[2..3], 2));
     pool.vm_lost(&started[0].vm, VmLoss::Replaced, at(3_000));
--- a/crates/schedule/tests/emptying.rs
+++ b/crates/schedule/tests/emptying.rs
@@ -131,7 +131,7 @@
         let facts = common::vm(draining, 1);
         pool.list_vm(thistle_schedule::VmFacts { draining: true, ..(*facts).clone() }.into());
         pool.set_cordoned([Arc::from(healthy)].into());
-        let leaving = started.iter().find(|s| s.vm == facts.id).expect("one runs there").run;
+        let leaving = started.iter().find(|s| s.vm == facts.id).expect("a task runs on the VM").run;
         expect_that!(stops(&pool.plan(at(200))), eq(&vec![leaving]), "{draining} drains");
     }
 }
--- a/crates/schedule/tests/evacuation.rs
+++ b/crates/schedule/tests/evacuation.rs
@@ -91,7 +91,7 @@
     let lost = &started[0].vm;
     let hall = if lost.id().starts_with("i-a") { "a" } else { "b" };
     pool.set_halls(evacuated(&[hall]), true);
-    expect_that!(pool.plan(at(30)), is_empty(), "they go on");
+    expect_that!(pool.plan(at(30)), is_empty(), "lasting tasks go on");
     end_run(&mut pool, &started[0], EndKind::Lapsed, 40);
     let again = plan_and_start(&mut pool, 50);
     expect_that!(again, len(eq(1)));
@@ -123,7 +123,7 @@
 /// The operator's requests are read continuously. A read that was sent before a request does not include it.
 #[gtest]
 fn a_read_of_evacuations_is_current_for_less_than_the_time_until_they_take_effect() {
-    expect_that!(is_current(None, None, 9_000), eq(true), "there are none");
+    expect_that!(is_current(None, None, 9_000), eq(true), "there are no requests");
     expect_that!(is_current(None, Some(5_000), 9_000), eq(false), "nothing was read");
     expect_that!(is_current(Some(5_100), Some(5_000), 9_000), eq(true));
     expect_that!(is_current(Some(5_000), Some(5_000), 9_000), eq(false), "a start takes a second");
@@ -157,7 +157,11 @@
     fleet.set_halls(evacuated(&["a"]));
     let mut brought: Vec<String> = fleet.plan(30).into_iter().map(|order| order.vm).collect();
     brought.sort();
-    expect_that!(brought, eq(&["ob", "oc"].map(str::to_owned).to_vec()), "none of that hall");
+    expect_that!(
+        brought,
+        eq(&["ob", "oc"].map(str::to_owned).to_vec()),
+        "no VM of the evacuated hall"
+    );
 }
 
 #[gtest]
@@ -189,6 +193,6 @@
     expect_that!(warm.iter().all(|s| s.vm.id().starts_with("i-b")), eq(true));
     pool.submit(JobId(2), job(vec![step(2, 1_000)]), at(20));
     let cold = plan_and_start(&mut pool, 20);
-    expect_that!(cold, len(eq(2)), "they take work all the same");
+    expect_that!(cold, len(eq(2)), "cold VMs take work all the same");
     expect_that!(cold.iter().all(|s| s.vm.id().starts_with("i-a")), eq(true));
 }
--- a/crates/schedule/tests/histories/mod.rs
+++ b/crates/schedule/tests/histories/mod.rs
@@ -167,7 +167,7 @@
         self.accepted.insert(id, self.now);
         let change = self.log.apply(&submit_key(id), Some(&encode(&spec)));
         assert_eq!(change, Ok(Some(LogChange::Submitted(id))));
-        let entry = self.log.get(id).expect("it was submitted");
+        let entry = self.log.get(id).expect("the job was submitted");
         self.pool.adopt(id, entry, at(self.now));
     }
 
--- a/crates/schedule/tests/policies.rs
+++ b/crates/schedule/tests/policies.rs
@@ -159,7 +159,7 @@
         let serving = Step { lasting: true, tail_target_ms: 100, ..step(1, 500) };
         let specs = [job(vec![serving]), job(vec![Step { fills: true, ..step(1, 3_000) }])];
         for (id, spec) in [JOB, JobId(2)].into_iter().zip(specs) {
-            let run = rows.iter().find(|r| r.run.task.job == id).expect("it runs").run;
+            let run = rows.iter().find(|r| r.run.task.job == id).expect("the task runs").run;
             let task = TaskRecord {
                 time: 0,
                 step: 0,
--- a/crates/schedule/tests/quota_kinds.rs
+++ b/crates/schedule/tests/quota_kinds.rs
@@ -36,6 +36,6 @@
     report_use(&mut lender, "desk", 2, lent.number, room(10, 900));
     report_use(&mut lender, "plan", 2, lent.number, room(10, 50));
     let lent = lender.plan().lent.remove(0);
-    let plan = lent.share("plan").expect("it is one of the pools");
+    let plan = lent.share("plan").expect("plan is one of the pools");
     assert!(plan.room.mem_mb <= 100, "{lent:?}");
 }
--- a/crates/schedule/tests/room.rs
+++ b/crates/schedule/tests/room.rs
@@ -61,7 +61,7 @@
 fn a_new_owner_uses_the_current_room() {
     let mut before = full_pool();
     let started = starts(&before.plan(at(10)));
-    let (_, progress) = before.take_records().pop().expect("it is written");
+    let (_, progress) = before.take_records().pop().expect("the record is written");
     let spec = Some(job(vec![step(4, 1_000)]));
     let entry = thistle_schedule::job_log::JobEntry { spec, progress, ..Default::default() };
     let mut after = Pool::new();
--- a/crates/schedule/tests/world/in_flight.rs
+++ b/crates/schedule/tests/world/in_flight.rs
@@ -98,11 +98,11 @@
         match sent.order.clone() {
             Order::Start(start) => self.handle_start(&name, &sent, &start),
             Order::Stop { run, .. } => {
-                let sim = self.vms.get_mut(&name).expect("it was found");
+                let sim = self.vms.get_mut(&name).expect("the VM was found");
                 let barred = sim.barred.entry(run.task).or_default();
                 *barred = run.attempt.max(*barred);
                 if sim.runs.get(&run.task).is_some_and(|r| r.attempt <= run.attempt) {
-                    let run_there = sim.runs.remove(&run.task).expect("it was there");
+                    let run_there = sim.runs.remove(&run.task).expect("the run was found");
                     let stopped = RunId { task: run.task, attempt: run_there.attempt };
                     let sequence = sim.list_end(stopped, EndKind::Stopped);
                     self.runs.record_end(&target, stopped, EndKind::Stopped, sequence, now);
@@ -119,7 +119,7 @@
         let (now, run) = (self.now, start.run);
         let duration = self.rng.random_range(200..2_000);
         let fails = self.rng.random_bool(0.08);
-        let sim = self.vms.get_mut(name).expect("it was found");
+        let sim = self.vms.get_mut(name).expect("the VM was found");
         let running = sim.runs.get(&run.task).map(|r| r.attempt);
         let old = sim.barred.get(&run.task).is_some_and(|&b| run.attempt <= b);
         let result = if sent.deadline < now {
@@ -139,7 +139,7 @@
             let task_step = &self.steps[&run.task.job][usize::from(run.task.step)];
             let ends_at = if task_step.lasting && !fails { Ms::MAX } else { now + duration };
             let demand = task_step.room();
-            let sim = self.vms.get_mut(name).expect("it was found");
+            let sim = self.vms.get_mut(name).expect("the VM was found");
             sim.runs.insert(run.task, Run { attempt: run.attempt, ends_at, fails, demand });
             let used = sim.runs.values().fold(Room::default(), |sum, r| sum.plus(r.demand));
             assert!(vm_facts(name, 1).room.fits(used), "over room on {name} at {now}: {used:?}");
--- a/crates/schedule/tests/world/mod.rs
+++ b/crates/schedule/tests/world/mod.rs
@@ -228,7 +228,7 @@
             let finished: Vec<TaskId> =
                 sim.runs.iter().filter(|(_, r)| r.ends_at <= now).map(|(&t, _)| t).collect();
             for task in finished {
-                let run = sim.runs.remove(&task).expect("it was there");
+                let run = sim.runs.remove(&task).expect("the run was found");
                 let kind = if run.fails { EndKind::Failed } else { EndKind::Done };
                 let run = RunId { task, attempt: run.attempt };
                 let sequence = sim.list_end(run, kind);
@@ -329,13 +329,13 @@
         if kind < 5 {
             self.trace(|| format!("{name} {}", if kind < 3 { "cut off" } else { "crashes" }));
         }
-        let sim = self.vms.get_mut(&name).expect("it is there");
+        let sim = self.vms.get_mut(&name).expect("the VM is there");
         match kind {
             0..3 => sim.cut_until = now + duration,
             3..5 => {
                 // The VM crashes and restarts, at times under its ID.
                 let keeps_id = self.rng.random_bool(0.5);
-                let sim = self.vms.get_mut(&name).expect("it is there");
+                let sim = self.vms.get_mut(&name).expect("the VM is there");
                 let old = incarnation_of(&name, sim);
                 self.runs.record_vm_crash(&old);
                 let number = sim.incarnation + 1;
--- a/crates/scheduler/tests/cancels.rs
+++ b/crates/scheduler/tests/cancels.rs
@@ -68,7 +68,7 @@
     wait_until_order_sent(&system).await;
     cancel(&system, 0).await;
     tokio::time::sleep(LATE_ORDERS_WITHIN).await;
-    wait_until("nothing runs", async || !runs_somewhere(&system)).await;
+    wait_until("no task runs", async || !runs_somewhere(&system)).await;
     wait_until_state(&system.nodes[0], ID, "cancelled").await;
 }
 
@@ -77,7 +77,7 @@
 async fn expect_job_ends_without_owner(net: u8, cancel_first: bool, unreachable: bool) {
     let mut system = System::start(net, 2, 2).await;
     wait_until("a node owns the pool", async || system.owner().is_some()).await;
-    let owner = system.owner().expect("there is one");
+    let owner = system.owner().expect("the pool has an owner");
     let other = 1 - owner;
     set_all_execute_late(&system);
     submit(&system.nodes[other], ID, &job(4, 0)).await;
@@ -93,7 +93,7 @@
     wait_until("the other node owns the pool", async || system.owner() == Some(other)).await;
     set_all_unresponsive(&system, false);
     tokio::time::sleep(LATE_ORDERS_WITHIN).await;
-    wait_until("nothing runs", async || !runs_somewhere(&system)).await;
+    wait_until("no task runs", async || !runs_somewhere(&system)).await;
     wait_until_state(&system.nodes[other], ID, "cancelled").await;
 }
 
--- a/crates/scheduler/tests/caps.rs
+++ b/crates/scheduler/tests/caps.rs
@@ -75,7 +75,7 @@
     put_cap(&system, 2, 2_000);
     wait_until_in_force(&system, 2).await;
     expect_that!(submit(&system.nodes[0], ID, &job(24, 400)).await, eq(200));
-    wait_until("four run", async || running(&system).len() == 4).await;
+    wait_until("four tasks run", async || running(&system).len() == 4).await;
     let owner = system.owner().expect("the pool has an owner");
     system.nodes[owner].kill();
     put_cap(&system, 3, 1_000);
@@ -86,7 +86,8 @@
         expect_that!(running(&system).len(), le(4));
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    wait_until("what ran before has ended", async || running(&system).len() <= 2).await;
+    wait_until("tasks beyond the lowered cap have ended", async || running(&system).len() <= 2)
+        .await;
     expect_that!(max_running_at_once(&system, ID, 24).await, le(2));
 }
 
@@ -115,7 +116,7 @@
     };
     expect_that!(submit(&system.nodes[0], ID, &gang(3)).await, eq(400));
     expect_that!(submit(&system.nodes[0], "6c0e7a21d94b36f8", &gang(2)).await, eq(200));
-    wait_until("the one that fits runs", async || system.starts_of("6c0e7a21d94b36f8").len() == 2)
+    wait_until("the gang that fits runs", async || system.starts_of("6c0e7a21d94b36f8").len() == 2)
         .await;
     expect_that!(system.starts_of(ID).len(), eq(0));
 }
--- a/crates/scheduler/tests/crashing.rs
+++ b/crates/scheduler/tests/crashing.rs
@@ -78,7 +78,7 @@
         let owner = system.owner().unwrap_or(0);
         system.nodes[owner].kill();
         system.nodes[owner].start();
-        wait_until("it is ready again", || system.nodes[owner].is_ready()).await;
+        wait_until("the restarted node is ready again", || system.nodes[owner].is_ready()).await;
     }
     wait_until("the task is abandoned or started too often", async || {
         starts_of_task(&system) > MAX_STARTS
--- a/crates/scheduler/tests/dropped_records.rs
+++ b/crates/scheduler/tests/dropped_records.rs
@@ -81,7 +81,7 @@
     let owning = &system.nodes[owner];
     let before = owning.log().matches(DROPPED).count();
     let records = || system.platform.store.newest(TOPIC, SUBMISSIONS, &format!("j{ID}"));
-    wait_until("its records were dropped", async || records().is_none()).await;
+    wait_until("the records of the job were dropped", async || records().is_none()).await;
     expect_that!(owning.log().matches(DROPPED).count(), gt(before));
     system.nodes[other].signal("CONT");
     tokio::time::sleep(Duration::from_secs(6)).await;
--- a/crates/scheduler/tests/evacuation.rs
+++ b/crates/scheduler/tests/evacuation.rs
@@ -128,7 +128,7 @@
     system.platform.evacuate("hall-a");
     wait_until_logged(&system, "evacuated", 1).await;
     let evacuated_at = Instant::now();
-    let owner = system.owner().expect("there is one");
+    let owner = system.owner().expect("the pool has an owner");
     system.nodes[owner].kill();
     let other = 1 - owner;
     submit(&system.nodes[other], &id(1), &job(8, 50)).await;
--- a/crates/scheduler/tests/faults.rs
+++ b/crates/scheduler/tests/faults.rs
@@ -11,7 +11,7 @@
 
 async fn wait_until_owned(system: &System) -> usize {
     wait_until("the pool has an owner", async || system.owner().is_some()).await;
-    system.owner().expect("it has one")
+    system.owner().expect("the pool has an owner")
 }
 
 /// Submits jobs while the store has a fault. Checks that each job is accepted or its outcome is unknown, and that its
@@ -72,9 +72,9 @@
     system.platform.store.set_fault(Fault::Busy);
     let refused = submit(&system.nodes[0], ID, &job(1, 10)).await;
     expect_that!(refused.status, eq(503));
-    wait_until("it is not ready", async || !system.nodes[0].is_ready().await).await;
+    wait_until("the node is not ready", async || !system.nodes[0].is_ready().await).await;
     system.platform.store.set_fault(Fault::None);
-    wait_until("it is ready again", || system.nodes[0].is_ready()).await;
+    wait_until("the node is ready again", || system.nodes[0].is_ready()).await;
     expect_that!(
         send(&system.nodes[0], Method::GET, &format!("/quotes/{ID}")).await.status,
         eq(410)
@@ -133,7 +133,7 @@
     submit(&system.nodes[0], ID, &job(4, 1_500)).await;
     wait_until("all tasks were started", async || system.starts_of(ID).len() == 4).await;
     let busy = system.platform.machines.vms().into_iter().find(|vm| !vm.running().is_empty());
-    busy.expect("one runs them").set_unresponsive(true);
+    busy.expect("one VM runs the tasks").set_unresponsive(true);
     wait_until_state(&system.nodes[0], ID, "completed").await;
 }
 
@@ -145,8 +145,8 @@
     submit(&system.nodes[0], ID, &job(4, 1_500)).await;
     wait_until("all tasks were started", async || system.starts_of(ID).len() == 4).await;
     let busy = system.platform.machines.vms().into_iter().find(|vm| !vm.running().is_empty());
-    let name = busy.expect("one runs them").place.name.clone();
-    system.platform.machines.crash(&name).await.expect("it comes back");
+    let name = busy.expect("one VM runs the tasks").place.name.clone();
+    system.platform.machines.crash(&name).await.expect("the VM comes up again");
     wait_until_state(&system.nodes[0], ID, "completed").await;
 }
 
@@ -312,7 +312,7 @@
     system.platform.store.set_part_fault("control", 4, Fault::Unresponsive);
     let failed =
         async || system.nodes.iter().all(|node| node.log().contains("heartbeat step=failed"));
-    wait_until("each node has sent one that was not answered", failed).await;
+    wait_until("each node has sent a heartbeat that was not answered", failed).await;
     tokio::time::sleep(std::time::Duration::from_secs(4)).await;
     for node in &system.nodes {
         // A node logs this once at its start, when it has not received anything yet.
--- a/crates/scheduler/tests/foreign_entries.rs
+++ b/crates/scheduler/tests/foreign_entries.rs
@@ -35,7 +35,7 @@
     let system = System::start(62, 2, 1).await;
     let node = &system.nodes[0];
     expect_that!(submit(node, FIRST, &job(2, 3_000)).await.status, eq(200));
-    wait_until("it runs", async || system.starts_of(FIRST).len() == 2).await;
+    wait_until("the first job runs", async || system.starts_of(FIRST).len() == 2).await;
     let vms = system.platform.machines.vms();
     let (busy, idle) = match vms[0].running().is_empty() {
         true => (&vms[1], &vms[0]),
--- a/crates/scheduler/tests/jobs.rs
+++ b/crates/scheduler/tests/jobs.rs
@@ -60,7 +60,7 @@
     wait_until("both tasks run", async || running_tasks(&system, ID) == 2).await;
     let cancelled = send(&system.nodes[1], Method::DELETE, &format!("/quotes/{ID}")).await;
     expect_that!(cancelled.status, eq(200));
-    wait_until("nothing runs", async || running_tasks(&system, ID) == 0).await;
+    wait_until("no task runs", async || running_tasks(&system, ID) == 0).await;
     for node in &system.nodes {
         wait_until_state(node, ID, "cancelled").await;
     }
@@ -84,9 +84,10 @@
     wait_until("the pool has an owner", async || system.owner().is_some()).await;
     submit(&system.nodes[0], ID, &job(4, 1_500)).await;
     wait_until("all tasks run", async || running_tasks(&system, ID) == 4).await;
-    let owner = system.owner().expect("it has one");
+    let owner = system.owner().expect("the pool has an owner");
     system.nodes[owner].signal("TERM");
-    wait_until("the other node owns it", async || system.owner().is_some_and(|o| o != owner)).await;
+    wait_until("the other node owns the pool", async || system.owner().is_some_and(|o| o != owner))
+        .await;
     // The stopping node answers until it exits.
     expect_that!(state(&system.nodes[owner], ID).await, any![eq("running"), eq("completed")]);
     expect_that!(system.nodes[owner].is_ready().await, eq(false));
@@ -105,7 +106,7 @@
     system.platform.store.put("op", "wave/1", bodies::wave(1, &vms, 1));
     let wave_status = || system.platform.store.newest("status", 0, "wave/1");
     wait_until("the wave is reported", async || wave_status().is_some()).await;
-    let wave_status = wave_status().expect("it was reported");
+    let wave_status = wave_status().expect("the wave was reported");
     expect_that!(String::from_utf8_lossy(&wave_status), contains_substring("completed"));
     expect_that!(system.platform.machines.maintained(1), eq(4));
     wait_until("both tasks run again", async || running_tasks(&system, ID) == 2).await;
--- a/crates/scheduler/tests/keys.rs
+++ b/crates/scheduler/tests/keys.rs
@@ -65,7 +65,7 @@
     expect_that!(system.starts_of(ID).len(), eq(0));
     expect_that!(submit(node, &format!("/quotes/{ID}"), Some("key-b")).await, eq(200));
     expect_that!(submit(node, &format!("/open/{OTHER_ID}"), None).await, eq(200));
-    wait_until("both run", async || {
+    wait_until("both jobs run", async || {
         system.starts_of(ID).len() + system.starts_of(OTHER_ID).len() == 2
     })
     .await;
@@ -86,7 +86,7 @@
     }
     let path = format!("/quotes/{ID}");
     expect_that!(submit(&system.nodes[0], &path, Some("key-a")).await, eq(200));
-    wait_until("it runs", async || system.starts_of(ID).len() == 1).await;
+    wait_until("the job runs", async || system.starts_of(ID).len() == 1).await;
     for node in &system.nodes {
         expect_that!(call(node, Method::GET, &path, Some("key-n")).await.status, eq(410));
         expect_that!(call(node, Method::DELETE, &path, Some("key-n")).await.status, eq(410));
@@ -103,7 +103,7 @@
     expect_that!(is_running().await, eq(true));
     let cancelled = call(&system.nodes[1], Method::DELETE, &path, Some("key-a")).await;
     expect_that!(cancelled.status, eq(200));
-    wait_until("it is stopped", async || !is_running().await).await;
+    wait_until("the cancelled job is stopped", async || !is_running().await).await;
 }
 
 /// A withdrawn key gives no access. A job that was submitted with it goes on and is visible with other keys of its workspace.
@@ -122,7 +122,7 @@
     expect_that!(submit(node, &path, Some("key-a")).await, eq(401));
     expect_that!(call(node, Method::GET, &path, Some("key-a")).await.status, eq(401));
     expect_that!(call(node, Method::GET, &path, Some("key-b")).await.status, eq(200));
-    wait_until("it runs", async || system.starts_of(ID).len() == 1).await;
+    wait_until("the job runs", async || system.starts_of(ID).len() == 1).await;
     put_workspaces(&system, 4, &["key-b", "key-c"], &["key-n"]);
     wait_until_status(node, "key-c", 200).await;
 }
--- a/crates/scheduler/tests/mixed_builds.rs
+++ b/crates/scheduler/tests/mixed_builds.rs
@@ -110,7 +110,7 @@
     system.nodes[0].program = new;
     expect_that!(system.nodes[0].show(&["--job", id]), contains_substring("completed"));
     system.nodes[0].start();
-    wait_until("its node runs the newer build", || system.nodes[0].is_ready()).await;
+    wait_until("the replaced node runs the newer build", || system.nodes[0].is_ready()).await;
     for id in ["00000000000000a1", "00000000000000b3", "00000000000000c4"] {
         for node in &system.nodes {
             expect_that!(state(node, id).await, eq("completed"), "{id} at {}", node.name);
--- a/crates/scheduler/tests/partitions.rs
+++ b/crates/scheduler/tests/partitions.rs
@@ -195,7 +195,7 @@
         }
         let id = format!("{:016x}", i + 1);
         expect_that!(submit(&system.nodes[0], &id, &job(4, 100)).await.status, eq(200));
-        wait_until("its tasks have run", async || system.starts_of(&id).len() == 4).await;
+        wait_until("the job's tasks have run", async || system.starts_of(&id).len() == 4).await;
         expect_that!(system.starts_of(&id).values().all(|&n| n == 1), eq(true));
         for part in [PROGRESS, FALLBACK_PROGRESS] {
             system.platform.store.set_part_fault(TOPIC, part, Fault::None);
@@ -214,8 +214,8 @@
         system.platform.store.set_part_fault(TOPIC, part, Fault::Busy);
     }
     expect_that!(submit(&system.nodes[0], ID, &job(4, 4_000)).await.status, eq(200));
-    wait_until("its tasks were started", async || system.starts_of(ID).len() == 4).await;
-    let owner = system.owner().expect("it has one");
+    wait_until("the job's tasks were started", async || system.starts_of(ID).len() == 4).await;
+    let owner = system.owner().expect("the pool has an owner");
     system.nodes[owner].kill();
     for part in [PROGRESS, FALLBACK_PROGRESS] {
         system.platform.store.set_part_fault(TOPIC, part, Fault::None);
--- a/crates/scheduler/tests/paused_owners.rs
+++ b/crates/scheduler/tests/paused_owners.rs
@@ -39,7 +39,8 @@
     wait_until_state(node, warm_up, "completed").await;
     let ending = "00000000000000b2";
     expect_that!(submit(node, ending, &system::job(1, 600)).await.status, eq(200));
-    wait_until("its task runs", async || system.starts_of(ending).len() == 1).await;
+    wait_until("the task of the ending job runs", async || system.starts_of(ending).len() == 1)
+        .await;
     vm.lose_starts(true);
     let step = serde_json::json!({"count": TASKS, "cpu": 3_500, "memMb": 256, "estimatedMs": 100});
     expect_that!(submit(node, ID, &bodies::job_of("ms=100", &[step])).await.status, eq(200));
--- a/crates/scheduler/tests/proxy/mod.rs
+++ b/crates/scheduler/tests/proxy/mod.rs
@@ -68,8 +68,8 @@
     F: Fn(ReceivedCall) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = Option<String>> + Send + 'static,
 {
-    let listener = TcpListener::bind((ip, 0)).await.expect("it listens");
-    let addr = listener.local_addr().expect("it has an address");
+    let listener = TcpListener::bind((ip, 0)).await.expect("the proxy listens");
+    let addr = listener.local_addr().expect("the proxy has an address");
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             let rule = rule.clone();
--- a/crates/scheduler/tests/relay.rs
+++ b/crates/scheduler/tests/relay.rs
@@ -38,7 +38,7 @@
         expect_that!(answer.status, any![eq(200), eq(504)], "job {i}");
         tokio::time::sleep(Duration::from_millis(700)).await;
     }
-    expect_that!(system.owner(), some(eq(0)), "it keeps its pool");
+    expect_that!(system.owner(), some(eq(0)), "the first node keeps its pool");
     expect_that!(system.nodes[0].is_ready().await, eq(true));
     expect_that!(submit(&system.nodes[0], ID, &job(1, 10)).await.status, eq(200));
     wait_until_state(&system.nodes[1], ID, "completed").await;
@@ -77,5 +77,5 @@
     for i in 0..4 {
         wait_until_state(&system.nodes[0], &format!("{i:016x}"), "completed").await;
     }
-    expect_that!(system.owner(), some(eq(0)), "it keeps its pool");
+    expect_that!(system.owner(), some(eq(0)), "the first node keeps its pool");
 }
--- a/crates/scheduler/tests/restarted_owners.rs
+++ b/crates/scheduler/tests/restarted_owners.rs
@@ -53,9 +53,10 @@
         wait_until_state(owner, &other, "completed").await;
     }
     expect_that!(submit(owner, ID, &job(1, 1_500)).await.status, eq(200));
-    wait_until("its task runs", async || system.starts_of(ID).len() == 1).await;
+    wait_until("the job's task runs", async || system.starts_of(ID).len() == 1).await;
     restart_owner(system, &system.platform.machines.vms()[0]).await;
-    wait_until("its end is acknowledged", async || is_acknowledged_as_done(system)).await;
+    wait_until("the end of the task is acknowledged", async || is_acknowledged_as_done(system))
+        .await;
     // An owner writes its records before it acknowledges an end to the VM.
     expect_that!(
         system::state(owner, ID).await,
@@ -109,7 +110,8 @@
         assert!(waiting_since.elapsed() < system::WAIT_TIMEOUT, "{unanswered}");
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    let ordered = vms.iter().position(|vm| vm.orders() > 0).expect("one was ordered to start it");
+    let ordered =
+        vms.iter().position(|vm| vm.orders() > 0).expect("one VM was ordered to start the task");
     for vm in &vms {
         vm.execute_late(false);
     }
--- a/crates/scheduler/tests/slow_onset.rs
+++ b/crates/scheduler/tests/slow_onset.rs
@@ -37,7 +37,7 @@
 async fn as_the_store_becomes_slow_only_the_owner_uses_the_fallback_partition() {
     let system = System::start(49, 1, 2).await;
     wait_until("the pool has an owner", async || system.owner().is_some()).await;
-    let owner = system.owner().expect("it has one");
+    let owner = system.owner().expect("the pool has an owner");
     // The nodes receive the heartbeats of each other.
     tokio::time::sleep(Duration::from_secs(3)).await;
     system.platform.store.set_fault(Fault::Slow);
--- a/crates/scheduler/tests/soak/bursts.rs
+++ b/crates/scheduler/tests/soak/bursts.rs
@@ -188,7 +188,7 @@
         };
         let (name, id) = (vm.place.name.clone(), vm.id.clone());
         let crashed = self.system.platform.machines.crash_keeping_entry(&name).await;
-        crashed.expect("it comes up again");
+        crashed.expect("the VM comes up again");
         let after = self.schedule_repair(WRONG_ENTRY_MS, Repair::RemoveEntry(id.clone()));
         format!("crash {id}, its entry remains for {after:?}")
     }
--- a/crates/scheduler/tests/soak/faults.rs
+++ b/crates/scheduler/tests/soak/faults.rs
@@ -54,8 +54,9 @@
         let mut store_proxies = Vec::new();
         for i in 0..nodes {
             let proxy_addr = (ip(net, 50 + i), STORE_PROXY_PORT).into();
-            let proxy =
-                TcpProxy::open(proxy_addr, system.platform.store_addr()).await.expect("it opens");
+            let proxy = TcpProxy::open(proxy_addr, system.platform.store_addr())
+                .await
+                .expect("the proxy opens");
             system.add_node_at(ip(net, 10 + i), proxy.addr);
             store_proxies.push(proxy);
         }
@@ -216,7 +217,7 @@
             3 => vm.stall_connections(Stall::Answers),
             _ => {
                 let name = vm.place.name.clone();
-                self.system.platform.machines.crash(&name).await.expect("it comes up again");
+                self.system.platform.machines.crash(&name).await.expect("the VM comes up again");
                 return format!("crash {name}");
             }
         }
--- a/crates/scheduler/tests/soak/repairs.rs
+++ b/crates/scheduler/tests/soak/repairs.rs
@@ -115,7 +115,7 @@
             wait_until(&format!("{} is settled", job.id), is_settled).await;
         }
         let vms = || self.system.platform.machines.vms();
-        wait_until("nothing runs", async || vms().iter().all(|vm| vm.running().is_empty())).await;
+        wait_until("no task runs", async || vms().iter().all(|vm| vm.running().is_empty())).await;
         if self.version > 1 {
             for node in &self.system.nodes {
                 let path = path_of(self.version);
--- a/crates/scheduler/tests/stalled_connections.rs
+++ b/crates/scheduler/tests/stalled_connections.rs
@@ -20,7 +20,7 @@
 async fn owner_behind_proxy(net: u8) -> (System, TcpProxy) {
     let mut system = System::start(net, 2, 0).await;
     let from = (system::ip(net, 2), PROXY_PORT).into();
-    let proxy = TcpProxy::open(from, system.platform.store_addr()).await.expect("it opens");
+    let proxy = TcpProxy::open(from, system.platform.store_addr()).await.expect("the proxy opens");
     system.add_node_at(system::ip(net, 10), proxy.addr);
     wait_until("the first node owns the pool", async || system.owner() == Some(0)).await;
     system.add_node(system::ip(net, 11));
@@ -56,7 +56,7 @@
             expect_that!(status, any![eq(200), eq(504)]);
         }
         tokio::time::sleep(Duration::from_secs(4)).await;
-        expect_that!(system.owner(), some(eq(0)), "it keeps its pool");
+        expect_that!(system.owner(), some(eq(0)), "the first node keeps its pool");
         let statuses = submit_all(&system, round * 100 + 50, 10).await;
         expect_that!(statuses, each(eq(&200)), "all jobs are accepted again");
         for i in 0..10 {
@@ -64,7 +64,7 @@
         }
     }
     let claims = system.platform.store.offset_of("control", 0, "owner/desk");
-    expect_that!(claims, some(eq(0)), "it was claimed once");
+    expect_that!(claims, some(eq(0)), "the pool was claimed once");
     for i in 0..40 {
         wait_until_state(&system.nodes[1], &id(i), "completed").await;
         expect_that!(system.starts_of(&id(i)).values().all(|&n| n == 1), eq(true));
@@ -141,8 +141,8 @@
     let open_some = || async {
         let mut open = Vec::new();
         for _ in 0..STALLED_CONNECTIONS / OPENERS {
-            let mut stream = TcpStream::connect(addr).await.expect("it connects");
-            stream.write_all(text.as_bytes()).await.expect("it sends");
+            let mut stream = TcpStream::connect(addr).await.expect("the connection opens");
+            stream.write_all(text.as_bytes()).await.expect("the text is sent");
             open.push(stream);
         }
         open
@@ -180,11 +180,17 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
         max_held = max_held.max(node.descriptors());
     }
-    expect_that!(max_held, ge(before + STALLED_CONNECTIONS / 2), "they are held");
+    expect_that!(
+        max_held,
+        ge(before + STALLED_CONNECTIONS / 2),
+        "the node holds stalled connections"
+    );
     // Other callers are served meanwhile.
     expect_that!(submit(node, &id(1), &job(1, 10)).await.status, eq(200));
-    wait_until("they are closed", async || node.descriptors() < before + STALLED_CONNECTIONS / 10)
-        .await;
+    wait_until("the stalled connections are closed", async || {
+        node.descriptors() < before + STALLED_CONNECTIONS / 10
+    })
+    .await;
     wait_until_state(node, &id(1), "completed").await;
     drop(open);
     node.log()
--- a/crates/scheduler/tests/system/mod.rs
+++ b/crates/scheduler/tests/system/mod.rs
@@ -76,7 +76,7 @@
 
     /// Sends a signal to the process.
     pub fn signal(&self, name: &str) {
-        let id = self.child.as_ref().expect("it runs").id().to_string();
+        let id = self.child.as_ref().expect("the node runs").id().to_string();
         let sent = Command::new("kill").arg(format!("-{name}")).arg(id).status();
         assert!(sent.is_ok_and(|s| s.success()));
     }
@@ -101,7 +101,7 @@
 
     /// Waits until the process exits and returns whether it succeeded.
     pub fn wait(&mut self) -> bool {
-        let mut child = self.child.take().expect("it runs");
+        let mut child = self.child.take().expect("the node runs");
         child.wait().is_ok_and(|status| status.success())
     }
 
@@ -115,7 +115,7 @@
 
     /// Returns the number of file descriptors that the process has open.
     pub fn descriptors(&self) -> usize {
-        let id = self.child.as_ref().expect("it runs").id();
+        let id = self.child.as_ref().expect("the node runs").id();
         std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count)
     }
 
--- a/crates/scheduler/tests/unlisted_vms.rs
+++ b/crates/scheduler/tests/unlisted_vms.rs
@@ -29,9 +29,9 @@
     let incarnation_of_m0 = || {
         platform.machines.vms().iter().find(|vm| vm.place.name == "m-0").map(|vm| vm.incarnation())
     };
-    let older = incarnation_of_m0().expect("it is up");
-    platform.machines.crash_keeping_entry("m-0").await.expect("the next one starts");
-    let newer = incarnation_of_m0().expect("it is up");
+    let older = incarnation_of_m0().expect("the VM is up");
+    platform.machines.crash_keeping_entry("m-0").await.expect("the next incarnation starts");
+    let newer = incarnation_of_m0().expect("the VM is up");
     let both = [
         format!("step=listed vm={newer} "),
         format!("vm step=reachable vm={older} reachable=false"),
@@ -39,9 +39,9 @@
     let known = async || both.iter().all(|line| node.log().contains(line));
     wait_until("the older one is known as unresponsive and the newer one is listed", known).await;
     expect_that!(submit(node, ID, &job(TASKS, 1_000)).await.status, eq(200));
-    wait_until("its tasks run", async || system.starts_of(ID).len() == TASKS as usize).await;
+    wait_until("the job's tasks run", async || system.starts_of(ID).len() == TASKS as usize).await;
     let vms = platform.machines.vms();
-    let vm = vms.iter().find(|vm| &*vm.id == "i-m-0-2").expect("it is up");
+    let vm = vms.iter().find(|vm| &*vm.id == "i-m-0-2").expect("the VM is up");
     platform.store.put(listing::TOPIC, &vm.id, "");
     vm.set_unresponsive(true);
     vm.stall_connections(Stall::Answers);
--- a/crates/scheduler/tests/vm_incarnations.rs
+++ b/crates/scheduler/tests/vm_incarnations.rs
@@ -52,9 +52,9 @@
     expect_that!(submit(node, ID, &job(4, 20)).await.status, eq(200));
     wait_until_state(node, ID, "completed").await;
     system.platform.store.put("op", "wave/1", bodies::wave(1, &["m-0".to_owned()], 1));
-    wait_until("it is emptied and maintained", async || machines.maintained(1) == 1).await;
+    wait_until("the VM is emptied and maintained", async || machines.maintained(1) == 1).await;
     let second = "00000000000000b2";
-    wait_until("its next incarnation is up", async || !machines.vms().is_empty()).await;
+    wait_until("the next incarnation of the VM is up", async || !machines.vms().is_empty()).await;
     expect_that!(submit(node, second, &job(4, 20)).await.status, eq(200));
     wait_until_state(node, second, "completed").await;
     machines.restart_with_same_ids();
@@ -103,7 +103,10 @@
     let vm = system.platform.machines.vms().remove(0);
     vm.set_connectivity(Connectivity::LateOrders);
     expect_that!(submit(node, ID, &job(1, 100)).await.status, eq(200));
-    wait_until("it is ordered", async || node.log().contains(&format!("no-answer run={ID}"))).await;
+    wait_until("the start has had no answer", async || {
+        node.log().contains(&format!("no-answer run={ID}"))
+    })
+    .await;
     let ip = system::ip(113, 120);
     system.platform.machines.add("m-late", system::POOL, ip).await.expect("the VM starts");
     // Its entry is still that of the previous incarnation, so that the task goes to the other VM.
