--- a/crates/schedule/tests/room.rs
+++ b/crates/schedule/tests/room.rs
@@ -1,8 +1,8 @@
 //! The room of a VM that shrinks and grows while the VM runs.
 //!
-//! The room that a VM reports applies from a few seconds after it changed. A start that was decided before and that the VM had
-//! not answered was resent for up to the length of a lease, and could then exceed the room that the VM had when
-//! it arrived. A VM that rejected a start for lack of room received the order again every half second.
+//! The room that a VM reports applies from a few seconds after it changed. If a start that was decided before and that the VM
+//! has not answered is resent for up to the length of a lease, it may exceed the room that the VM has when it arrives. A VM
+//! that rejects a start for lack of room must not receive the order again every half second.
 
 mod common;
 
@@ -61,7 +61,7 @@
 fn a_new_owner_uses_the_current_room() {
     let mut before = full_pool();
     let started = starts(&before.plan(at(10)));
-    let (_, progress) = before.take_records().pop().expect("it is written");
+    let (_, progress) = before.take_records().pop().expect("the record is written");
     let spec = Some(job(vec![step(4, 1_000)]));
     let entry = thistle_schedule::job_log::JobEntry { spec, progress, ..Default::default() };
     let mut after = Pool::new();
--- a/crates/schedule/tests/world/in_flight.rs
+++ b/crates/schedule/tests/world/in_flight.rs
@@ -5,7 +5,7 @@
 /// An order in flight.
 #[derive(Clone, Debug)]
 pub(super) struct InFlightOrder {
-    arrives: Ms,
+    arrives_at: Ms,
     ordered_at: Ms,
     token: u64,
     deadline: Ms,
@@ -31,7 +31,7 @@
         let (token, deadline) = (self.token, self.now + LEASE);
         self.trace(|| format!("ordered {} late {late}", describe(&order)));
         let sent = InFlightOrder {
-            arrives: self.now + delay,
+            arrives_at: self.now + delay,
             ordered_at: self.now,
             token,
             deadline,
@@ -40,7 +40,8 @@
         };
         if late {
             // The order is resent until it is answered; the late copy arrives nevertheless.
-            let again = InFlightOrder { arrives: self.now + 600, answered: true, ..sent.clone() };
+            let again =
+                InFlightOrder { arrives_at: self.now + 600, answered: true, ..sent.clone() };
             self.in_flight.push(again);
         }
         self.in_flight.push(sent);
@@ -48,7 +49,8 @@
 
     pub(super) fn deliver(&mut self) {
         let now = self.now;
-        let (due, later) = self.in_flight.drain(..).partition(|f: &InFlightOrder| f.arrives <= now);
+        let (due, later) =
+            self.in_flight.drain(..).partition(|f: &InFlightOrder| f.arrives_at <= now);
         self.in_flight = later;
         for sent in due {
             self.handle_arrival(sent);
@@ -84,7 +86,7 @@
             // The order is resent once the VM is reachable, unless the owner has changed or the VM is lost. Resending
             // does not extend the lease.
             if sent.answered && sent.token == self.token && !self.lost.contains(&target) {
-                self.in_flight.push(InFlightOrder { arrives: now + 200, ..sent });
+                self.in_flight.push(InFlightOrder { arrives_at: now + 200, ..sent });
             }
             return;
         }
@@ -96,11 +98,11 @@
         match sent.order.clone() {
             Order::Start(start) => self.handle_start(&name, &sent, &start),
             Order::Stop { run, .. } => {
-                let sim = self.vms.get_mut(&name).expect("it was found");
+                let sim = self.vms.get_mut(&name).expect("the VM was found");
                 let barred = sim.barred.entry(run.task).or_default();
                 *barred = run.attempt.max(*barred);
                 if sim.runs.get(&run.task).is_some_and(|r| r.attempt <= run.attempt) {
-                    let run_there = sim.runs.remove(&run.task).expect("it was there");
+                    let run_there = sim.runs.remove(&run.task).expect("the run was found");
                     let stopped = RunId { task: run.task, attempt: run_there.attempt };
                     let sequence = sim.list_end(stopped, EndKind::Stopped);
                     self.runs.record_end(&target, stopped, EndKind::Stopped, sequence, now);
@@ -117,7 +119,7 @@
         let (now, run) = (self.now, start.run);
         let duration = self.rng.random_range(200..2_000);
         let fails = self.rng.random_bool(0.08);
-        let sim = self.vms.get_mut(name).expect("it was found");
+        let sim = self.vms.get_mut(name).expect("the VM was found");
         let running = sim.runs.get(&run.task).map(|r| r.attempt);
         let old = sim.barred.get(&run.task).is_some_and(|&b| run.attempt <= b);
         let result = if sent.deadline < now {
@@ -134,10 +136,10 @@
             let source = OrderSource { token: sent.token, at: sent.ordered_at };
             self.runs.record_start(&start.vm, run, source, now);
             self.check_start(name, start);
-            let shape = &self.steps[&run.task.job][usize::from(run.task.step)];
-            let ends_at = if shape.lasting && !fails { Ms::MAX } else { now + duration };
-            let demand = shape.room();
-            let sim = self.vms.get_mut(name).expect("it was found");
+            let task_step = &self.steps[&run.task.job][usize::from(run.task.step)];
+            let ends_at = if task_step.lasting && !fails { Ms::MAX } else { now + duration };
+            let demand = task_step.room();
+            let sim = self.vms.get_mut(name).expect("the VM was found");
             sim.runs.insert(run.task, Run { attempt: run.attempt, ends_at, fails, demand });
             let used = sim.runs.values().fold(Room::default(), |sum, r| sum.plus(r.demand));
             assert!(vm_facts(name, 1).room.fits(used), "over room on {name} at {now}: {used:?}");
--- a/crates/scheduler/tests/mixed_builds.rs
+++ b/crates/scheduler/tests/mixed_builds.rs
@@ -60,7 +60,7 @@
     let old = PathBuf::from(std::env::var("THISTLE_OLD_SCHEDULER").expect("the older program"));
     let mut system = System::start(108, 6, 0).await;
     let new = std::mem::replace(&mut system.program, old.clone());
-    // With a capped workspace the nodes also exchange caps and uses through the store.
+    // With a capped workspace the nodes also exchange caps and usage reports through the store.
     system.cap = Some(CAP);
     system.put_config(2, &["/quotes/"]);
     // Only the older build runs at first, so the first records of the store are its own.
@@ -110,7 +110,7 @@
     system.nodes[0].program = new;
     expect_that!(system.nodes[0].show(&["--job", id]), contains_substring("completed"));
     system.nodes[0].start();
-    wait_until("its node runs the newer build", || system.nodes[0].is_ready()).await;
+    wait_until("the replaced node runs the newer build", || system.nodes[0].is_ready()).await;
     for id in ["00000000000000a1", "00000000000000b3", "00000000000000c4"] {
         for node in &system.nodes {
             expect_that!(state(node, id).await, eq("completed"), "{id} at {}", node.name);
