--- a/crates/bench/src/cmd/publish.rs
+++ b/crates/bench/src/cmd/publish.rs
@@ -5,8 +5,8 @@
 
 use thistle_model::clock::wall_ms;
 use thistle_model::{Change, Offset, PoolName, Record, RecordId, Workspace};
-use thistle_wire::dial::context;
-use thistle_wire::operator::{OperatorClient, OperatorLine, Submitted};
+use thistle_wire::dial::context_with_timeout;
+use thistle_wire::operator::{OperatorClient, OperatorConnection, Submitted};
 
 use super::Error;
 
@@ -21,7 +21,7 @@
     let mut accepted = Vec::new();
     let mut in_force = Vec::new();
     runtime.block_on(async {
-        let connection = OperatorLine::new(steward);
+        let connection = OperatorConnection::new(steward);
         let client = connection.client().await.map_err(|e| Error::Call(e.to_string()))?;
         for n in 0..times {
             let began = Instant::now();
@@ -40,7 +40,7 @@
 
 async fn submit_change(client: &OperatorClient, name: &PoolName, n: u32) -> Result<Offset, Error> {
     let failed = |e: tarpc::client::RpcError| Error::Call(e.to_string());
-    let list = client.workspaces(context(TIMEOUT)).await.map_err(failed)?;
+    let list = client.workspaces(context_with_timeout(TIMEOUT)).await.map_err(failed)?;
     let info = list.into_iter().find(|w| w.name == *name);
     let info = info.ok_or_else(|| Error::Argument(name.to_string()))?;
     let mut workspace: Workspace = info.workspace;
@@ -48,7 +48,7 @@
     let change = Change::SetWorkspace { name: name.clone(), base: info.revision, workspace };
     let id = RecordId { writer: rand::random(), seq: 1 };
     let record = Record { id, at_ms: wall_ms(), change };
-    match client.submit(context(TIMEOUT), record).await.map_err(failed)? {
+    match client.submit(context_with_timeout(TIMEOUT), record).await.map_err(failed)? {
         Submitted::Accepted { offset, .. } => Ok(offset),
         other => Err(Error::Call(format!("{other:?}"))),
     }
@@ -57,7 +57,7 @@
 async fn wait_in_force(client: &OperatorClient, offset: Offset) -> Result<(), Error> {
     let began = Instant::now();
     while began.elapsed() < TIMEOUT {
-        let status = client.status(context(TIMEOUT)).await;
+        let status = client.status(context_with_timeout(TIMEOUT)).await;
         let status = status.map_err(|e| Error::Call(e.to_string()))?;
         if status.members.iter().all(|m| m.entry_offset.is_some_and(|o| o > offset)) {
             return Ok(());
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -5,9 +5,9 @@
 
 use tarpc::context::Context;
 use thistle_model::VmName;
-use thistle_wire::dial::{CallError, context};
+use thistle_wire::dial::{CallError, context_with_timeout};
 use thistle_wire::operator::{
-    JobInfo, OperatorClient, OperatorLine, StatusInfo, TemplateInfo, VmInfo, WorkspaceInfo,
+    JobInfo, OperatorClient, OperatorConnection, StatusInfo, TemplateInfo, VmInfo, WorkspaceInfo,
 };
 
 use crate::error::Error;
@@ -17,7 +17,7 @@
 
 /// A client of the configured stewards.
 pub struct Client {
-    connections: Vec<OperatorLine>,
+    connections: Vec<OperatorConnection>,
 }
 
 impl Client {
@@ -30,11 +30,11 @@
             addr.map_err(|_| Error::Argument(format!("'{s}' is not an address: use IP:PORT")))
         };
         let addrs: Result<Vec<_>, _> = text.split(',').map(parse).collect();
-        Ok(Self { connections: addrs?.into_iter().map(OperatorLine::new).collect() })
+        Ok(Self { connections: addrs?.into_iter().map(OperatorConnection::new).collect() })
     }
 
     /// Returns the connections to all stewards.
-    pub fn connections(&self) -> &[OperatorLine] {
+    pub fn connections(&self) -> &[OperatorConnection] {
         &self.connections
     }
 
@@ -125,12 +125,12 @@
 }
 
 /// Calls one steward.
-pub async fn call_one<T, F, Fut>(connection: &OperatorLine, call: &F) -> Result<T, CallError>
+pub async fn call_one<T, F, Fut>(connection: &OperatorConnection, call: &F) -> Result<T, CallError>
 where
     F: Fn(OperatorClient, Context) -> Fut,
     Fut: Future<Output = Result<T, tarpc::client::RpcError>>,
 {
     let client = connection.client().await?;
-    let result = call(client, context(TIMEOUT)).await;
+    let result = call(client, context_with_timeout(TIMEOUT)).await;
     connection.check(result).await
 }
--- a/crates/entry/src/claimant.rs
+++ b/crates/entry/src/claimant.rs
@@ -8,7 +8,7 @@
 use thistle_model::view::{ViewVoter, Voters};
 use thistle_request::claim::{AttemptId, Claim, ClaimReply, ClaimState, KeptAnswer, Tally};
 use thistle_request::key::ClaimKey;
-use thistle_wire::dial::context;
+use thistle_wire::dial::context_with_timeout;
 use thistle_wire::peer::ClaimRequest;
 use tokio::task::JoinSet;
 
@@ -72,7 +72,7 @@
     pub fn release(&self) {
         let (key, attempt) = (self.key, self.claim.attempt);
         self.notify_voters(move |client| async move {
-            client.release(context(VOTER_TIMEOUT), key, attempt).await
+            client.release(context_with_timeout(VOTER_TIMEOUT), key, attempt).await
         });
     }
 
@@ -82,7 +82,7 @@
         let answer = answer.clone();
         self.notify_voters(move |client| {
             let answer = answer.clone();
-            async move { client.settle(context(VOTER_TIMEOUT), key, attempt, answer).await }
+            async move { client.settle(context_with_timeout(VOTER_TIMEOUT), key, attempt, answer).await }
         });
     }
 
@@ -118,6 +118,6 @@
 async fn request_claim(cx: &Context, voter: &ViewVoter, req: ClaimRequest) -> Option<ClaimReply> {
     let line = cx.peer_line(voter.peer_addr);
     let client = line.client().await.ok()?;
-    let call = client.claim(context(VOTER_TIMEOUT), req).await;
+    let call = client.claim(context_with_timeout(VOTER_TIMEOUT), req).await;
     line.check(call).await.ok()
 }
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -13,7 +13,7 @@
 use thistle_request::breaker::SendResult;
 use thistle_request::router::{Decision, Router, RouterConfig, VmKey, Wake};
 use thistle_settings::EntrySettings;
-use thistle_wire::peer::PeerLine;
+use thistle_wire::peer::PeerConnection;
 use tokio::sync::{Notify, oneshot};
 
 use crate::backend::Backends;
@@ -56,7 +56,7 @@
     router: Mutex<Router>,
     waiters: Mutex<HashMap<Ticket, oneshot::Sender<WaitResult>>>,
     link: Mutex<LinkState>,
-    peer_lines: Mutex<HashMap<SocketAddr, Arc<PeerLine>>>,
+    peer_lines: Mutex<HashMap<SocketAddr, Arc<PeerConnection>>>,
     tickets: AtomicU64,
     stopping: AtomicBool,
     id: u64,
@@ -105,9 +105,9 @@
     }
 
     /// Returns the client of the steward at an address.
-    pub fn peer_line(&self, addr: SocketAddr) -> Arc<PeerLine> {
+    pub fn peer_line(&self, addr: SocketAddr) -> Arc<PeerConnection> {
         let mut lines = lock(&self.peer_lines);
-        lines.entry(addr).or_insert_with(|| Arc::new(PeerLine::new(addr))).clone()
+        lines.entry(addr).or_insert_with(|| Arc::new(PeerConnection::new(addr))).clone()
     }
 
     /// Returns a ticket for a new request.
--- a/crates/entry/src/slots.rs
+++ b/crates/entry/src/slots.rs
@@ -11,7 +11,7 @@
 use thistle_model::rendezvous;
 use thistle_model::view::ViewVoter;
 use thistle_request::slot_home::SlotWant;
-use thistle_wire::dial::context;
+use thistle_wire::dial::context_with_timeout;
 
 use crate::context::Context;
 
@@ -82,7 +82,7 @@
     let Ok(client) = line.client().await else {
         return (addr, false);
     };
-    let call = client.slots(context(HOME_TIMEOUT), member, wants).await;
+    let call = client.slots(context_with_timeout(HOME_TIMEOUT), member, wants).await;
     let grants = match line.check(call).await {
         Ok(grants) => grants,
         Err(e) => {
--- a/crates/entry/src/steward_link.rs
+++ b/crates/entry/src/steward_link.rs
@@ -6,8 +6,8 @@
 
 use thistle_model::clock::Instant;
 use thistle_model::{Revision, VmName};
-use thistle_wire::dial::context;
-use thistle_wire::link::{LinkLine, ViewReply, ViewRequest};
+use thistle_wire::dial::context_with_timeout;
+use thistle_wire::link::{LinkConnection, ViewReply, ViewRequest};
 use thistle_wire::peer::EntryReport;
 
 use crate::context::Context;
@@ -26,7 +26,7 @@
 
 /// Polls the steward for view updates until the process ends.
 pub async fn run(cx: Arc<Context>) {
-    let line = LinkLine::new(cx.settings.steward);
+    let line = LinkConnection::new(cx.settings.steward);
     let mut position = ViewPosition::default();
     loop {
         let pending_reply = call(&cx, &line, &position);
@@ -43,7 +43,7 @@
     }
 }
 
-async fn call(cx: &Context, line: &LinkLine, position: &ViewPosition) -> Option<ViewReply> {
+async fn call(cx: &Context, line: &LinkConnection, position: &ViewPosition) -> Option<ViewReply> {
     let leaving = cx.link().leaving.clone();
     let report =
         EntryReport { offset: cx.link().offset, ready: cx.is_ready(), acks: cx.router().acks() };
@@ -55,7 +55,7 @@
         leaving,
     };
     let client = line.client().await.ok()?;
-    let call = client.view(context(CALL_TIMEOUT), req).await;
+    let call = client.view(context_with_timeout(CALL_TIMEOUT), req).await;
     line.check(call).await.ok()
 }
 
--- a/crates/steward/src/catch_up.rs
+++ b/crates/steward/src/catch_up.rs
@@ -7,7 +7,7 @@
 use thistle_model::clock::Instant;
 use thistle_model::record::decode;
 use thistle_model::{MemberId, Offset};
-use thistle_wire::dial::context;
+use thistle_wire::dial::context_with_timeout;
 use thistle_wire::platform::{LogPage, LogService};
 
 use crate::shared::Shared;
@@ -90,7 +90,7 @@
         let Ok(client) = connection.client().await else {
             continue;
         };
-        let call = client.image(context(PART_TIMEOUT), u64::MAX).await;
+        let call = client.image(context_with_timeout(PART_TIMEOUT), u64::MAX).await;
         // A restarted steward has the address of its previous incarnation, but another member ID.
         if let Some(part) = connection.check(call).await.ok().filter(|part| part.from == id) {
             answered.push(id);
@@ -107,7 +107,7 @@
     let mut bytes: Vec<u8> = Vec::new();
     let mut at = None;
     loop {
-        let call = client.image(context(PART_TIMEOUT), bytes.len() as u64).await;
+        let call = client.image(context_with_timeout(PART_TIMEOUT), bytes.len() as u64).await;
         let part = connection.check(call).await.ok()?;
         if *at.get_or_insert(part.at) != part.at {
             return None;
--- a/crates/steward/src/follower.rs
+++ b/crates/steward/src/follower.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use thistle_model::clock::Instant;
-use thistle_wire::dial::context;
+use thistle_wire::dial::context_with_timeout;
 use thistle_wire::peer::Entries;
 use thistle_wire::platform::{HttpError, LogPage, LogService};
 
@@ -79,7 +79,7 @@
     let Ok(client) = connection.client().await else {
         return;
     };
-    let call = client.entries(context(PEER_TIMEOUT), from).await;
+    let call = client.entries(context_with_timeout(PEER_TIMEOUT), from).await;
     let Ok(Entries::Some(entries)) = connection.check(call).await else {
         return;
     };
--- a/crates/steward/src/heartbeat.rs
+++ b/crates/steward/src/heartbeat.rs
@@ -5,7 +5,7 @@
 
 use thistle_model::MemberId;
 use thistle_model::clock::Instant;
-use thistle_wire::dial::context;
+use thistle_wire::dial::context_with_timeout;
 use thistle_wire::peer::{Heartbeat, HeartbeatReply};
 
 use crate::shared::Shared;
@@ -85,7 +85,8 @@
     };
     let message = own_heartbeat(&shared);
     let from = message.from;
-    let call = client.heartbeat(context(shared.settings.heartbeat.0 * 2), message).await;
+    let call =
+        client.heartbeat(context_with_timeout(shared.settings.heartbeat.0 * 2), message).await;
     match connection.check(call).await {
         Ok(reply) => handle_reply(&shared, from, &reply, sent_at),
         Err(e) => log::debug!("heartbeat to={addr} result=failed reason=\"{e}\""),
@@ -122,7 +123,7 @@
             let Ok(client) = connection.client().await else {
                 return;
             };
-            let call = client.leaving(context(shared.settings.heartbeat.0), vms).await;
+            let call = client.leaving(context_with_timeout(shared.settings.heartbeat.0), vms).await;
             // A failed call needs no retry: the next heartbeat carries the hint again.
             let _ = connection.check(call).await;
         });
--- a/crates/steward/src/run.rs
+++ b/crates/steward/src/run.rs
@@ -9,7 +9,7 @@
 use thistle_wire::link::Link;
 use thistle_wire::operator::Operator;
 use thistle_wire::peer::Peer;
-use thistle_wire::platform::{HttpLog, HttpVms};
+use thistle_wire::platform::{HttpLog, HttpVmList};
 use thistle_wire::{metrics_http, serve_tarpc};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
@@ -39,7 +39,7 @@
     let link = TcpListener::bind(settings.link_listen).await?;
     let operators = TcpListener::bind(settings.operator_listen).await?;
     let log = Arc::new(HttpLog::new(settings.log_service));
-    let vms = Arc::new(HttpVms::new(settings.vm_list));
+    let vms = Arc::new(HttpVmList::new(settings.vm_list));
     let metrics_addr = settings.metrics_listen;
     let (tx, rx) = mpsc::channel(MAX_WAITING_BATCHES);
     let shared = Arc::new(Shared::new(settings, tx));
--- a/crates/steward/src/shared.rs
+++ b/crates/steward/src/shared.rs
@@ -10,7 +10,7 @@
 use thistle_request::claim::ClaimTable;
 use thistle_request::slot_home::SlotHome;
 use thistle_settings::StewardSettings;
-use thistle_wire::peer::PeerLine;
+use thistle_wire::peer::PeerConnection;
 use tokio::sync::{Notify, mpsc, watch};
 
 use crate::core::Core;
@@ -27,7 +27,7 @@
     core: Mutex<Core>,
     claims: Mutex<ClaimTable>,
     slot_home: Mutex<SlotHome>,
-    connections: Mutex<HashMap<SocketAddr, Arc<PeerLine>>>,
+    connections: Mutex<HashMap<SocketAddr, Arc<PeerConnection>>>,
     appends: mpsc::Sender<Vec<Record>>,
     writer: u64,
     seq: AtomicU64,
@@ -87,9 +87,9 @@
     }
 
     /// Returns the connection to a peer's address.
-    pub fn connection(&self, addr: SocketAddr) -> Arc<PeerLine> {
+    pub fn connection(&self, addr: SocketAddr) -> Arc<PeerConnection> {
         let mut lines = lock(&self.connections);
-        lines.entry(addr).or_insert_with(|| Arc::new(PeerLine::new(addr))).clone()
+        lines.entry(addr).or_insert_with(|| Arc::new(PeerConnection::new(addr))).clone()
     }
 
     /// Announces a change to all that wait for one.
--- a/crates/steward/src/take_over.rs
+++ b/crates/steward/src/take_over.rs
@@ -7,7 +7,7 @@
 use thistle_model::view::{Voters, is_majority};
 use thistle_model::{MemberId, Revision};
 use thistle_request::claim::KeyedClaim;
-use thistle_wire::dial::context;
+use thistle_wire::dial::context_with_timeout;
 
 use crate::shared::Shared;
 
@@ -68,7 +68,7 @@
     };
     let mut after = None;
     loop {
-        let call = client.claims(context(PAGE_TIMEOUT), id, revision, after).await;
+        let call = client.claims(context_with_timeout(PAGE_TIMEOUT), id, revision, after).await;
         let Ok(Some(page)) = connection.check(call).await else {
             return false;
         };
--- a/crates/steward/src/tasks.rs
+++ b/crates/steward/src/tasks.rs
@@ -161,7 +161,7 @@
     let answer = match step {
         TaskCommand::Start => worker.start(&call).await,
         TaskCommand::Renew => worker.renew(&call).await,
-        TaskCommand::Yield => worker.make_yield(&call).await,
+        TaskCommand::Yield => worker.yield_tasks(&call).await,
     };
     let states = answer.unwrap_or_else(|e| {
         log::warn!("tasks worker={addr} step={step:?} result=unknown reason=\"{e}\"");
--- a/crates/wire/src/dial.rs
+++ b/crates/wire/src/dial.rs
@@ -75,7 +75,7 @@
 }
 
 /// Returns a context whose call is cancelled after `timeout`.
-pub fn context(timeout: Duration) -> tarpc::context::Context {
+pub fn context_with_timeout(timeout: Duration) -> tarpc::context::Context {
     let mut cx = tarpc::context::current();
     cx.deadline = std::time::Instant::now() + timeout;
     cx
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -15,7 +15,7 @@
     pub entry: u64,
     /// The revision of the view that the entry uses.
     pub have: Revision,
-    /// The version of the hints that the entry uses.
+    /// The version of the hints of leaving VMs that the entry uses.
     pub hints: u64,
     /// The state of the entry.
     pub report: EntryReport,
@@ -46,7 +46,7 @@
 }
 
 reconnecting_client!(
-    /// A client of the steward on the same VM.
-    LinkLine,
+    /// A connection to the steward on the same VM, opened on first use and again after a failure.
+    LinkConnection,
     LinkClient
 );
--- a/crates/wire/src/metrics_http.rs
+++ b/crates/wire/src/metrics_http.rs
@@ -1,4 +1,4 @@
-//! Serves metrics over HTTP in the usual exposition format.
+//! Serves metrics over HTTP in the Prometheus text format.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpListener;
 
-/// Binds `addr` and serves the text that `render` returns, until the task is dropped.
+/// Binds `addr` and serves the text that `render` returns, until the returned future is dropped.
 pub async fn serve<F>(addr: SocketAddr, render: F) -> std::io::Result<()>
 where
     F: Fn() -> String + Clone + Send + Sync + 'static,
--- a/crates/wire/src/operator.rs
+++ b/crates/wire/src/operator.rs
@@ -31,7 +31,7 @@
     Unknown,
 }
 
-/// A template for tables and diffs.
+/// A template, as shown in tables and diffs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TemplateInfo {
     /// Its name.
@@ -57,7 +57,7 @@
     pub available: u32,
 }
 
-/// A VM for tables.
+/// A VM, as shown in tables.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmInfo {
     /// Its name.
@@ -78,7 +78,7 @@
     pub wave: u32,
 }
 
-/// A member for tables.
+/// A member, as shown in tables.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberInfo {
     /// Its identity.
@@ -97,7 +97,7 @@
     pub ready: bool,
 }
 
-/// The wave for tables.
+/// The wave, as shown in tables.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaveInfo {
     /// Its number.
@@ -172,7 +172,7 @@
     pub why: String,
 }
 
-/// A job for tables.
+/// A job, as shown in tables.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobInfo {
     /// Its name.
@@ -226,7 +226,7 @@
 }
 
 reconnecting_client!(
-    /// A client of a steward's calls for operators.
-    OperatorLine,
+    /// A connection for a steward's calls for operators, opened on first use and again after a failure.
+    OperatorConnection,
     OperatorClient
 );
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -124,7 +124,7 @@
 }
 
 reconnecting_client!(
-    /// A client of a steward's calls for peers.
-    PeerLine,
+    /// A connection for a steward's calls for peers, opened on first use and again after a failure.
+    PeerConnection,
     PeerClient
 );
--- a/crates/wire/src/platform/http.rs
+++ b/crates/wire/src/platform/http.rs
@@ -72,9 +72,9 @@
 
 /// The VM list over HTTP: `GET /vms`, `POST /vms/NAME/reboot?token=N`.
 ///
-/// The request carries the entity tag of the last list, so that the list is only transferred when it changed.
+/// The request carries the entity tag of the last list, so that the list is only transferred when it has changed.
 #[derive(Debug)]
-pub struct HttpVms {
+pub struct HttpVmList {
     http: HttpClient,
     last: Mutex<Option<LastList>>,
 }
@@ -85,14 +85,14 @@
     vms: Vec<ListedVm>,
 }
 
-impl HttpVms {
+impl HttpVmList {
     /// Returns a client of the VM list at `addr`.
     pub fn new(addr: SocketAddr) -> Self {
         Self { http: HttpClient::new(addr, LIST_TIMEOUT), last: Mutex::new(None) }
     }
 }
 
-impl VmService for HttpVms {
+impl VmService for HttpVmList {
     async fn list(&self) -> Result<Vec<ListedVm>, HttpError> {
         let mut last = self.last.lock().await;
         let tag = last.as_ref().map(|l| &l.tag);
--- a/crates/wire/src/platform/mod.rs
+++ b/crates/wire/src/platform/mod.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use thistle_model::{Offset, PlatformStatus, Revision, VmFacts, VmName};
 
-pub use http::{HttpLog, HttpVms};
+pub use http::{HttpLog, HttpVmList};
 
 pub use crate::http_client::HttpError;
 
--- a/crates/wire/src/platform/tasks.rs
+++ b/crates/wire/src/platform/tasks.rs
@@ -70,7 +70,7 @@
     }
 
     /// Makes tasks yield, by a checkpoint if they support it, else by a stop.
-    pub async fn make_yield(&self, call: &TaskCall) -> Result<Vec<TaskState>, HttpError> {
+    pub async fn yield_tasks(&self, call: &TaskCall) -> Result<Vec<TaskState>, HttpError> {
         self.call("/-/tasks/yield", call).await
     }
 
--- a/crates/wire/src/serve.rs
+++ b/crates/wire/src/serve.rs
@@ -24,7 +24,7 @@
     server
 }
 
-/// Calls `handle` with each accepted connection, until the task is dropped.
+/// Calls `handle` with each accepted connection, until the returned future is dropped.
 pub async fn accept(listener: TcpListener, mut handle: impl FnMut(TcpStream)) {
     loop {
         match listener.accept().await {
