--- a/crates/settings/src/stdout_writer.rs
+++ b/crates/settings/src/stdout_writer.rs
@@ -33,7 +33,9 @@
 #[derive(Debug)]
 struct Budget {
     since: Instant,
-    written: HashMap<String, u32>,
+    /// The number of lines of each kind, including those that were dropped.
+    lines_by_kind: HashMap<String, u32>,
+    /// The number of lines that were dropped and not reported yet.
     dropped: u64,
 }
 
@@ -56,24 +58,24 @@
         std::thread::Builder::new()
             .name("log".to_owned())
             .spawn(move || write_lines(&rx, output))?;
-        let budget = Budget { since: Instant::now(), written: HashMap::new(), dropped: 0 };
+        let budget = Budget { since: Instant::now(), lines_by_kind: HashMap::new(), dropped: 0 };
         Ok(Self { tx, format, budget: Mutex::new(budget) })
     }
 
     /// Returns whether a line may be written, and how many lines were dropped before it.
     fn admit(&self, kind: &str) -> (bool, u64) {
         let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut missed = 0;
+        let mut dropped_before = 0;
         if budget.since.elapsed() >= BUDGET_PERIOD {
             budget.since = Instant::now();
-            budget.written.clear();
-            missed = std::mem::take(&mut budget.dropped);
+            budget.lines_by_kind.clear();
+            dropped_before = std::mem::take(&mut budget.dropped);
         }
-        let written = budget.written.entry(kind.to_owned()).or_insert(0);
-        *written += 1;
-        let admitted = *written <= MAX_LINES_PER_KIND;
+        let count = budget.lines_by_kind.entry(kind.to_owned()).or_insert(0);
+        *count += 1;
+        let admitted = *count <= MAX_LINES_PER_KIND;
         budget.dropped += u64::from(!admitted);
-        (admitted, missed)
+        (admitted, dropped_before)
     }
 
     fn push(&self, line: Vec<u8>) {
@@ -100,9 +102,9 @@
         let text = record.args().to_string();
         let kind = text.split(' ').next().unwrap_or_default();
         let end = kind.char_indices().nth(MAX_KIND_LENGTH).map_or(kind.len(), |(i, _)| i);
-        let (admitted, missed) = self.admit(&kind[..end]);
-        if missed > 0 {
-            self.push(format!("log step=left-out lines={missed}\n").into_bytes());
+        let (admitted, dropped_before) = self.admit(&kind[..end]);
+        if dropped_before > 0 {
+            self.push(format!("log step=left-out lines={dropped_before}\n").into_bytes());
         }
         if !admitted {
             return Ok(());
