--- a/crates/model/src/name.rs
+++ b/crates/model/src/name.rs
@@ -28,7 +28,7 @@
             }
             Self::BadCharacter(s, c) => write!(
                 f,
-                "the name '{s}' holds '{c}': use lower-case letters, digits, '-' and '.' only"
+                "the name '{s}' contains '{c}': use lower-case letters, digits, '-' and '.' only"
             ),
         }
     }
--- a/crates/model/src/parameters.rs
+++ b/crates/model/src/parameters.rs
@@ -156,10 +156,13 @@
                 write!(f, "the template has no service: list at least one under 'services'")
             }
             Self::TooManyServices(n) => {
-                write!(f, "the template has {n} services: split it, {MAX_SERVICES} is the most")
+                write!(
+                    f,
+                    "the template has {n} services: split it, at most {MAX_SERVICES} are allowed"
+                )
             }
             Self::DuplicateService(s) => {
-                write!(f, "the service '{s}' stands twice: give each service a name of its own")
+                write!(f, "the service '{s}' is listed twice: give each service a unique name")
             }
             Self::Deadline(s, ms) => {
                 write!(f, "the service '{s}' has deadline_ms {ms}: use 1 to {MAX_DEADLINE_MS}")
--- a/crates/model/src/view.rs
+++ b/crates/model/src/view.rs
@@ -98,7 +98,7 @@
     pub pools: Vec<ViewPool>,
     /// VMs that are known to be leaving although the log does not record it yet.
     pub leaving: Vec<VmName>,
-    /// The voters, with their addresses.
+    /// The sets of voters.
     pub voters: Voters,
     /// The addresses of the voters.
     pub voter_addrs: Vec<ViewVoter>,
