--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -12,7 +12,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpListener;
 
-/// Serves `handle` on `addr` until the process ends.
+/// Serves `handle` on `addr` until accepting a connection fails.
 pub async fn serve<F, Fut>(addr: SocketAddr, handle: F) -> std::io::Result<()>
 where
     F: Fn(Request<Incoming>) -> Fut + Clone + Send + Sync + 'static,
--- a/crates/standin/src/tasks.rs
+++ b/crates/standin/src/tasks.rs
@@ -61,7 +61,7 @@
     }
 
     /// Makes running tasks yield.
-    pub fn make_yield(&mut self, call: &TaskCall) -> Vec<TaskState> {
+    pub fn yield_tasks(&mut self, call: &TaskCall) -> Vec<TaskState> {
         let state = |id: &TaskId| {
             let Some(task) = self.tasks.get_mut(id) else {
                 return TaskState::Unknown;
--- a/crates/standin/src/vm_list.rs
+++ b/crates/standin/src/vm_list.rs
@@ -108,8 +108,8 @@
                 self.reboot(name, query(req, "token").unwrap_or(0)).await
             }
             (Method::POST, ["", "vms", name, "status"]) => {
-                let shown = query_text(req, "status").unwrap_or_default();
-                self.set_status(name, &shown).await
+                let new_status = query_text(req, "status").unwrap_or_default();
+                self.set_status(name, &new_status).await
             }
             _ => status(StatusCode::NOT_FOUND),
         }
@@ -130,17 +130,17 @@
         status(StatusCode::ACCEPTED)
     }
 
-    async fn set_status(&self, name: &str, shown: &str) -> Response<Full<Bytes>> {
+    async fn set_status(&self, name: &str, new_status: &str) -> Response<Full<Bytes>> {
         let Ok(name) = VmName::new(name) else {
             return status(StatusCode::BAD_REQUEST);
         };
         let mut inner = self.inner.lock().await;
-        match shown {
+        match new_status {
             "gone" => {
                 inner.vms.remove(&name);
             }
             "leaving" | "live" => {
-                let leaving = shown == "leaving";
+                let leaving = new_status == "leaving";
                 if let Some(vm) = inner.vms.get_mut(&name) {
                     vm.status =
                         if leaving { PlatformStatus::Leaving } else { PlatformStatus::Live };
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -137,7 +137,7 @@
         let states = match path.as_str() {
             "/-/tasks/start" => tasks.start(&call),
             "/-/tasks/renew" => tasks.renew(&call),
-            _ => tasks.make_yield(&call),
+            _ => tasks.yield_tasks(&call),
         };
         self.counts.lock().await.starts = tasks.starts.clone();
         Ok(with_boxed_body(json(&states)))
@@ -174,8 +174,8 @@
         let mut answer = json(&Answer { vm: &self.name, path, body });
         if let Some(id) = id {
             let other = hyper::header::HeaderValue::from_static("another-request");
-            let shown = if fault == Fault::Mismatch { other } else { id };
-            answer.headers_mut().insert(REQUEST_ID, shown);
+            let returned_id = if fault == Fault::Mismatch { other } else { id };
+            answer.headers_mut().insert(REQUEST_ID, returned_id);
         }
         if fault == Fault::Truncate {
             return Ok(truncate(answer).await);
