--- a/crates/schedule/src/catalog.rs
+++ b/crates/schedule/src/catalog.rs
@@ -95,7 +95,7 @@
         &self.queues
     }
 
-    /// Returns the queue with a name.
+    /// Returns the queue with the given name.
     pub fn queue(&self, name: &str) -> Option<&Queue> {
         self.queues.iter().find(|q| &*q.name == name)
     }
--- a/crates/schedule/src/halls.rs
+++ b/crates/schedule/src/halls.rs
@@ -24,6 +24,7 @@
 /// The halls that are currently evacuated.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Halls {
+    /// The evacuated halls, each with the offset of the operator's request.
     evacuated: BTreeMap<Arc<str>, u64>,
 }
 
--- a/crates/schedule/src/job_log.rs
+++ b/crates/schedule/src/job_log.rs
@@ -1,8 +1,9 @@
-//! The fold of one pool's records into the submission, the cancellation and the progress of each job.
+//! The state of each job of one pool, computed from the pool's records: its submission, its cancellation and its progress.
 //!
-//! Any node appends submissions and cancellations to one of two partitions. Only the pool's owner appends progress, to a third
-//! partition, or to a fourth while the third does not accept it. Records are folded by job and may arrive in any order, so
-//! that reading a record twice changes nothing.
+//! Any node appends submissions and cancellations to a first partition or to its fallback partition. Only the pool's owner
+//! appends progress: to another partition, to the fallback partition of that one while it does not accept records, or to
+//! overflow partitions while neither does. Records are combined by job and may arrive in any order, so that reading a record
+//! twice changes nothing.
 
 mod partition_set;
 
@@ -20,7 +21,7 @@
 const CANCEL: &str = "c";
 const PROGRESS: &str = "q";
 /// The prefix of progress records without a [`Version`], which older programs wrote. Any record with a [`Version`] is newer.
-const UNNUMBERED: &str = "p";
+const UNVERSIONED: &str = "p";
 
 /// Returns the key of a job's submission record.
 pub fn submit_key(id: JobId) -> String {
@@ -104,7 +105,7 @@
     record
 }
 
-/// Decodes a cancellation. Older records lack the caller and cancel any job.
+/// Decodes a cancellation. Older records lack the caller, and cancel their job whatever its workspace.
 fn decode_cancel(value: &[u8]) -> Result<Option<Caller>, postcard::Error> {
     match value {
         [] | [_] => Ok(None),
@@ -130,13 +131,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BadRecord(pub String);
 
-/// Encodes a submission or a progress record.
+/// Encodes a value for a record.
 pub fn encode<T: serde::Serialize>(value: &T) -> Vec<u8> {
     // Encoding plain structs into memory cannot fail. Readers would skip an empty record.
     postcard::to_allocvec(value).unwrap_or_default()
 }
 
-/// The folded records of a job.
+/// The state of a job by the records read so far.
 #[derive(Clone, Debug, Default)]
 pub struct JobEntry {
     /// The submission, or `None` if only a cancellation or progress has been read so far.
@@ -179,7 +180,7 @@
     Cancelled(JobId),
 }
 
-/// The fold of one pool's records.
+/// The jobs of one pool by the records read so far.
 #[derive(Debug, Default)]
 pub struct JobLog {
     jobs: BTreeMap<JobId, JobEntry>,
@@ -262,7 +263,7 @@
                 self.jobs.entry(id).or_default().apply_progress(version, progress);
                 Ok(None)
             }
-            UNNUMBERED => {
+            UNVERSIONED => {
                 let progress = postcard::from_bytes(value).map_err(|_| bad())?;
                 self.jobs.entry(id).or_default().apply_progress(Version::default(), progress);
                 Ok(None)
--- a/crates/schedule/src/lease.rs
+++ b/crates/schedule/src/lease.rs
@@ -1,4 +1,4 @@
-//! The lease under which a VM runs tasks, and when it has certainly expired by our clock.
+//! The lease under which a VM runs tasks, and when it has certainly expired by the clock of the pool's owner.
 
 use crate::Ms;
 
@@ -11,13 +11,14 @@
 
 /// The lease under which all tasks on one VM incarnation run.
 ///
-/// Its end is a time on the VM's clock, of which one reading is known. The bound on our clock errs on the late side: the
-/// reading may be older than the answer that contained it, and the VM's clock may be slow.
+/// Its end is a time on the VM's clock, of which one reading is known. The corresponding bound on the owner's clock is never
+/// too early: the reading may be older than the answer that contained it, and the VM's clock may be slow.
 #[derive(Clone, Copy, Debug)]
 pub struct TaskLease {
     length: Ms,
     /// The last reading of the VM's clock, and when its answer arrived.
     clock: Option<(u64, Ms)>,
+    /// The time on the owner's clock by which the lease has certainly expired.
     expires_at: Ms,
     /// Whether the VM has not answered the last call, so that it gets no new lease. Calls may arrive though their answers
     /// are lost, and with ever new leases its tasks could never be declared lost.
@@ -25,9 +26,9 @@
 }
 
 impl TaskLease {
-    /// Creates the lease of a VM to which a predecessor may just have granted one of full length.
+    /// Creates the lease of a VM to which the pool's previous owner may just have granted one of full length.
     pub fn new(length: Ms, now: Ms) -> Self {
-        let expires_at = now + stretched(length) + MARGIN_MS;
+        let expires_at = now + max_elapsed(length) + MARGIN_MS;
         Self { length, clock: None, expires_at, unresponsive: false }
     }
 
@@ -57,15 +58,16 @@
     /// start does not appear late there and runs under a full lease from then on.
     pub fn record_unanswered_start(&mut self, now: Ms) {
         let arrives = now + LATE_START_MS;
-        self.expires_at = self.expires_at.max(arrives + stretched(self.length) + MARGIN_MS);
+        self.expires_at = self.expires_at.max(arrives + max_elapsed(self.length) + MARGIN_MS);
     }
 
-    /// Grants a lease now and returns its end on the VM's clock.
+    /// Grants a lease now and returns its end on the VM's clock, or `None` if no reading of that clock is known or the VM is
+    /// unresponsive.
     pub fn grant(&mut self, now: Ms) -> Option<u64> {
         let (clock_ms, read_at) = self.clock.filter(|_| !self.unresponsive)?;
-        let since = now.saturating_sub(read_at) + self.length;
-        self.expires_at = self.expires_at.max(read_at + stretched(since) + MARGIN_MS);
-        Some(clock_ms + since)
+        let after_reading = now.saturating_sub(read_at) + self.length;
+        self.expires_at = self.expires_at.max(read_at + max_elapsed(after_reading) + MARGIN_MS);
+        Some(clock_ms + after_reading)
     }
 
     /// Returns whether no task can run on the VM any more because the lease has certainly expired.
@@ -74,7 +76,7 @@
     }
 }
 
-/// Returns the longest time on our clock that a span on the VM's clock may take.
-const fn stretched(span: Ms) -> Ms {
+/// Returns the longest time on the owner's clock that a span on the VM's clock may take.
+const fn max_elapsed(span: Ms) -> Ms {
     span * 100 / (100 - SLOW_PERCENT) + 1
 }
--- a/crates/schedule/src/policy.rs
+++ b/crates/schedule/src/policy.rs
@@ -32,8 +32,8 @@
     /// estimate is off by about a third. Fewer arrivals would request VMs for random variations; more would detect a change
     /// later.
     pub arrivals: usize,
-    /// Whether work that will be late gets only the VMs that work in time leaves over, instead of an equal share. This raises
-    /// the mean net value from 0.56 to 0.57 of the value due, over 24 days with mixed failures.
+    /// Whether work that will be late gets only the VMs that are left over by work that can finish in time, instead of an equal
+    /// share. This raises the mean net value from 0.56 to 0.57 of the value due, over 24 days with mixed failures.
     pub late_last: bool,
     /// Whether steps that follow the running ones are left out of the need if they will have ended before new VMs arrive. At
     /// peak load this lowers the reported need for such steps in a pool of 350 VMs from 1,100 to 1,300 cores to 400 to 700,
--- a/crates/schedule/src/spec.rs
+++ b/crates/schedule/src/spec.rs
@@ -39,19 +39,19 @@
     pub admitted_by: u64,
 }
 
-/// The timing of the external advice service that decides which VMs may run a step.
+/// The timing of the replies of the external advice service, which decides which VMs may run a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdvicePolicy {
-    /// The minimum time for an answer, in milliseconds.
+    /// The minimum time for a reply, in milliseconds.
     pub decide_ms: u32,
     /// The additional time for each VM named in the request, in milliseconds.
     pub each_ms: u32,
-    /// How long an answer is valid, in milliseconds.
+    /// How long a reply is valid, in milliseconds.
     pub valid_ms: u32,
 }
 
 impl AdvicePolicy {
-    /// Returns the time that an answer about `vms` VMs takes, in milliseconds.
+    /// Returns the time that a reply about `vms` VMs takes, in milliseconds.
     pub fn decides_in_ms(&self, vms: usize) -> u64 {
         let vms = u64::try_from(vms).unwrap_or(u64::MAX);
         u64::from(self.decide_ms).saturating_add(u64::from(self.each_ms).saturating_mul(vms))
@@ -76,7 +76,7 @@
     pub priority: u32,
     /// The number of failed runs of one task at which the job fails.
     pub max_attempts: u32,
-    /// The job is to finish within the longest chain of estimated work times `stretch`, plus `target_ms`.
+    /// The job is to finish within `stretch` times the longest chain of estimated work, plus `target_ms`.
     pub stretch: f32,
     /// The fixed part of the time to finish, in milliseconds; see `stretch`.
     pub target_ms: u32,
@@ -111,9 +111,9 @@
     pub lasting: bool,
     /// The image that the tasks run. Tasks of one image behave alike.
     pub image: String,
-    /// The tail latency that serving tasks must keep, in milliseconds; 0 means no target.
+    /// The target tail latency if the tasks are serving tasks, in milliseconds; 0 for other tasks.
     pub tail_target_ms: u32,
-    /// Whether the tasks use only leftover CPU time, so that their CPU demand reserves no capacity.
+    /// Whether the tasks are filling tasks: they use only leftover CPU time, so that their CPU demand reserves no capacity.
     pub fills: bool,
     /// The maximum number of tasks of a lasting step that the scheduler may take down at once; 0 means no limit.
     pub may_miss: u32,
@@ -193,10 +193,10 @@
         self.repeats.map_or(1, |r| r.count.max(1))
     }
 
-    /// Returns the wall-clock time at which repetition `time` is due.
-    pub fn due_ms(&self, time: u32) -> u64 {
+    /// Returns the wall-clock time at which a repetition is due, in milliseconds since 1970.
+    pub fn due_ms(&self, repetition: u32) -> u64 {
         self.repeats.map_or(self.accepted_ms, |r| {
-            r.start_at_ms.saturating_add(u64::from(time).saturating_mul(r.interval_ms))
+            r.start_at_ms.saturating_add(u64::from(repetition).saturating_mul(r.interval_ms))
         })
     }
 
--- a/crates/schedule/src/vm.rs
+++ b/crates/schedule/src/vm.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns the greater of both amounts for each kind.
+    /// Returns the greater of both amounts for each resource.
     #[must_use]
     pub fn greater_of_each(self, other: Self) -> Self {
         Self {
@@ -125,7 +125,7 @@
     Done,
     /// It failed because of the task or of the VM.
     Failed,
-    /// It was stopped by our order.
+    /// It was stopped by an order of the pool's owner.
     Stopped,
     /// Its lease was not renewed in time.
     Lapsed,
--- a/crates/schedule/src/workspace.rs
+++ b/crates/schedule/src/workspace.rs
@@ -16,7 +16,7 @@
 pub struct Workspace {
     /// The name of the workspace.
     pub name: Arc<str>,
-    /// The share of a full fleet relative to other workspaces. It is also the guaranteed rate in jobs a second.
+    /// Its share relative to other workspaces when the fleet is full. It is also the guaranteed rate in jobs a second.
     pub weight: u32,
     /// The maximum capacity that its tasks may use at once over all pools. A resource with the value 0 has no limit.
     pub cap: Room,
@@ -141,7 +141,7 @@
         self.all.get(index?)
     }
 
-    /// Returns the workspace with a name.
+    /// Returns the workspace with the given name.
     pub fn get(&self, name: &str) -> Option<&Workspace> {
         self.all.get(*self.by_name.get(name)?)
     }
