--- a/crates/schedule/src/pool/advice.rs
+++ b/crates/schedule/src/pool/advice.rs
@@ -8,8 +8,8 @@
 use crate::id::{JobId, VmIncarnation};
 use crate::spec::{AdvicePolicy, Step};
 
-/// The maximum number of VMs in one request. Users count one request about as many VMs into the length of a job's critical
-/// path.
+/// The maximum number of VMs in one request. The length of a job's critical path, as users compute it, includes the time of one
+/// request about this many VMs.
 const VMS_PER_REQUEST: usize = 30;
 /// The delay before a step's next request if the last request got no reply, or a reply that allows no VM with room, in
 /// milliseconds.
@@ -29,7 +29,7 @@
     pub step: u16,
 }
 
-/// A request to the service that knows the policies.
+/// A request to the advice service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdviceRequest {
     /// The step.
@@ -59,19 +59,19 @@
         reply: Option<(Vec<(VmIncarnation, String)>, Ms)>,
         now: Now,
     ) {
-        let Some(advised) = self.advice.get_mut(&step) else { return };
-        advised.in_flight = false;
-        advised.retry_at = now.steady + RETRY_MS;
+        let Some(state) = self.advice.get_mut(&step) else { return };
+        state.in_flight = false;
+        state.retry_at = now.steady + RETRY_MS;
         if let Some((tickets, valid)) = reply {
-            advised.tickets = tickets.into_iter().collect();
-            advised.valid_until = now.steady + valid.saturating_sub(TICKET_MARGIN_MS);
+            state.tickets = tickets.into_iter().collect();
+            state.valid_until = now.steady + valid.saturating_sub(TICKET_MARGIN_MS);
         }
     }
 
     /// Returns the ticket for a start if current advice allows the VM to run the step.
     pub(super) fn ticket(&self, step: StepId, vm: &VmIncarnation, now: Ms) -> Option<String> {
-        let advised = self.advice.get(&step).filter(|a| now < a.valid_until)?;
-        advised.tickets.get(vm).cloned()
+        let state = self.advice.get(&step).filter(|a| now < a.valid_until)?;
+        state.tickets.get(vm).cloned()
     }
 
     /// Requests advice on the VMs that could run a step, unless a request is in flight or has ended just now.
@@ -82,7 +82,7 @@
         policy: AdvicePolicy,
         now: Now,
     ) {
-        let step = ready.id();
+        let step = ready.step_id();
         let state = self.advice.entry(step).or_default();
         if state.in_flight || now.steady < state.retry_at {
             return;
--- a/crates/schedule/src/pool/arrivals.rs
+++ b/crates/schedule/src/pool/arrivals.rs
@@ -78,8 +78,8 @@
     reason = "counts and times are far below 2^52, and work is not negative"
 )]
 impl QueueArrivals {
-    /// Returns the CPU for this queue. Jobs that will have arrived longer ago than the length of their critical path count as
-    /// ended.
+    /// Returns the CPU that the queue's arriving jobs will use; see [`Arrivals::arriving`]. Jobs that will have arrived longer
+    /// ago than the length of their critical path count as ended.
     fn arriving(&self, counted: usize, lead: Ms, now: Ms) -> u64 {
         let critical_path = self.critical_path.max(1.0);
         let share = (lead as f64 / critical_path).min(1.0);
@@ -94,17 +94,17 @@
         }
         let (mut low, mut high) = (0.0_f64, f64::INFINITY);
         let mut rate = 0.0;
-        for (before, &at) in self.arrived_at.iter().enumerate() {
+        for (later, &at) in self.arrived_at.iter().enumerate() {
             let passed = now.saturating_sub(at);
             // Older spans do not rule out a recent rise.
-            if before <= LATEST_ARRIVALS {
-                high = high.min(max_expected(before) / passed.max(1) as f64);
+            if later <= LATEST_ARRIVALS {
+                high = high.min(max_expected(later) / passed.max(1) as f64);
             }
             let span = passed.max(MIN_SPAN_MS) as f64;
-            let arrived = before + 1;
+            let arrived = later + 1;
             low = low.max(min_expected(arrived) / span);
             if arrived <= counted || passed <= MIN_SPAN_MS {
-                rate = before as f64 / span;
+                rate = later as f64 / span;
             }
             if arrived >= counted && passed >= MIN_SPAN_MS {
                 break;
--- a/crates/schedule/src/pool/ends.rs
+++ b/crates/schedule/src/pool/ends.rs
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Applies the end of a run that was already abandoned. If the run is done and its task still waits, the task is marked done
-    /// so that the work is not repeated.
+    /// Applies the end of a run that is no longer in the schedule, for example because its VM counted as lost. If the run is done
+    /// and its task still waits, the task is marked done so that the work is not repeated.
     fn apply_late_end(&mut self, end: &RunEnd, now: Now) {
         let Some(key) = self.job_key(end.run.task).filter(|_| end.kind == EndKind::Done) else {
             return;
@@ -138,6 +138,7 @@
         }
     }
 
+    /// Closes the repetition of a run if all its tasks are done, and completes the job with its last repetition.
     fn close_repetition(&mut self, key: JobKey, run: RunId, now: Now) {
         let Some(job) = self.jobs.get_mut(key) else { return };
         if job.close_repetition_if_done(run.task.time) {
--- a/crates/schedule/src/pool/estimate.rs
+++ b/crates/schedule/src/pool/estimate.rs
@@ -1,4 +1,4 @@
-//! Correction factors for the callers' estimates of task times, learned by queue.
+//! Correction factors for the callers' estimates of task times, learned for each queue.
 
 use std::collections::HashMap;
 
--- a/crates/schedule/src/pool/evacuate.rs
+++ b/crates/schedule/src/pool/evacuate.rs
@@ -1,5 +1,6 @@
 //! Moving tasks off VMs that are cordoned or leaving. Lasting tasks are moved, and if another pool urgently needs the VM, also
-//! tasks that can be resumed elsewhere.
+//! tasks that can be resumed elsewhere. The evacuation of a data hall is no reason to move tasks: those
+//! that run there end as usual.
 
 use super::job::{Task, TaskState};
 use super::remaining::WORTH_STOPPING_MS;
@@ -11,7 +12,7 @@
 impl Pool {
     /// Stops lasting tasks on VMs that are cordoned or leaving, as far as each step's limit on absent tasks allows and there is
     /// room elsewhere. Also stops resumable tasks on VMs that another pool urgently needs.
-    pub(super) fn evacuate(&mut self, now: Now) {
+    pub(super) fn move_tasks_off_leaving_vms(&mut self, now: Now) {
         let leaving = |key: VmKey| {
             let vm = &self.vms[key];
             // Some VMs leave unannounced: they are no longer listed but keep running for a while.
@@ -20,7 +21,7 @@
             leaves && vm.reachable && !vm.runs.is_empty()
         };
         let mut vms: Vec<VmKey> = self.vms.keys().filter(|&k| leaving(k)).collect();
-        // Draining VMs go first: tasks that must move with them count as absent for tasks whose move can wait.
+        // Draining VMs go first: the tasks stopped there count as absent when tasks whose move can wait are checked.
         vms.sort_by_key(|&key| !self.vms[key].draining());
         for key in vms {
             let can_stop = |(_, run): &(&TaskId, &Run)| !run.stopping && run.confirmed.is_some();
@@ -52,6 +53,7 @@
         self.time_left(task, run, now.steady) > WORTH_STOPPING_MS
     }
 
+    /// Returns whether the task is a lasting task that may now be stopped on its VM and moved to another.
     fn may_move(&self, vm: VmKey, task: TaskId, now: Now) -> bool {
         let Some(job) = self.job_key(task).and_then(|key| self.jobs.get(key)) else { return false };
         let Some(step_spec) = job.spec.steps.get(usize::from(task.step)).filter(|s| s.lasting)
@@ -86,17 +88,18 @@
         task.working && self.vms.get(vm).is_some_and(|vm| vm.reachable)
     }
 
+    /// Returns whether some other VM has room for a task and its step's anti-affinity limit allows it there.
     fn fits_elsewhere(&self, vm: VmKey, task: TaskId, step_spec: &Step, now: Now) -> bool {
         let same_step =
             |t: &TaskId| t.job == task.job && t.time == task.time && t.step == task.step;
         self.vms.iter().any(|(key, other)| {
             let same_step_count = other.runs.keys().filter(|t| same_step(t)).count();
-            let spread = usize::try_from(step_spec.anti_affinity).unwrap_or(usize::MAX);
+            let max_per_vm = usize::try_from(step_spec.anti_affinity).unwrap_or(usize::MAX);
             key != vm
                 && other.accepts_work()
                 && other.excluded_until <= now.steady
                 && other.free().fits(step_spec.room())
-                && (spread == 0 || same_step_count < spread)
+                && (max_per_vm == 0 || same_step_count < max_per_vm)
         })
     }
 
--- a/crates/schedule/src/pool/gang.rs
+++ b/crates/schedule/src/pool/gang.rs
@@ -12,12 +12,13 @@
     /// Places all tasks of a gang or none. A rack-local gang is placed on one rack if possible.
     pub(super) fn place_gang(&mut self, ready: ReadyStep, step_spec: &Step, now: Now) {
         let waiting = self.waiting_tasks(ready);
-        let all = self.jobs[ready.job].repetitions[&ready.time].steps[ready.step].tasks.len();
+        let all =
+            self.jobs[ready.job_key].repetitions[&ready.repetition].steps[ready.step].tasks.len();
         if waiting.len() < all {
             return;
         }
         let whole = step_spec.demand.times(step_spec.count);
-        if !self.quota.may_start(self.jobs[ready.job].workspace, whole) {
+        if !self.quota.may_start(self.jobs[ready.job_key].workspace, whole) {
             return;
         }
         let Some(isolation) = self.gang_isolation(ready, step_spec, &waiting, now.steady) else {
@@ -61,7 +62,7 @@
 
     /// Gives all members of a gang the same checkpoint. Any member's checkpoint is valid, but all must start from the same one.
     fn share_checkpoint(&mut self, ready: ReadyStep) {
-        let job = &mut self.jobs[ready.job];
+        let job = &mut self.jobs[ready.job_key];
         let Some((step, _)) = job.step_mut(ready.task(0)) else { return };
         let saved = step.tasks.iter().map(|t| &t.checkpoint).find(|c| !c.is_empty());
         let Some(saved) = saved.cloned() else { return };
@@ -84,6 +85,6 @@
             return Some(Isolation::FromSuspects);
         };
         let isolation = self.isolation(ready, suspect, now)?;
-        self.may_occupy_one_more(step_spec, isolation, now).then_some(isolation)
+        self.may_occupy_one_more_vm(step_spec, isolation, now).then_some(isolation)
     }
 }
--- a/crates/schedule/src/pool/incarnation.rs
+++ b/crates/schedule/src/pool/incarnation.rs
@@ -20,6 +20,7 @@
 /// call and a record. The maximum of 8 s still lets a VM that has room again be used soon; a listed change of its room ends the
 /// exclusion at once.
 const MAX_EXCLUSION_DOUBLINGS: u32 = 4;
+
 /// One incarnation of a VM.
 #[derive(Clone, Debug)]
 pub(super) struct Vm {
@@ -51,11 +52,13 @@
     pub unknown_runs: HashMap<RunId, Ms>,
     /// The highest sequence number of an applied run end.
     pub last_end_sequence: u64,
+    /// The different jobs whose runs failed here since the last run that completed its work.
     failed_jobs: Vec<JobId>,
     pub excluded_until: Ms,
     /// The number of consecutive starts rejected for lack of room.
     pub room_rejections: u32,
 }
+
 impl Vm {
     pub fn new(id: VmIncarnation) -> Self {
         Self {
@@ -94,10 +97,10 @@
 
     /// Returns whether new tasks may be placed on the VM, regardless of its free room.
     pub fn accepts_work(&self) -> bool {
-        let fit =
+        let usable =
             self.listed && self.token_confirmed && self.reachable && self.unknown_runs.is_empty();
         let readable = self.facts.as_ref().is_some_and(|f| !f.unreadable);
-        fit && readable && !self.cordoned && !self.evacuated && !self.draining()
+        usable && readable && !self.cordoned && !self.evacuated && !self.draining()
     }
 
     pub fn free(&self) -> Room {
@@ -111,9 +114,9 @@
 
     /// Adds a run and returns the run of the same task that it replaces, if any.
     pub fn add_run(&mut self, task: TaskId, run: Run) -> Option<Run> {
-        self.used = self.used.plus(run.demand);
+        self.used = self.used.plus(run.reserved);
         let old = self.runs.insert(task, run)?;
-        self.used = self.used.minus(old.demand);
+        self.used = self.used.minus(old.reserved);
         Some(old)
     }
 
@@ -126,7 +129,7 @@
     pub fn remove_run(&mut self, run: RunId) -> Option<Run> {
         self.runs.get(&run.task).filter(|r| r.attempt == run.attempt)?;
         let old = self.runs.remove(&run.task)?;
-        self.used = self.used.minus(old.demand);
+        self.used = self.used.minus(old.reserved);
         Some(old)
     }
 
@@ -140,7 +143,7 @@
             }
             if run.confirmed.is_none() && !run.stopping {
                 (run.stopping, run.stop_ordered) = (true, now);
-                used = used.minus(run.demand);
+                used = used.minus(run.reserved);
                 stopped.push((task, run.attempt));
             }
         }
--- a/crates/schedule/src/pool/job.rs
+++ b/crates/schedule/src/pool/job.rs
@@ -125,6 +125,7 @@
     pub done_repetitions: Vec<u32>,
     /// When the job was accepted, on the monotonic clock of this process.
     pub accepted: Ms,
+    /// Whether the job has changed since its progress record was last taken.
     pub dirty: bool,
     /// The crash histories of its tasks. Most tasks have none.
     pub crash_histories: BTreeMap<TaskId, CrashHistory>,
@@ -166,23 +167,25 @@
     }
 
     /// Opens a repetition unless it is done or already open.
-    pub fn open_repetition(&mut self, time: u32) {
-        if !self.done_repetitions.contains(&time) {
+    pub fn open_repetition(&mut self, repetition: u32) {
+        if !self.done_repetitions.contains(&repetition) {
             let spec = &self.spec;
-            self.repetitions.entry(time).or_insert_with(|| RepetitionState::new(spec));
+            self.repetitions.entry(repetition).or_insert_with(|| RepetitionState::new(spec));
         }
     }
 
     /// Opens all repetitions up to and including `last` that are not done.
     pub fn open_repetitions_up_to(&mut self, last: u32) {
         let done: HashSet<u32> = self.done_repetitions.iter().copied().collect();
-        for time in (self.next_repetition..=last).filter(|time| !done.contains(time)) {
+        for repetition in (self.next_repetition..=last).filter(|number| !done.contains(number)) {
             let spec = &self.spec;
-            self.repetitions.entry(time).or_insert_with(|| RepetitionState::new(spec));
+            self.repetitions.entry(repetition).or_insert_with(|| RepetitionState::new(spec));
         }
         self.next_repetition = self.next_repetition.max(last + 1);
     }
 
+    /// Returns when the next repetition is due, on the monotonic clock. Returns `None` if the job is settled, no repetition is
+    /// left, or the next one waits for open ones.
     pub fn next_due(&self, now: Now) -> Option<Ms> {
         let waits_for_others = self.repetitions.len() >= MAX_OPEN_REPETITIONS;
         if self.phase != Phase::Open
@@ -215,26 +218,26 @@
 
     /// Returns the repetition, step and number of waiting tasks of each step that is ready to start.
     pub fn ready_steps(&self) -> impl Iterator<Item = (u32, usize, u32)> {
-        self.repetitions.iter().flat_map(move |(&time, repetition)| {
+        self.repetitions.iter().flat_map(move |(&repetition, repetition_state)| {
             let ready = move |&(i, step): &(usize, &StepState)| {
                 let before = &self.spec.steps[i].depends_on;
                 step.waiting > 0
-                    && before.iter().all(|&on| repetition.steps[usize::from(on)].is_done())
+                    && before.iter().all(|&on| repetition_state.steps[usize::from(on)].is_done())
             };
-            repetition
+            repetition_state
                 .steps
                 .iter()
                 .enumerate()
                 .filter(ready)
-                .map(move |(i, s)| (time, i, s.waiting))
+                .map(move |(i, s)| (repetition, i, s.waiting))
         })
     }
 
     /// Closes a repetition if all its tasks are done. Returns whether the whole job is done.
-    pub fn close_repetition_if_done(&mut self, time: u32) -> bool {
-        if self.repetitions.get(&time).is_some_and(RepetitionState::is_done) {
-            self.repetitions.remove(&time);
-            self.done_repetitions.push(time);
+    pub fn close_repetition_if_done(&mut self, repetition: u32) -> bool {
+        if self.repetitions.get(&repetition).is_some_and(RepetitionState::is_done) {
+            self.repetitions.remove(&repetition);
+            self.done_repetitions.push(repetition);
         }
         self.repetitions.is_empty() && self.next_repetition >= self.spec.repetitions()
     }
@@ -258,16 +261,16 @@
         if open {
             progress.done_times.clone_from(&self.done_repetitions);
         }
-        for (&time, repetition) in &self.repetitions {
-            for (step, step_state) in (0..).zip(&repetition.steps) {
+        for (&repetition, repetition_state) in &self.repetitions {
+            for (step, step_state) in (0..).zip(&repetition_state.steps) {
                 let tasks = (0..).zip(&step_state.tasks);
                 // A settled job's record lists only tasks that may still run: the next owner accounts for and stops them.
-                let counts = |t: &Task| match t.state {
+                let is_recorded = |t: &Task| match t.state {
                     TaskState::Assigned(_) => true,
                     TaskState::Done => open,
                     TaskState::Waiting => open && t.attempt > 0,
                 };
-                for (index, task) in tasks.filter(|(_, t)| counts(t)) {
+                for (index, task) in tasks.filter(|(_, t)| is_recorded(t)) {
                     let placement = match task.state {
                         TaskState::Waiting => TaskPlacement::Waiting,
                         TaskState::Done => TaskPlacement::Done,
@@ -281,7 +284,7 @@
                         TaskState::Assigned(_) | TaskState::Done => String::new(),
                     };
                     progress.tasks.push(TaskRecord {
-                        time,
+                        time: repetition,
                         step,
                         index,
                         placement,
--- a/crates/schedule/src/pool/mod.rs
+++ b/crates/schedule/src/pool/mod.rs
@@ -72,7 +72,7 @@
     pub wall: u64,
 }
 
-/// The load of a pool, for the VM planner and for metrics.
+/// The load of a pool, for the report to the fleet's owner and for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
     /// CPU demand of waiting tasks that are ready to start, in thousandths of a core. Jobs that are too late to be of
@@ -123,7 +123,7 @@
     dirty: Vec<JobKey>,
     acks: Vec<(VmIncarnation, u64)>,
     /// Jobs with tasks that have a crash history.
-    affected: BTreeSet<JobKey>,
+    jobs_with_crash_history: BTreeSet<JobKey>,
     abandoned: Vec<AbandonedTask>,
     /// When the last crash of a VM with runs was detected.
     last_crash_at: Option<Ms>,
@@ -169,7 +169,7 @@
         self.open_due_repetitions(now);
         self.expire_unclear_losses(now);
         self.cancel_starts_beyond_room(now);
-        self.evacuate(now);
+        self.move_tasks_off_leaving_vms(now);
         if !self.halls_unknown {
             self.place_waiting(now);
         }
@@ -214,7 +214,7 @@
         for job in self.jobs.values().filter(|j| j.phase == Phase::Open) {
             load.jobs += 1;
             load.spread = load.spread.max(job.spread());
-            for (time, step, waiting) in job.ready_steps() {
+            for (repetition, step, waiting) in job.ready_steps() {
                 if !self.fits_somewhere(job.spec.steps[step].room()) {
                     continue;
                 }
@@ -223,7 +223,7 @@
                     continue;
                 }
                 let cpu = u64::from(job.spec.steps[step].room().cpu);
-                let resumed = job.repetitions[&time].steps[step].waiting_to_resume();
+                let resumed = job.repetitions[&repetition].steps[step].waiting_to_resume();
                 load.waiting_cpu += cpu * u64::from(waiting - resumed);
                 load.used_cpu += cpu * u64::from(resumed);
             }
@@ -279,7 +279,7 @@
         for id in ids {
             if let Some(key) = self.job_keys.remove(&id) {
                 self.jobs.remove(key);
-                self.affected.remove(&key);
+                self.jobs_with_crash_history.remove(&key);
             }
             self.advice.retain(|step, _| step.job != id);
         }
--- a/crates/schedule/src/pool/need.rs
+++ b/crates/schedule/src/pool/need.rs
@@ -57,7 +57,7 @@
                 let end = remaining.entry(step_of(task)).or_default();
                 *end = left.max(*end);
                 if left > lead && vm.accepts_work() {
-                    let cpu = u64::from(run.demand.cpu);
+                    let cpu = u64::from(run.reserved.cpu);
                     match late.contains(&task.job) {
                         true => demand.late += cpu,
                         false => demand.staying += cpu,
@@ -66,14 +66,14 @@
             }
             if vm.accepts_work() {
                 let lasting = vm.runs.values().filter(|run| run.lasting);
-                demand.staying += lasting.map(|run| u64::from(run.demand.cpu)).sum::<u64>();
+                demand.staying += lasting.map(|run| u64::from(run.reserved.cpu)).sum::<u64>();
                 if vm.is_occupied_by_suspect(now.steady) {
                     // Tasks of other jobs are not placed there.
                     demand.staying += u64::from(vm.free().cpu);
                 }
             }
         }
-        demand.waiting += self.cpu_held_by_suspects(now.steady);
+        demand.waiting += self.cpu_occupied_by_suspects(now.steady);
         let largest = self.largest_cpu();
         let mut capped: HashMap<WorkspaceKey, u64> = HashMap::new();
         for job in self.jobs.values().filter(|job| job.phase == Phase::Open) {
@@ -99,12 +99,12 @@
 
     /// Returns the CPU of the VMs that waiting suspects will occupy beyond their own demand, as each runs alone. At most as many
     /// VMs are added as the pool has now, so that many suspects do not claim all VMs at once.
-    fn cpu_held_by_suspects(&self, now: Ms) -> u64 {
+    fn cpu_occupied_by_suspects(&self, now: Ms) -> u64 {
         let vms: Vec<&Vm> = self.vms.values().filter(|vm| vm.accepts_work()).collect();
         let cpu: u64 = vms.iter().map(|vm| u64::from(vm.room().cpu)).sum();
         let waiting = self.waiting_suspects(now).min(vms.len());
-        let held = cpu * u64::try_from(waiting).unwrap_or(u64::MAX);
-        held.checked_div(u64::try_from(vms.len()).unwrap_or(u64::MAX)).unwrap_or(0)
+        let occupied = cpu * u64::try_from(waiting).unwrap_or(u64::MAX);
+        occupied.checked_div(u64::try_from(vms.len()).unwrap_or(u64::MAX)).unwrap_or(0)
     }
 
     /// Returns the jobs that can no longer finish in time.
@@ -122,18 +122,18 @@
         demand: &mut Demand,
     ) {
         let ready: Vec<(u32, usize)> =
-            job.ready_steps().map(|(time, step, _)| (time, step)).collect();
+            job.ready_steps().map(|(repetition, step, _)| (repetition, step)).collect();
         let of_use = ready.is_empty() || !self.rank(job, now.steady).is_too_late();
-        for (&time, repetition) in &job.repetitions {
-            let spans = self.expected_spans(job, time, repetition, remaining);
+        for (&repetition, repetition_state) in &job.repetitions {
+            let spans = self.expected_spans(job, repetition, repetition_state, remaining);
             for (i, step) in
-                repetition.steps.iter().enumerate().filter(|(_, step)| step.waiting > 0)
+                repetition_state.steps.iter().enumerate().filter(|(_, step)| step.waiting > 0)
             {
                 let step_spec = &job.spec.steps[i];
                 let weight = if step_spec.lasting { LASTING_WAIT_WEIGHT } else { 1 };
                 let each = counted_cpu(step_spec.room().cpu, largest);
                 let cpu = each * u64::from(step.waiting) * weight;
-                if ready.contains(&(time, i)) {
+                if ready.contains(&(repetition, i)) {
                     if of_use && self.fits_somewhere(job.spec.steps[i].room()) {
                         demand.waiting += cpu;
                     }
@@ -155,21 +155,22 @@
     fn expected_spans(
         &self,
         job: &Job,
-        time: u32,
-        repetition: &RepetitionState,
+        repetition: u32,
+        repetition_state: &RepetitionState,
         remaining: &RemainingTimes,
     ) -> Vec<Option<ExpectedSpan>> {
-        let mut spans: Vec<Option<ExpectedSpan>> = Vec::with_capacity(repetition.steps.len());
-        for (i, step) in repetition.steps.iter().enumerate() {
+        let mut spans: Vec<Option<ExpectedSpan>> = Vec::with_capacity(repetition_state.steps.len());
+        for (i, step) in repetition_state.steps.iter().enumerate() {
             let before = &job.spec.steps[i].depends_on;
             let ends = |&on: &u16| spans.get(usize::from(on)).copied().flatten().map(|t| t.ends);
             let begins =
                 before.iter().map(ends).try_fold(0, |latest, ends| Some(latest.max(ends?)));
-            let is_ready = before.iter().all(|&on| repetition.steps[usize::from(on)].is_done());
+            let is_ready =
+                before.iter().all(|&on| repetition_state.steps[usize::from(on)].is_done());
             let span = match begins {
                 _ if step.is_done() => Some(ExpectedSpan::default()),
                 _ if step.waiting == 0 => {
-                    let left = remaining.get(&(job.id, time, i)).copied();
+                    let left = remaining.get(&(job.id, repetition, i)).copied();
                     left.map(|ends| ExpectedSpan { begins: 0, ends })
                 }
                 // A step that waits for room has no expected time, nor have the steps that depend on it.
--- a/crates/schedule/src/pool/order.rs
+++ b/crates/schedule/src/pool/order.rs
@@ -18,7 +18,7 @@
     pub spec: Arc<JobSpec>,
     /// The checkpoint to resume from; empty to start from the beginning.
     pub checkpoint: String,
-    /// The ticket, if the queue has a policy that requires one.
+    /// The ticket from the advice service, if the queue has an advice policy.
     pub ticket: Option<String>,
     /// CPU that remains free on the VM with this run, in thousandths of a core; for the log line.
     pub free_cpu: u32,
--- a/crates/schedule/src/pool/place.rs
+++ b/crates/schedule/src/pool/place.rs
@@ -15,23 +15,24 @@
 /// A step of one repetition of a job that has waiting tasks.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReadyStep {
-    pub job: JobKey,
-    pub id: JobId,
-    pub time: u32,
+    pub job_key: JobKey,
+    pub job_id: JobId,
+    pub repetition: u32,
+    /// The step's index in the job's specification.
     pub step: usize,
 }
 
 impl ReadyStep {
     /// Returns the step's ID.
-    pub fn id(&self) -> StepId {
+    pub fn step_id(&self) -> StepId {
         let step = u16::try_from(self.step).unwrap_or(u16::MAX);
-        StepId { job: self.id, time: self.time, step }
+        StepId { job: self.job_id, time: self.repetition, step }
     }
 
     pub fn task(&self, index: usize) -> TaskId {
         TaskId {
-            job: self.id,
-            time: self.time,
+            job: self.job_id,
+            time: self.repetition,
             step: u16::try_from(self.step).unwrap_or(u16::MAX),
             index: u32::try_from(index).unwrap_or(u32::MAX),
         }
@@ -72,10 +73,10 @@
 
     fn place_job(&mut self, key: JobKey, most_free: &mut Room, now: Now) {
         let job = &self.jobs[key];
-        let id = job.id;
+        let job_id = job.id;
         let ready: Vec<ReadyStep> = job
             .ready_steps()
-            .map(|(time, step, _)| ReadyStep { job: key, id, time, step })
+            .map(|(repetition, step, _)| ReadyStep { job_key: key, job_id, repetition, step })
             .collect();
         for step in ready {
             let spec = self.jobs[key].spec.clone();
@@ -101,12 +102,12 @@
             if self.is_deferred(ready, index, now.steady) {
                 continue;
             }
-            if !self.quota.may_start(self.jobs[ready.job].workspace, step_spec.demand) {
+            if !self.quota.may_start(self.jobs[ready.job_key].workspace, step_spec.demand) {
                 return true;
             }
             let Some(mut isolation) = self.isolation(ready, index, now.steady) else { continue };
             let suspect = self.verdict(ready.task(index)) == Verdict::Suspect;
-            if suspect && !self.may_occupy_one_more(step_spec, isolation, now.steady) {
+            if suspect && !self.may_occupy_one_more_vm(step_spec, isolation, now.steady) {
                 isolation = Isolation::WithOwnSuspect;
             }
             // Apart from suspects, all tasks of a step fit on the same VMs: a VM to avoid is still used as a last resort. If one
@@ -125,22 +126,22 @@
     }
 
     pub(super) fn waiting_tasks(&self, ready: ReadyStep) -> Vec<usize> {
-        let step = &self.jobs[ready.job].repetitions[&ready.time].steps[ready.step];
+        let step = &self.jobs[ready.job_key].repetitions[&ready.repetition].steps[ready.step];
         let waits = |&i: &usize| step.tasks[i].state == TaskState::Waiting;
         (0..step.tasks.len()).filter(waits).collect()
     }
 
-    /// Returns whether the next start of a task is still deferred after a failure soon after the last start.
+    /// Returns whether the next start of a task is still deferred because its last run failed soon after its start.
     fn is_deferred(&self, ready: ReadyStep, index: usize, now: Ms) -> bool {
-        self.jobs[ready.job].task(ready.task(index)).is_some_and(|t| now < t.not_before)
+        self.jobs[ready.job_key].task(ready.task(index)).is_some_and(|t| now < t.not_before)
     }
 
     fn avoided_vm(&self, ready: ReadyStep, index: usize) -> Option<VmKey> {
-        self.jobs[ready.job].task(ready.task(index)).and_then(|t| t.avoid)
+        self.jobs[ready.job_key].task(ready.task(index)).and_then(|t| t.avoid)
     }
 
     pub(super) fn next_attempt(&self, ready: ReadyStep, index: usize) -> u32 {
-        self.jobs[ready.job].task(ready.task(index)).map_or(1, |t| t.attempt + 1)
+        self.jobs[ready.job_key].task(ready.task(index)).map_or(1, |t| t.attempt + 1)
     }
 
     /// Returns the best VM for a task, or `None` if no VM fits.
@@ -154,17 +155,17 @@
         now: Ms,
     ) -> Option<VmKey> {
         let avoid = self.avoided_vm(ready, index);
-        let needs_ticket = self.jobs[ready.job].spec.advice.is_some();
-        let crash_prone = self.has_recent_crash(now);
+        let needs_ticket = self.jobs[ready.job_key].spec.advice.is_some();
+        let recent_crash = self.has_recent_crash(now);
         let fits = |vm: &Vm| {
             vm.accepts_work()
                 && vm.excluded_until <= now
                 && vm.free().fits(step_spec.room())
-                && vm.may_share(ready.id, isolation, now)
+                && vm.may_share(ready.job_id, isolation, now)
                 && rack.is_none_or(|r| vm.facts.as_ref().is_some_and(|f| &*f.rack == r))
                 && has_labels(vm, step_spec)
                 && within_anti_affinity(vm, ready, step_spec)
-                && (!needs_ticket || self.ticket(ready.id(), &vm.id, now).is_some())
+                && (!needs_ticket || self.ticket(ready.step_id(), &vm.id, now).is_some())
         };
         // VMs are compared by these criteria in order. A VM on which the task failed is only a last resort.
         let score = |(key, vm): &(VmKey, &Vm)| {
@@ -173,7 +174,7 @@
             let not_due = !step_spec.lasting
                 || !vm.name().is_some_and(|n| self.due_for_maintenance.contains(n));
             // A crash costs least on a VM without lasting tasks.
-            let avoids_lasting = step_spec.lasting || !crash_prone || vm.lasting_runs() == 0;
+            let avoids_lasting = step_spec.lasting || !recent_crash || vm.lasting_runs() == 0;
             // Lasting tasks are packed on few VMs so that the others can be removed when load is low.
             let packed = if step_spec.lasting { vm.lasting_runs() } else { 0 };
             // Lasting tasks of the same step are still spread, so that the loss of a VM affects few of them.
@@ -224,13 +225,13 @@
         vm: VmKey,
         now: Now,
     ) {
-        let task = self.jobs[ready.job].task(ready.task(index));
+        let task = self.jobs[ready.job_key].task(ready.task(index));
         let from_start = task.is_some_and(|t| t.checkpoint.is_empty());
         let unproven_for = self.unproven_for(ready.task(index));
         let run = Run::new(attempt, step_spec, now.steady);
         let run = Run { ordered_at: Some(now.steady), from_start, unproven_for, ..run };
         self.add_run(vm, ready.task(index), run);
-        if let Some((step, index)) = self.jobs[ready.job].step_mut(ready.task(index)) {
+        if let Some((step, index)) = self.jobs[ready.job_key].step_mut(ready.task(index)) {
             step.set(index, TaskState::Assigned(vm));
             step.tasks[index].attempt = attempt;
         }
@@ -240,7 +241,7 @@
     pub(super) fn unreserve(&mut self, ready: ReadyStep, vm: VmKey, run: RunId, before: u32) {
         // No order was issued for the run.
         let _ = self.remove_run(vm, run);
-        if let Some((step, index)) = self.jobs[ready.job].step_mut(run.task) {
+        if let Some((step, index)) = self.jobs[ready.job_key].step_mut(run.task) {
             step.set(index, TaskState::Waiting);
             step.tasks[index].attempt = before;
         }
@@ -255,8 +256,8 @@
         now: Ms,
     ) {
         let task = ready.task(index);
-        let ticket = self.ticket(ready.id(), &self.vms[vm].id, now);
-        let job = &mut self.jobs[ready.job];
+        let ticket = self.ticket(ready.step_id(), &self.vms[vm].id, now);
+        let job = &mut self.jobs[ready.job_key];
         job.has_started = true;
         let order = StartOrder {
             vm: self.vms[vm].id.clone(),
@@ -267,7 +268,7 @@
             free_cpu: self.vms[vm].free().cpu,
         };
         self.orders.push(Order::Start(order));
-        self.mark_changed(ready.job);
+        self.mark_changed(ready.job_key);
     }
 }
 
@@ -282,7 +283,7 @@
 /// Returns the number of tasks of a step on a VM.
 fn count_tasks_of_step(vm: &Vm, ready: ReadyStep) -> usize {
     let of_step = |t: &&TaskId| {
-        t.job == ready.id && t.time == ready.time && usize::from(t.step) == ready.step
+        t.job == ready.job_id && t.time == ready.repetition && usize::from(t.step) == ready.step
     };
     vm.runs.keys().filter(of_step).count()
 }
--- a/crates/schedule/src/pool/quota.rs
+++ b/crates/schedule/src/pool/quota.rs
@@ -36,7 +36,8 @@
         self.quota.held().collect()
     }
 
-    /// Returns the cap use to report to the lender of caps.
+    /// Returns the cap use to report to the lender of caps under the owner's token. `count` is the number of reports made so far
+    /// under the token, and is increased.
     pub fn report_cap_use(&mut self, token: u64, count: &mut u64) -> Vec<CapUse> {
         let waiting = self.waiting_by_workspace();
         self.quota.to_report(token, count, &waiting)
--- a/crates/schedule/src/pool/remaining.rs
+++ b/crates/schedule/src/pool/remaining.rs
@@ -20,8 +20,8 @@
     /// Returns the expected duration of a task, from its caller's estimate and the factor learned for its queue.
     fn expected_ms(&self, task: TaskId) -> Ms {
         let Some(job) = self.job_key(task).and_then(|key| self.jobs.get(key)) else { return 0 };
-        let guess = job.spec.steps.get(usize::from(task.step)).map_or(0, |s| s.estimated_ms);
-        super::rank::scale(Ms::from(guess), self.estimates.factor(&job.spec.queue))
+        let estimate = job.spec.steps.get(usize::from(task.step)).map_or(0, |s| s.estimated_ms);
+        super::rank::scale(Ms::from(estimate), self.estimates.factor(&job.spec.queue))
     }
 
     /// Returns how soon a VM can be empty if resumable runs are stopped, in milliseconds.
--- a/crates/schedule/src/pool/report.rs
+++ b/crates/schedule/src/pool/report.rs
@@ -23,7 +23,8 @@
 pub struct ReportChanges {
     /// Runs that were released because the report does not list them.
     pub not_listed: Vec<RunId>,
-    /// Ends, reported for the first time, of runs that were already abandoned: their work was wasted or done twice.
+    /// Ends, reported for the first time, of runs that were already abandoned, as when their VM counted as lost. Their work was
+    /// wasted or done twice.
     pub of_abandoned: Vec<RunEnd>,
 }
 
--- a/crates/schedule/src/pool/run.rs
+++ b/crates/schedule/src/pool/run.rs
@@ -14,11 +14,13 @@
 #[derive(Clone, Debug)]
 pub(super) struct Run {
     pub attempt: u32,
-    pub demand: Room,
+    /// The resources reserved on the VM.
+    pub reserved: Room,
     /// The resources counted against the workspace's cap, also if the run reserves no CPU on its VM.
     pub charge: Room,
     /// When the VM last answered an order about the run. A report requested after that lists the run if it exists.
     pub confirmed: Option<Ms>,
+    /// When the VM confirmed the start, or until then, when the run was assigned to this VM incarnation.
     pub started: Ms,
     /// Whether the VM incarnation to which the run is assigned has listed it as running.
     pub listed: bool,
@@ -63,7 +65,7 @@
     pub fn new(attempt: u32, step_spec: &Step, now: Ms) -> Self {
         Self {
             attempt,
-            demand: step_spec.room(),
+            reserved: step_spec.room(),
             charge: step_spec.demand,
             confirmed: None,
             started: now,
--- a/crates/schedule/src/pool/suspects.rs
+++ b/crates/schedule/src/pool/suspects.rs
@@ -127,7 +127,7 @@
 
     /// Resolves whether a VM that was lost while unresponsive has crashed.
     pub(super) fn resolve_unclear_loss(&mut self, id: &VmIncarnation, crashed: bool, now: Now) {
-        if self.affected.is_empty() {
+        if self.jobs_with_crash_history.is_empty() {
             return;
         }
         let vm = id.to_string();
@@ -156,7 +156,7 @@
         crashed: bool,
     ) {
         let mut matching = Vec::new();
-        for &key in &self.affected {
+        for &key in &self.jobs_with_crash_history {
             let Some(job) = self.jobs.get(key) else { continue };
             for (&task, history) in &job.crash_histories {
                 matching.extend(vms(history).into_iter().map(|vm| (task, vm)));
@@ -169,11 +169,11 @@
         }
     }
 
-    /// Returns the VMs that became unresponsive while tasks ran there and whose fate is unclear, with their stable names if
-    /// known.
+    /// Returns the VMs that became unresponsive while tasks ran there and may have crashed, with their stable names if known.
     pub fn unclear_losses(&self) -> Vec<(VmIncarnation, String)> {
-        let affected = self.affected.iter().filter_map(|&key| self.jobs.get(key));
-        let losses = affected
+        let with_history =
+            self.jobs_with_crash_history.iter().filter_map(|&key| self.jobs.get(key));
+        let losses = with_history
             .flat_map(|job| job.crash_histories.values())
             .flat_map(|history| &history.unclear);
         losses.map(|loss| (VmIncarnation::from(loss.vm.as_str()), loss.name.clone())).collect()
@@ -214,7 +214,7 @@
             job.crash_histories.remove(&task);
         }
         job.crash_history_changed_at = now.steady;
-        self.update_affected(key);
+        self.update_jobs_with_crash_history(key);
         self.mark_changed(key);
         if verdict == Verdict::GivenUp {
             self.abandoned.push(AbandonedTask { task, crash_history });
@@ -223,11 +223,11 @@
     }
 
     /// Updates whether a job is among those with a crash history.
-    pub(super) fn update_affected(&mut self, key: JobKey) {
+    pub(super) fn update_jobs_with_crash_history(&mut self, key: JobKey) {
         if self.jobs.get(key).is_some_and(|job| !job.crash_histories.is_empty()) {
-            self.affected.insert(key);
+            self.jobs_with_crash_history.insert(key);
         } else {
-            self.affected.remove(&key);
+            self.jobs_with_crash_history.remove(&key);
         }
     }
 
@@ -236,7 +236,7 @@
         let Some(key) = self.job_key(task) else { return };
         let Some(job) = self.jobs.get_mut(key) else { return };
         if job.crash_histories.remove(&task).is_some() {
-            self.update_affected(key);
+            self.update_jobs_with_crash_history(key);
             self.mark_changed(key);
         }
     }
@@ -286,7 +286,7 @@
 
     /// Returns whether suspects may occupy one more VM; their share of the VMs is limited. Lasting tasks and gangs are exempt
     /// after a short wait, as they may need many VMs.
-    pub(super) fn may_occupy_one_more(
+    pub(super) fn may_occupy_one_more_vm(
         &self,
         step_spec: &Step,
         isolation: Isolation,
@@ -302,8 +302,8 @@
         } else {
             VMS_PER_SUSPECT
         };
-        let held = self.vms.values().filter(|vm| vm.is_occupied_by_suspect(now)).count();
-        held < (self.vms.len() / vms_per_suspect).max(1)
+        let occupied = self.vms.values().filter(|vm| vm.is_occupied_by_suspect(now)).count();
+        occupied < (self.vms.len() / vms_per_suspect).max(1)
     }
 
     /// Returns the number of waiting suspects, leaving out jobs that are too late to be of use.
@@ -311,10 +311,10 @@
         if !self.policy.tasks.keep_suspects_apart {
             return 0;
         }
-        let jobs = self.affected.iter().filter_map(|&key| self.jobs.get(key));
+        let jobs = self.jobs_with_crash_history.iter().filter_map(|&key| self.jobs.get(key));
         let open = jobs.filter(|job| job.phase == Phase::Open);
         let of_use = open.filter(|job| !self.rank(job, now).is_too_late());
-        let waits = |job: &&super::Job| {
+        let count_waiting = |job: &&super::Job| {
             let suspects = job
                 .crash_histories
                 .iter()
@@ -323,7 +323,7 @@
                 |task: TaskId| job.task(task).is_some_and(|t| t.state == TaskState::Waiting);
             suspects.filter(|(task, _)| waits(**task)).count()
         };
-        of_use.map(|job| waits(&job)).sum()
+        of_use.map(|job| count_waiting(&job)).sum()
     }
 
     /// Returns whether a VM has crashed recently.
--- a/crates/schedule/src/pool/takeover.rs
+++ b/crates/schedule/src/pool/takeover.rs
@@ -51,7 +51,7 @@
         }
         let key = self.jobs.insert(job);
         self.job_keys.insert(id, key);
-        self.update_affected(key);
+        self.update_jobs_with_crash_history(key);
         for record in &entry.progress.tasks {
             self.adopt_task(id, record, now);
         }
--- a/crates/schedule/src/pool/vms.rs
+++ b/crates/schedule/src/pool/vms.rs
@@ -31,7 +31,7 @@
     /// Applies the platform's listing of a VM incarnation. Returns whether the VM was not listed before or its draining state
     /// changed.
     pub fn list_vm(&mut self, facts: Arc<VmFacts>) -> bool {
-        self.name_incarnation(&facts.id);
+        self.assign_start_time(&facts.id);
         let key = self.vm_key(&facts.id);
         let cordoned = self.cordoned.contains(&facts.name);
         let evacuated = !self.halls.accepts_work(&facts.hall);
@@ -174,7 +174,7 @@
 
     /// Assigns runs to a listed incarnation if records of older program versions name the VM by its ID only, without a start
     /// time: this incarnation may have them.
-    fn name_incarnation(&mut self, incarnation: &VmIncarnation) {
+    fn assign_start_time(&mut self, incarnation: &VmIncarnation) {
         let without_start_time = VmIncarnation::new(incarnation.id().clone(), None);
         if *incarnation == without_start_time || self.vm_keys.contains_key(incarnation) {
             return;
