--- a/crates/schedule/src/ownership.rs
+++ b/crates/schedule/src/ownership.rs
@@ -81,10 +81,12 @@
     last_contact: Ms,
 }
 
+/// The newest claim of a pool that this node has read.
 #[derive(Clone, Debug)]
-struct Owned {
+struct NewestClaim {
     claim: Claim,
     token: u64,
+    /// When the claim was read, or when all timeouts were last reset.
     seen_at: Ms,
     /// Whether the previous owner released the pool, instead of losing it to this claim.
     was_released: bool,
@@ -98,7 +100,7 @@
     /// When heartbeats were last read.
     last_read_at: Option<Ms>,
     members: HashMap<String, Member>,
-    claims: HashMap<Arc<str>, Owned>,
+    claims: HashMap<Arc<str>, NewestClaim>,
     /// The pools whose progress may be in overflow partitions.
     overflow_partitions: HashSet<Arc<str>>,
     /// The time since which each vacant pool is known to have no owner.
@@ -150,10 +152,10 @@
 
     /// Returns whether the heartbeat of some other node that owns a pool is overdue.
     pub fn has_overdue_owner(&self, now: Ms) -> bool {
-        let is_overdue = |owned: &Owned| {
-            let contact = self.members.get(&owned.claim.owner.name).map_or(0, |m| m.last_contact);
-            let latest = contact.max(owned.seen_at);
-            let other = owned.claim.owner != self.me && !owned.claim.released;
+        let is_overdue = |newest: &NewestClaim| {
+            let contact = self.members.get(&newest.claim.owner.name).map_or(0, |m| m.last_contact);
+            let latest = contact.max(newest.seen_at);
+            let other = newest.claim.owner != self.me && !newest.claim.released;
             other && now.saturating_sub(latest) >= OVERDUE_MS
         };
         self.claims.values().any(is_overdue)
@@ -180,8 +182,8 @@
         for member in self.members.values_mut() {
             member.last_contact = now;
         }
-        for owned in self.claims.values_mut() {
-            owned.seen_at = now;
+        for newest in self.claims.values_mut() {
+            newest.seen_at = now;
         }
     }
 
@@ -198,13 +200,13 @@
         }
         let was_released = known.is_some_and(|o| o.claim.released);
         self.vacant_since.remove(pool);
-        let owned = Owned { claim, token, seen_at: now, was_released };
-        self.claims.insert(pool.clone(), owned);
+        let newest = NewestClaim { claim, token, seen_at: now, was_released };
+        self.claims.insert(pool.clone(), newest);
     }
 
     /// Records whether a pool's progress may be in overflow partitions.
-    pub fn set_overflow_partitions(&mut self, pool: &Arc<str>, open: bool) {
-        match open {
+    pub fn set_overflow_partitions(&mut self, pool: &Arc<str>, in_use: bool) {
+        match in_use {
             true => self.overflow_partitions.insert(pool.clone()),
             false => self.overflow_partitions.remove(pool),
         };
@@ -244,9 +246,9 @@
     /// Returns this node's token for a pool, if the newest claim read is its own and no owner has already used the token and
     /// ended.
     pub fn my_token(&self, pool: &str) -> Option<u64> {
-        let owned = self.claims.get(pool)?;
-        let mine = owned.claim.owner == self.me && !owned.claim.released;
-        (mine && !self.is_spent(pool, owned.token)).then_some(owned.token)
+        let newest = self.claims.get(pool)?;
+        let mine = newest.claim.owner == self.me && !newest.claim.released;
+        (mine && !self.is_spent(pool, newest.token)).then_some(newest.token)
     }
 
     /// Returns whether this node owns any pool, by the claims that it has read.
--- a/crates/schedule/src/ownership/vacancy.rs
+++ b/crates/schedule/src/ownership/vacancy.rs
@@ -5,7 +5,7 @@
 
 use thistle_model::rendezvous::weight;
 
-use super::{ALIVE_MS, Member, Owned, Ownership, UNRESPONSIVE_MS};
+use super::{ALIVE_MS, Member, NewestClaim, Ownership, UNRESPONSIVE_MS};
 use crate::Ms;
 
 /// How long the second-best node waits for the best one to claim a pool, in milliseconds. Each further node waits this much
@@ -59,8 +59,8 @@
     /// Records that this node's owner of a pool has ended by itself. Its token must not be used again: the records and orders
     /// of the next owner would be indistinguishable from late ones of this owner.
     pub fn record_owner_end(&mut self, pool: &Arc<str>, token: u64, now: Ms) {
-        let Some(owned) = self.claims.get(pool).filter(|o| o.token == token) else { return };
-        let was_stable = now.saturating_sub(owned.seen_at) >= STABLE_AFTER_MS;
+        let Some(newest) = self.claims.get(pool).filter(|o| o.token == token) else { return };
+        let was_stable = now.saturating_sub(newest.seen_at) >= STABLE_AFTER_MS;
         let before = self.ended_owners.get(pool).filter(|_| !was_stable);
         let earlier_ends = before.map_or(0, |ended| ended.earlier_ends + 1);
         self.ended_owners.insert(pool.clone(), EndedOwner { token, at: now, earlier_ends });
@@ -114,7 +114,7 @@
     }
 
     fn vacancy(&self, pool: &str, now: Ms) -> Option<Vacancy> {
-        let Some(Owned { claim, token, seen_at, .. }) = self.claims.get(pool) else {
+        let Some(NewestClaim { claim, token, seen_at, .. }) = self.claims.get(pool) else {
             return Some(Vacancy::NeverOwned);
         };
         if claim.owner == self.me {
