--- a/crates/schedule/src/quota/ledger.rs
+++ b/crates/schedule/src/quota/ledger.rs
@@ -5,7 +5,7 @@
 
 use slotmap::{SlotMap, new_key_type};
 
-use super::{CapUse, LentCap, kinds, limits, within};
+use super::{CapUse, LentCap, amounts, limits, within};
 use crate::Ms;
 use crate::vm::Room;
 use crate::workspace::Workspace;
@@ -34,9 +34,10 @@
     reported: Option<CapUse>,
     /// The newest version of the configuration under which one of its jobs was admitted.
     admitted_by: u64,
-    /// Its share of a full fleet, if known. It is also the guaranteed rate in jobs a second.
+    /// Its share relative to other workspaces when the fleet is full, if known. It is also the guaranteed rate in jobs a second.
     weight: Option<u32>,
-    jobs: JobAccount,
+    /// Compares the rate of its jobs with its share.
+    job_rate: JobRateLimiter,
 }
 
 /// The burst allowance of a workspace: the seconds for which it may accumulate unused jobs. The rate of a workspace is judged
@@ -47,14 +48,14 @@
 
 /// The rate limiter of a workspace's jobs, a leaky bucket.
 #[derive(Clone, Copy, Debug, Default)]
-struct JobAccount {
+struct JobRateLimiter {
     /// The level of the bucket in thousandths of a job.
     level: u64,
     /// When the level was last updated, by the monotonic clock.
     updated_at: Ms,
 }
 
-impl JobAccount {
+impl JobRateLimiter {
     /// Charges a job, and returns whether it is within the share.
     fn charge(&mut self, weight: u32, now: Ms) -> bool {
         let weight = u64::from(weight);
@@ -94,8 +95,8 @@
     version: u64,
     /// The version of the configuration for which the records hold.
     as_of: u64,
-    /// Whether the newest records have been read since this owner claimed the pool. Before, the pool may be lent less than
-    /// the owner knows.
+    /// Whether the newest records have been read since this owner claimed the pool. Until then, the pool may be lent less than
+    /// the owner assumes.
     records_read: bool,
 }
 
@@ -144,7 +145,7 @@
     pub fn charge_job(&mut self, key: Option<WorkspaceKey>, accepted: Ms) -> bool {
         let Some(entry) = key.and_then(|key| self.arena.get_mut(key)) else { return true };
         let Some(weight) = entry.weight else { return true };
-        entry.jobs.charge(weight, accepted)
+        entry.job_rate.charge(weight, accepted)
     }
 
     /// Sets the newest records of how caps are lent, and the version of the configuration for which they hold.
@@ -204,7 +205,8 @@
     }
 
     /// Returns the reports to send to the lender, given the waiting demand of each workspace. They cover workspaces that are or
-    /// were short, that want less than last reported, or whose record is newer than the last report.
+    /// were short, that want less than last reported, or whose record is newer than the last report. `count` is the number of
+    /// reports made so far under the owner's token, and is increased.
     pub fn to_report(
         &mut self,
         token: u64,
@@ -314,14 +316,14 @@
 const FALLEN_DIVISOR: u32 = 32;
 
 fn has_fallen(wanted: Room, reported: Room, cap: Room) -> bool {
-    let mut kinds = kinds(wanted).into_iter().zip(kinds(reported)).zip(kinds(cap));
-    kinds.any(|((wanted, reported), cap)| {
+    let mut resources = amounts(wanted).into_iter().zip(amounts(reported)).zip(amounts(cap));
+    resources.any(|((wanted, reported), cap)| {
         cap > 0 && reported.saturating_sub(wanted) > cap / FALLEN_DIVISOR
     })
 }
 
 /// Returns whether the lent cap is higher than the current one, so that the pools' use may exceed the current one.
 fn is_higher(lent: Room, cap: Room) -> bool {
-    let mut kinds = kinds(lent).into_iter().zip(kinds(cap));
-    kinds.any(|(lent, cap)| cap > 0 && (lent == 0 || lent > cap))
+    let mut resources = amounts(lent).into_iter().zip(amounts(cap));
+    resources.any(|(lent, cap)| cap > 0 && (lent == 0 || lent > cap))
 }
--- a/crates/schedule/src/quota/lender.rs
+++ b/crates/schedule/src/quota/lender.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use super::{CapUse, LentCap, Share, Splits, kinds, limits, limits_all_of, of_kinds, within};
+use super::{CapUse, LentCap, Share, Splits, amounts, from_amounts, limits, limits_all_of, within};
 use crate::vm::Room;
 use crate::workspace::Workspace;
 
@@ -94,12 +94,12 @@
     fn split(&self, workspace: &Workspace) -> Option<LentCap> {
         let (name, cap) = (&workspace.name, workspace.cap);
         let before = self.lent.get(name);
-        let unknown = self.was_unlimited(workspace, before);
+        let use_unknown = self.was_unlimited(workspace, before);
         let mut pools: Vec<Arc<str>> = self.pools.clone();
         // A pool that is no longer configured may still have running tasks.
         let gone = before.into_iter().flat_map(|lent| &lent.shares);
         pools.extend(gone.map(|s| Arc::from(s.pool.as_str())).filter(|p| !self.pools.contains(p)));
-        let status_of = |pool: &Arc<str>| match unknown {
+        let status_of = |pool: &Arc<str>| match use_unknown {
             // Each pool reports its use once it follows this record.
             true => PoolStatus { bound: NO_BOUND, ..PoolStatus::default() },
             false => self.pool_status(name, pool, before),
@@ -109,21 +109,23 @@
             lent.cap == cap && pools.iter().all(|pool| lent.share(pool).is_some())
         });
         let mut shares: Vec<[u32; 3]> = vec![[0; 3]; pools.len()];
-        let mut is_due = !same_terms || unknown;
-        for kind in 0..3 {
-            let column: Vec<ResourceStatus> = statuses.iter().map(|s| s.of_kind(kind)).collect();
-            let total = u64::from(kinds(cap)[kind]);
-            let new = if total == 0 { vec![0; pools.len()] } else { split_kind(total, &column) };
+        let mut is_due = !same_terms || use_unknown;
+        for resource in 0..3 {
+            let column: Vec<ResourceStatus> =
+                statuses.iter().map(|s| s.of_resource(resource)).collect();
+            let total = u64::from(amounts(cap)[resource]);
+            let new =
+                if total == 0 { vec![0; pools.len()] } else { split_resource(total, &column) };
             is_due |= total > 0 && is_worth_it(total, &column, &new);
             for (share, new) in shares.iter_mut().zip(new) {
-                share[kind] = u32::try_from(new).unwrap_or(u32::MAX);
+                share[resource] = u32::try_from(new).unwrap_or(u32::MAX);
             }
         }
         if !is_due {
             return None;
         }
         let share = |((pool, room), status): ((&Arc<str>, [u32; 3]), &PoolStatus)| {
-            let room = of_kinds(room);
+            let room = from_amounts(room);
             Share { pool: pool.to_string(), room, bound: room.greater_of_each(status.bound) }
         };
         let shares: Vec<Share> = pools.iter().zip(shares).zip(&statuses).map(share).collect();
@@ -161,11 +163,11 @@
 }
 
 impl PoolStatus {
-    const fn of_kind(&self, kind: usize) -> ResourceStatus {
+    const fn of_resource(&self, resource: usize) -> ResourceStatus {
         ResourceStatus {
-            share: kinds(self.share)[kind] as u64,
-            bound: kinds(self.bound)[kind] as u64,
-            wanted: kinds(self.wanted)[kind] as u64,
+            share: amounts(self.share)[resource] as u64,
+            bound: amounts(self.bound)[resource] as u64,
+            wanted: amounts(self.wanted)[resource] as u64,
         }
     }
 }
@@ -180,7 +182,7 @@
 
 /// Splits one resource of a cap. An amount that is taken from a pool still counts for that pool until the pool reports that it
 /// follows the new record.
-fn split_kind(total: u64, pools: &[ResourceStatus]) -> Vec<u64> {
+fn split_resource(total: u64, pools: &[ResourceStatus]) -> Vec<u64> {
     let wanted: Vec<u64> = pools.iter().map(|p| p.wanted).collect();
     let target = divide(total, &wanted);
     let mut shares = vec![0; pools.len()];
--- a/crates/schedule/src/quota/mod.rs
+++ b/crates/schedule/src/quota/mod.rs
@@ -89,20 +89,20 @@
 
 /// Returns whether `cap` limits every resource that `other` limits.
 pub fn limits_all_of(cap: Room, other: Room) -> bool {
-    kinds(other).into_iter().zip(kinds(cap)).all(|(other, cap)| other == 0 || cap > 0)
+    amounts(other).into_iter().zip(amounts(cap)).all(|(other, cap)| other == 0 || cap > 0)
 }
 
-/// Returns the amounts of each resource, for computations on each resource separately.
-const fn kinds(room: Room) -> [u32; 3] {
+/// Returns the amount of each resource, for computations on each resource separately.
+const fn amounts(room: Room) -> [u32; 3] {
     [room.cpu, room.mem_mb, room.gpu]
 }
 
-const fn of_kinds([cpu, mem_mb, gpu]: [u32; 3]) -> Room {
+const fn from_amounts([cpu, mem_mb, gpu]: [u32; 3]) -> Room {
     Room { cpu, mem_mb, gpu }
 }
 
 /// Returns whether `room` is within `share` for all resources that `cap` limits.
 pub fn within(room: Room, share: Room, cap: Room) -> bool {
-    let mut kinds = kinds(room).into_iter().zip(kinds(share)).zip(kinds(cap));
-    kinds.all(|((room, share), cap)| cap == 0 || room <= share)
+    let mut resources = amounts(room).into_iter().zip(amounts(share)).zip(amounts(cap));
+    resources.all(|((room, share), cap)| cap == 0 || room <= share)
 }
