--- a/crates/schedule/src/fleet/mod.rs
+++ b/crates/schedule/src/fleet/mod.rs
@@ -46,7 +46,9 @@
     retry_at: Ms,
     /// The number of consecutive rejections.
     rejections: u32,
+    /// When the order was answered as done. The list of VMs may show its effect only later.
     done_at: Option<Ms>,
+    /// When the order was first given.
     ordered_at: Option<Ms>,
     /// Whether the VM was seen away after the order was answered. Once the VM is up again, the order is carried out.
     seen_away: bool,
--- a/crates/schedule/src/fleet/moves.rs
+++ b/crates/schedule/src/fleet/moves.rs
@@ -66,9 +66,9 @@
     /// Returns the mean number of VMs that a pool needed over the last seconds, or `None` before its first report.
     ///
     /// This is the mean and not the maximum, because the need is estimated from the last thirty arrivals and varies by a half.
-    /// Idle VMs of a pool that needs them are used within the time for which they are kept anyway. The mean costs 0.1605
-    /// instead of 0.1657 of the value for VM-seconds, and 0.0275 instead of 0.0252 for moves (350 VMs, means of five days
-    /// with faults).
+    /// An idle VM that its pool does need is used again within the time for which idle VMs are kept anyway. The mean costs
+    /// 0.1605 instead of 0.1657 of the value for VM-seconds, and 0.0275 instead of 0.0252 for moves (350 VMs, means of five
+    /// days with faults).
     fn recent_mean(&mut self, pool: &str, now: Ms) -> Option<usize> {
         let need = self.pools.get_mut(pool)?;
         need.drop_old(self.policy.moves.keep_ms, now);
@@ -121,9 +121,9 @@
         let mut spare = VecDeque::from(self.off_vms());
         let mut shares = self.shares(spare.len());
         spare.extend(self.spare_vms(&shares, now));
-        let mut free = (self.vms.len() * self.policy.moves.at_once_percent / 100)
+        let mut moves_left = (self.vms.len() * self.policy.moves.at_once_percent / 100)
             .saturating_sub(self.moves().count());
-        while free > 0 {
+        while moves_left > 0 {
             let Some(to) = neediest(&shares) else { break };
             let Some((vm, from)) = take_spare_for(&mut spare, &to) else { break };
             self.begin_move(&vm, &to);
@@ -133,16 +133,16 @@
             if let Some(share) = shares.get_mut(&from) {
                 share.size -= 1;
             }
-            free -= 1;
+            moves_left -= 1;
         }
-        self.switch_off_idle(free, now);
+        self.switch_off_idle(moves_left, now);
     }
 
     /// Divides the VMs among the pools. Each pool gets what it needs, or a proportional share of the available VMs. Work that
-    /// will be late gets the VMs that work in time leaves over.
-    fn shares(&self, off: usize) -> HashMap<Arc<str>, Share> {
+    /// will be late gets the VMs that are left over by work that can finish in time.
+    fn shares(&self, switched_off: usize) -> HashMap<Arc<str>, Share> {
         let sizes: Vec<(Arc<str>, usize)> = self.sizes().into_iter().collect();
-        let total = off + sizes.iter().map(|(_, size)| size).sum::<usize>();
+        let total = switched_off + sizes.iter().map(|(_, size)| size).sum::<usize>();
         let floor = self.policy.need.floor_vms;
         let first_need = |pool: &str| match self.policy.need.late_last {
             true => self.needs.in_time(pool) - floor,
@@ -163,7 +163,7 @@
         sizes.iter().cloned().map(share).collect()
     }
 
-    /// Switches off idle VMs that their pools have not needed recently.
+    /// Switches off idle VMs that their pools have not needed recently, at most `limit` of them.
     fn switch_off_idle(&mut self, limit: usize, now: Ms) {
         let Some(off) = self.off_pool.clone() else { return };
         let mut unneeded = Vec::new();
--- a/crates/schedule/src/fleet/wave.rs
+++ b/crates/schedule/src/fleet/wave.rs
@@ -117,7 +117,7 @@
                 if self.policy.waves.wait_for_pools && has_time && self.is_short(&pool, &sizes) {
                     continue;
                 }
-                if self.begin_vm(record.wave, &name, &mut by_pool) {
+                if self.begin_vm_maintenance(record.wave, &name, &mut by_pool) {
                     in_progress += 1;
                     if let Some(size) = sizes.get_mut(&pool) {
                         *size = size.saturating_sub(1);
@@ -136,7 +136,12 @@
         self.working_pools.iter().any(|pool| self.is_short(pool, sizes))
     }
 
-    fn begin_vm(&mut self, wave: u64, name: &str, by_pool: &mut HashMap<Arc<str>, usize>) -> bool {
+    fn begin_vm_maintenance(
+        &mut self,
+        wave: u64,
+        name: &str,
+        by_pool: &mut HashMap<Arc<str>, usize>,
+    ) -> bool {
         let Some(vm) = self.vms.get(name).filter(|vm| vm.state == VmState::Up) else {
             return false;
         };
