--- a/crates/bench/src/cmd/capacity.rs
+++ b/crates/bench/src/cmd/capacity.rs
@@ -36,8 +36,8 @@
     let file = plots.join(format!("{}.svg", slope.name.replace([' ', ','], "-")));
     let area = SVGBackend::new(&file, PLOT_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
-    let most = |f: &dyn Fn(&(f64, f64)) -> f64| slope.points.iter().map(f).fold(1e-9, f64::max);
-    let (x, y) = (most(&|p| p.0), most(&|p| p.1));
+    let largest = |f: &dyn Fn(&(f64, f64)) -> f64| slope.points.iter().map(f).fold(1e-9, f64::max);
+    let (x, y) = (largest(&|p| p.0), largest(&|p| p.1));
     let (base, each) = slope.line();
     // Labels need a system font, which a build machine may not have, so the axes have none; the table
     // has the figures.
--- a/crates/bench/src/cmd/fleet.rs
+++ b/crates/bench/src/cmd/fleet.rs
@@ -12,8 +12,8 @@
 /// Prints a table of waves and a table of buffers.
 pub fn run() -> Result<(), Error> {
     let layouts = [
-        ("budnet", Layout::budnet(), PlanConfig::default().with_weights(3, 1, 1)),
-        ("trasteo-listo", Layout::trasteo_listo(), PlanConfig::default().with_weights(1, 3, 1)),
+        ("budnet", Layout::three_halls(), PlanConfig::default().with_weights(3, 1, 1)),
+        ("trasteo-listo", Layout::four_halls(), PlanConfig::default().with_weights(1, 3, 1)),
         ("400", Layout::uniform(400, 22, 12), PlanConfig::default()),
         ("1600", Layout::uniform(1_600, 22, 12), PlanConfig::default()),
         ("3200", Layout::uniform(3_200, 22, 12), PlanConfig::default()),
--- a/crates/bench/src/cmd/policies.rs
+++ b/crates/bench/src/cmd/policies.rs
@@ -12,7 +12,7 @@
 
 /// Returns the policies to compare, with their labels.
 fn policies() -> Vec<(&'static str, Policy)> {
-    let ours = Policy::DAEMON;
+    let ours = Policy::ENTRY;
     vec![
         ("baseline: random, late, always", Policy::BASELINE),
         (
--- a/crates/bench/src/slopes/control.rs
+++ b/crates/bench/src/slopes/control.rs
@@ -183,7 +183,7 @@
 
 fn slot_time(entries: usize) -> f64 {
     let mut home = SlotHome::new();
-    home.adopt(&vm_name(0), Instant::default());
+    home.become_home(&vm_name(0), Instant::default());
     let want = SlotWant { vm: vm_name(0), held: 0, want: 2 };
     let now = Instant::from_micros(1);
     let mut e = 0u64;
--- a/crates/bench/src/slopes/mod.rs
+++ b/crates/bench/src/slopes/mod.rs
@@ -1,4 +1,4 @@
-//! Slopes: costs at several sizes, each with a linear fit.
+//! Slopes: how costs grow with a size; each has points at several sizes and a line fitted through them.
 
 mod control;
 mod pool;
@@ -7,7 +7,7 @@
 
 use std::time::Instant;
 
-/// A cost at several sizes.
+/// A cost at several sizes, whose growth is fitted by a line.
 #[derive(Clone, Debug)]
 pub struct Slope {
     /// The name of the cost.
--- a/crates/bench/src/slopes/pool.rs
+++ b/crates/bench/src/slopes/pool.rs
@@ -12,7 +12,7 @@
 
 use super::{Slope, micros};
 
-/// The numbers of open jobs of a pool: a few seconds of the users' largest load are about four hundred jobs.
+/// The numbers of open jobs of a pool: the users' largest load submits about four hundred in a few seconds.
 const JOBS: [u32; 4] = [100, 200, 400, 800];
 /// The numbers of VMs of a pool: 3,200 VMs in 22 pools are 145 each.
 const VMS: [u32; 4] = [50, 100, 200, 400];
--- a/crates/bench/src/slopes/state.rs
+++ b/crates/bench/src/slopes/state.rs
@@ -68,7 +68,7 @@
 }
 
 fn fleet(vms: usize) -> Fleet {
-    let layout = if vms == 50 { Layout::budnet() } else { Layout::uniform(vms, POOLS, HALLS) };
+    let layout = if vms == 50 { Layout::three_halls() } else { Layout::uniform(vms, POOLS, HALLS) };
     Fleet::new(layout, PlanConfig::default(), 1)
 }
 
--- a/crates/entry/src/backend.rs
+++ b/crates/entry/src/backend.rs
@@ -34,7 +34,7 @@
     pub body: Bytes,
 }
 
-/// Why an exchange ended without a complete answer. The gate reports whether bytes were written.
+/// Why an exchange ended without a complete answer. The send gate shows whether bytes were written.
 #[derive(Debug)]
 pub struct ExchangeError {
     /// The reason reported to the caller.
@@ -48,7 +48,7 @@
 pub struct ExchangePlan {
     /// The address of the backend server.
     pub addr: SocketAddr,
-    /// Whether the connection may be reused, which requires that answers echo their request's id.
+    /// Whether the connection may be reused, which requires that answers echo their request's ID.
     pub reuse: bool,
     /// The gate that must admit the request before its first byte is written.
     pub gate: Arc<SendGate>,
@@ -161,7 +161,7 @@
     let connecting = TcpStream::connect(plan.addr);
     let stream = tokio::time::timeout(plan.connect_timeout, connecting)
         .await
-        .map_err(|_| connect_error("the connection took too long to be made".to_owned()))?
+        .map_err(|_| connect_error("the connection attempt timed out".to_owned()))?
         .map_err(|e| connect_error(e.to_string()))?;
     let _ = stream.set_nodelay(true);
     let gate = GateSlot::default();
--- a/crates/entry/src/claimant.rs
+++ b/crates/entry/src/claimant.rs
@@ -16,9 +16,9 @@
 
 /// The timeout of a call to a voter.
 const VOTER_TIMEOUT: Duration = Duration::from_millis(400);
-/// The maximum number of tries of a claim while the set of voters changes.
+/// The maximum number of requests for a claim while the set of voters changes.
 const MAX_TRIES: u32 = 4;
-/// The delay between tries, during which the view may catch up.
+/// The delay between two such requests, during which the view may catch up.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// The claim of one attempt on an idempotency key.
@@ -56,10 +56,10 @@
         }
         let mut tally = Tally::new(voters);
         while tally.claim_state() == ClaimState::Pending {
-            let Some(answered) = calls.join_next().await else {
+            let Some(joined) = calls.join_next().await else {
                 return ClaimState::NoQuorum;
             };
-            if let Ok((id, reply)) = answered {
+            if let Ok((id, reply)) = joined {
                 tally.record_reply(id, reply);
             }
         }
@@ -94,13 +94,14 @@
         for voter in self.voters().1 {
             let (cx, call) = (self.cx.clone(), call.clone());
             tokio::spawn(async move {
-                let line = cx.peer_line(voter.peer_addr);
-                let Ok(client) = line.client().await else {
+                let connection = cx.peer_connection(voter.peer_addr);
+                let Ok(client) = connection.client().await else {
                     return;
                 };
                 let result = call(client).await;
-                // Errors are ignored: a voter that misses this call only replies "unknown" later.
-                let _ = line.check(result).await;
+                // Errors are ignored: at worst, a later attempt with the same key is refused with an
+                // unknown outcome.
+                let _ = connection.check(result).await;
             });
         }
     }
@@ -116,8 +117,8 @@
 }
 
 async fn request_claim(cx: &Context, voter: &ViewVoter, req: ClaimRequest) -> Option<ClaimReply> {
-    let line = cx.peer_line(voter.peer_addr);
-    let client = line.client().await.ok()?;
+    let connection = cx.peer_connection(voter.peer_addr);
+    let client = connection.client().await.ok()?;
     let call = client.claim(context(VOTER_TIMEOUT), req).await;
-    line.check(call).await.ok()
+    connection.check(call).await.ok()
 }
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -56,7 +56,7 @@
     router: Mutex<Router>,
     waiters: Mutex<HashMap<Ticket, oneshot::Sender<WaitResult>>>,
     link: Mutex<LinkState>,
-    peer_lines: Mutex<HashMap<SocketAddr, Arc<PeerLine>>>,
+    peer_connections: Mutex<HashMap<SocketAddr, Arc<PeerLine>>>,
     tickets: AtomicU64,
     stopping: AtomicBool,
     id: u64,
@@ -82,7 +82,7 @@
                 members: Vec::new(),
                 leaving: Vec::new(),
             }),
-            peer_lines: Mutex::new(HashMap::new()),
+            peer_connections: Mutex::new(HashMap::new()),
             tickets: AtomicU64::new(0),
             stopping: AtomicBool::new(false),
             id,
@@ -104,10 +104,10 @@
         lock(&self.link)
     }
 
-    /// Returns the client of the steward at an address.
-    pub fn peer_line(&self, addr: SocketAddr) -> Arc<PeerLine> {
-        let mut lines = lock(&self.peer_lines);
-        lines.entry(addr).or_insert_with(|| Arc::new(PeerLine::new(addr))).clone()
+    /// Returns the connection to the steward at an address.
+    pub fn peer_connection(&self, addr: SocketAddr) -> Arc<PeerLine> {
+        let mut connections = lock(&self.peer_connections);
+        connections.entry(addr).or_insert_with(|| Arc::new(PeerLine::new(addr))).clone()
     }
 
     /// Returns a ticket for a new request.
--- a/crates/entry/src/decision_log.rs
+++ b/crates/entry/src/decision_log.rs
@@ -7,7 +7,7 @@
 
 use crate::parse::CallerRequest;
 
-/// The number of VMs of a pool that could not receive a request, by reason.
+/// The number of VMs of a pool that were skipped for a request, by reason.
 #[derive(Default)]
 struct SkippedVms {
     /// Drained, cordoned or leaving.
--- a/crates/entry/src/forward.rs
+++ b/crates/entry/src/forward.rs
@@ -27,7 +27,7 @@
 pub const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A request that is being processed.
-pub struct Forward {
+pub struct ActiveRequest {
     /// The state shared by the entry's tasks.
     pub cx: Arc<Context>,
     /// The request ID, as shown in logs.
@@ -51,8 +51,8 @@
     let id = cx.request_id(ticket);
     let req = Arc::new(req);
     let result = match prepare(&cx, &id, req.clone(), ticket, started_at) {
-        Ok(forward) if forward.route_request.repeatable => forward.run().await,
-        Ok(forward) => run_detached(forward).await,
+        Ok(request) if request.route_request.repeatable => request.run().await,
+        Ok(request) => run_detached(request).await,
         Err(refusal) => Err(refusal),
     };
     match result {
@@ -68,8 +68,8 @@
     }
 }
 
-async fn run_detached(forward: Forward) -> Result<Reply, Refusal> {
-    let ended = tokio::spawn(forward.run()).await;
+async fn run_detached(request: ActiveRequest) -> Result<Reply, Refusal> {
+    let ended = tokio::spawn(request.run()).await;
     ended.unwrap_or_else(|_| {
         // The task panicked, so whether the request was sent is unknown.
         let sent = Pending::Unsent(Unsent::new()).start_send();
@@ -84,7 +84,7 @@
     req: Arc<CallerRequest>,
     ticket: Ticket,
     now: Instant,
-) -> Result<Forward, Refusal> {
+) -> Result<ActiveRequest, Refusal> {
     let unsent = Unsent::new();
     if cx.is_stopping() {
         return Err(unsent.refuse(RefusalReason::Stopping, Duration::ZERO));
@@ -102,7 +102,7 @@
     let route_request =
         RouteRequest { ticket, pool, tier, deadline, repeatable, failed_vms: FailedVms::default() };
     let claimant = new_claimant(cx, &req, repeatable, unsent)?;
-    Ok(Forward { cx: cx.clone(), id: id.to_owned(), req, service, route_request, claimant })
+    Ok(ActiveRequest { cx: cx.clone(), id: id.to_owned(), req, service, route_request, claimant })
 }
 
 fn find_service(cx: &Context, req: &CallerRequest) -> Option<(PoolKey, Tier, Service)> {
@@ -137,11 +137,13 @@
     let claims_from = cx.link().voters.claims_from_ms;
     match classify_age(key, wall_ms(), cx.settings.claim_keep.0, claims_from) {
         KeyAge::Fresh => {}
-        KeyAge::TooOld => return Err(unsent.refuse_held(RefusalReason::KeyTooOld, RETRY_AFTER)),
+        KeyAge::TooOld => {
+            return Err(unsent.refuse_as_unknown(RefusalReason::KeyTooOld, RETRY_AFTER));
+        }
         KeyAge::InFuture => {
             let mut refusal = unsent.refuse(RefusalReason::BadRequest, RETRY_AFTER);
             refusal.detail =
-                "the time in the Idempotency-Key lies ahead: set your clock".to_owned();
+                "the timestamp of the Idempotency-Key is in the future: set your clock".to_owned();
             return Err(refusal);
         }
     }
@@ -150,15 +152,15 @@
     Ok(Some(Claimant::new(cx.clone(), key, request_hash)))
 }
 
-/// The result of claiming the key of a request that is not refused.
+/// The result of a claim that does not lead to a refusal.
 enum ClaimResult {
     /// The request may be sent, as it holds the claim or needs none.
     Won(Pending),
-    /// An earlier attempt already has this answer.
+    /// An earlier attempt got this answer.
     Replay(Reply),
 }
 
-impl Forward {
+impl ActiveRequest {
     async fn run(mut self) -> Result<Reply, Refusal> {
         let pending = Pending::Unsent(Unsent::new());
         let (decision, waiter) =
@@ -170,7 +172,7 @@
         };
         loop {
             let vm = in_flight.vm();
-            let (restored, last) = match self.send(pending, in_flight).await {
+            let (restored, last_result) = match self.send(pending, in_flight).await {
                 SendOutcome::Answered(answer) => return Ok(self.answered(answer)),
                 SendOutcome::Refused(refusal) => return Err(refusal),
                 SendOutcome::ServerError(answer, sent) => (sent.into_repeated(), Ok(answer)),
@@ -180,7 +182,7 @@
             let (decision, waiter) =
                 self.decide(|router, request, now| router.resubmit(request, &restored, now));
             if decision.is_none() {
-                return match last {
+                return match last_result {
                     Ok(answer) => Ok(self.answered(answer)),
                     Err((reason, detail)) => {
                         Err(self.abandon(restored, reason, RETRY_AFTER, detail))
@@ -256,7 +258,7 @@
                 self.replay(&held).map(ClaimResult::Replay)
             }
             ClaimState::Pending | ClaimState::NoQuorum => {
-                let detail = "this sending did not run; an earlier one with the same key may have";
+                let detail = "this attempt did not run; an earlier one with the same key may have";
                 let detail = detail.to_owned();
                 Err(self.abandon(pending, RefusalReason::NoClaim, RETRY_AFTER, detail))
             }
@@ -271,7 +273,7 @@
         }
         match &held.answer {
             Some(answer) => Ok(reply::replayed(answer, &self.id)),
-            None => Err(unsent.refuse_held(RefusalReason::HeldElsewhere, RETRY_AFTER)),
+            None => Err(unsent.refuse_as_unknown(RefusalReason::HeldElsewhere, RETRY_AFTER)),
         }
     }
 
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,7 +1,7 @@
 //! The entry: accepts callers' requests, forwards each to a VM and returns the answer.
 //!
-//! Lock order: the router, then the waiters, then the link, then the connections of one VM. No lock
-//! is held across an await.
+//! Lock order: the router, then the waiters, then the link, then the idle connections. No lock is
+//! held across an await.
 
 mod backend;
 mod callers;
--- a/crates/entry/src/parse.rs
+++ b/crates/entry/src/parse.rs
@@ -70,7 +70,7 @@
     }
     let body = Limited::new(body, max_body).collect().await.map_err(|e| {
         bad_request(format!(
-            "the body could not be read whole ({e}): send at most {max_body} bytes"
+            "the body could not be read completely ({e}): send at most {max_body} bytes"
         ))
     })?;
     let mut headers = parts.headers;
@@ -150,6 +150,6 @@
     }
 }
 
-fn bad_request(remedy: impl Into<String>) -> BadRequest {
-    BadRequest(remedy.into())
+fn bad_request(detail: impl Into<String>) -> BadRequest {
+    BadRequest(detail.into())
 }
--- a/crates/entry/src/sending.rs
+++ b/crates/entry/src/sending.rs
@@ -17,7 +17,7 @@
 use crate::backend::{Answer, ExchangeError, ExchangePlan};
 use crate::context::InFlight;
 use crate::decision_log;
-use crate::forward::{Forward, RETRY_AFTER};
+use crate::forward::{ActiveRequest, RETRY_AFTER};
 use crate::parse::{DEADLINE, REQUEST_ID};
 
 /// Header by which a backend server states that it did not run a request.
@@ -37,7 +37,7 @@
     Refused(Refusal),
 }
 
-impl Forward {
+impl ActiveRequest {
     /// Sends the request to a VM and waits for the complete answer.
     pub async fn send(&self, pending: Pending, in_flight: InFlight) -> SendOutcome {
         let Some((plan, gate)) = self.exchange_plan(in_flight.vm(), pending.sends()) else {
@@ -53,7 +53,7 @@
             Ok(Err(e)) => Err(e),
             Err(_) => Err(ExchangeError {
                 reason: RefusalReason::Deadline,
-                detail: "no whole answer within the deadline".to_owned(),
+                detail: "no complete answer within the deadline".to_owned(),
             }),
         };
         match result {
@@ -101,7 +101,7 @@
         if is_ours.unwrap_or(!self.service.echoes_request_id) {
             return Ok(answer);
         }
-        let detail = "the answer is not that of this request".to_owned();
+        let detail = "the answer belongs to another request".to_owned();
         Err(ExchangeError { reason: RefusalReason::BadAnswer, detail })
     }
 
@@ -114,7 +114,7 @@
         if let Some(statement) = BackendRefusal::from_answer(status, header(NOT_RUN)) {
             in_flight.finish(SendResult::Failure);
             let restored = sent.refused_by_backend(&statement);
-            let detail = "the backend server did not run it".to_owned();
+            let detail = "the backend server did not run the request".to_owned();
             return SendOutcome::Retry(restored, RefusalReason::BackendRefused, detail);
         }
         let is_error = answer.parts.status.is_server_error();
--- a/crates/entry/src/slots.rs
+++ b/crates/entry/src/slots.rs
@@ -15,10 +15,10 @@
 
 use crate::context::Context;
 
-/// The renewal interval while no requests wait.
+/// The renewal interval while no requests wait for slots.
 const RENEW_INTERVAL: Duration = Duration::from_millis(500);
-/// The renewal interval while requests wait.
-const SHORT_RENEW_INTERVAL: Duration = Duration::from_millis(5);
+/// The renewal interval while requests wait for slots.
+const SHORTAGE_RENEW_INTERVAL: Duration = Duration::from_millis(5);
 /// The timeout of a call to a home.
 const HOME_TIMEOUT: Duration = Duration::from_millis(250);
 /// The time during which a home that did not reply is skipped.
@@ -29,7 +29,7 @@
     let mut unresponsive: HashMap<SocketAddr, Instant> = HashMap::new();
     loop {
         let is_short = cx.router().is_short_of_slots();
-        let interval = if is_short { SHORT_RENEW_INTERVAL } else { RENEW_INTERVAL };
+        let interval = if is_short { SHORTAGE_RENEW_INTERVAL } else { RENEW_INTERVAL };
         // The wait ends early when a request starts to wait.
         let _ = tokio::time::timeout(interval, cx.renew_slots_now.notified()).await;
         renew_all(&cx, &mut unresponsive).await;
@@ -77,13 +77,13 @@
     member: MemberId,
     wants: Vec<SlotWant>,
 ) -> (SocketAddr, bool) {
-    let line = cx.peer_line(addr);
+    let connection = cx.peer_connection(addr);
     let requested_at = Instant::now();
-    let Ok(client) = line.client().await else {
+    let Ok(client) = connection.client().await else {
         return (addr, false);
     };
     let call = client.slots(context(HOME_TIMEOUT), member, wants).await;
-    let grants = match line.check(call).await {
+    let grants = match connection.check(call).await {
         Ok(grants) => grants,
         Err(e) => {
             log::debug!("slots home={addr} result=failed reason=\"{e}\"");
--- a/crates/entry/src/steward_link.rs
+++ b/crates/entry/src/steward_link.rs
@@ -17,7 +17,7 @@
 /// The delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The versions of this entry's view.
+/// The versions of the view and of the hints that this entry has applied.
 #[derive(Default)]
 struct ViewPosition {
     revision: Revision,
@@ -26,10 +26,10 @@
 
 /// Polls the steward for view updates until the process ends.
 pub async fn run(cx: Arc<Context>) {
-    let line = LinkLine::new(cx.settings.steward);
+    let connection = LinkLine::new(cx.settings.steward);
     let mut position = ViewPosition::default();
     loop {
-        let pending_reply = call(&cx, &line, &position);
+        let pending_reply = call(&cx, &connection, &position);
         // A report that is due, such as a completed drain, cancels the pending call and starts a
         // new one.
         let reply = tokio::select! {
@@ -43,7 +43,7 @@
     }
 }
 
-async fn call(cx: &Context, line: &LinkLine, position: &ViewPosition) -> Option<ViewReply> {
+async fn call(cx: &Context, connection: &LinkLine, position: &ViewPosition) -> Option<ViewReply> {
     let leaving = cx.link().leaving.clone();
     let report =
         EntryReport { offset: cx.link().offset, ready: cx.is_ready(), acks: cx.router().acks() };
@@ -54,9 +54,9 @@
         report,
         leaving,
     };
-    let client = line.client().await.ok()?;
+    let client = connection.client().await.ok()?;
     let call = client.view(context(CALL_TIMEOUT), req).await;
-    line.check(call).await.ok()
+    connection.check(call).await.ok()
 }
 
 /// Applies a reply: first the view update, then the proof of membership that belongs to it.
--- a/crates/replay/src/entry.rs
+++ b/crates/replay/src/entry.rs
@@ -1,4 +1,4 @@
-//! An entry of a replay: the router of the daemon, and the slots whose home the entry is.
+//! An entry of a replay: the router that the entry's process uses, and the slots whose home it is.
 
 use thistle_model::clock::Instant;
 use thistle_model::view::{ViewPool, ViewUpdate, ViewVm};
--- a/crates/replay/src/event.rs
+++ b/crates/replay/src/event.rs
@@ -16,7 +16,7 @@
     /// The worker.
     pub worker: usize,
     /// The time at which it was sent, in microseconds.
-    pub at: u64,
+    pub sent_at: u64,
 }
 
 /// The end of an attempt, as seen by the entry.
--- a/crates/replay/src/finish.rs
+++ b/crates/replay/src/finish.rs
@@ -6,7 +6,7 @@
 impl Replay<'_> {
     /// Returns the report of the finished replay.
     pub fn finish(mut self) -> Report {
-        let mut useful = 0u64;
+        let mut total_useful_us = 0u64;
         for (request, arrival) in self.requests.iter().zip(&self.trace.arrivals) {
             let in_time = match request.end {
                 Some(End::Answered(us)) => {
@@ -15,7 +15,7 @@
                     // Work that ends after the last arrival does not count, because the capacity is only counted
                     // until then.
                     let counts = in_time && arrival.at_us + us <= self.last_us;
-                    useful += if counts { request.useful_us } else { 0 };
+                    total_useful_us += if counts { request.useful_us } else { 0 };
                     in_time
                 }
                 Some(End::NotRun) => {
@@ -34,8 +34,8 @@
         self.report.latencies_us.sort_unstable();
         self.report.peak = self.workers.iter().map(|w| w.peak).max().unwrap_or(0);
         let slots = self.workers.len() as u64 * u64::from(thistle_model::vm::DEFAULT_SLOTS);
-        let could = slots * self.last_us.max(1);
-        self.report.goodput_percent = useful as f64 * 100.0 / could as f64;
+        let capacity_us = slots * self.last_us.max(1);
+        self.report.goodput_percent = total_useful_us as f64 * 100.0 / capacity_us as f64;
         self.report
     }
 }
--- a/crates/replay/src/fleet/layout.rs
+++ b/crates/replay/src/fleet/layout.rs
@@ -31,8 +31,8 @@
 }
 
 impl Layout {
-    /// Returns the layout of Budnet: 50 workers in three halls, five services.
-    pub fn budnet() -> Self {
+    /// Returns a layout of 50 VMs in three halls and five pools.
+    pub fn three_halls() -> Self {
         let pool = |vms, max_unavailable, tier| PoolPlan { vms, max_unavailable, tier };
         let pools = vec![
             pool(12, 2, Tier::Gold),
@@ -44,8 +44,8 @@
         Self { vms: 50, halls: 3, pools }
     }
 
-    /// Returns the layout of Trasteo Listo: 50 workers in four halls, five services.
-    pub fn trasteo_listo() -> Self {
+    /// Returns a layout of 50 VMs in four halls and five pools.
+    pub fn four_halls() -> Self {
         let pool = |vms, max_unavailable, tier| PoolPlan { vms, max_unavailable, tier };
         let pools = vec![
             pool(10, 2, Tier::Gold),
--- a/crates/replay/src/fleet/mod.rs
+++ b/crates/replay/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A discrete-event simulation of the planner and the fold over a fake fleet with drains, reboots and failures.
+//! A discrete-event simulation of the planner and the fold with a fake fleet, its drains, reboots and failures.
 
 mod layout;
 
@@ -63,8 +63,8 @@
     Acked(VmName),
     Rebooted(VmName),
     Fail(Failure),
-    Listed(Vec<VmName>),
-    Back(Vec<usize>),
+    FailureListed(Vec<VmName>),
+    Replaced(Vec<usize>),
 }
 
 /// A simulated fleet.
@@ -149,13 +149,13 @@
                 self.append_for_vm(&vm, |vm, base| vec![Change::MaintenanceDone { vm, base }]);
             }
             Event::Fail(failure) => self.fail(&failure),
-            Event::Listed(gone) => {
+            Event::FailureListed(gone) => {
                 for vm in gone {
                     self.record_failure(&vm);
                     self.append_for_vm(&vm, |vm, base| vec![Change::VmGone { vm, base }]);
                 }
             }
-            Event::Back(vms) => {
+            Event::Replaced(vms) => {
                 let seen = vms.iter().map(|&i| {
                     self.incarnations[i] += 1;
                     Change::VmSeen {
@@ -171,14 +171,14 @@
     }
 
     fn fail(&mut self, failure: &Failure) {
-        let (vms, back) = match failure {
-            Failure::Vm(i, back) => (vec![*i], *back),
-            Failure::Rack(r, back) => (self.layout.vms_of_rack(*r), *back),
+        let (vms, replaced_after) = match failure {
+            Failure::Vm(i, after) => (vec![*i], *after),
+            Failure::Rack(r, after) => (self.layout.vms_of_rack(*r), *after),
         };
         let names: Vec<_> =
             vms.iter().map(|&i| self.layout.vm_name(i, self.incarnations[i])).collect();
-        self.schedule(self.now + LIST_LAG_SECONDS, Event::Listed(names));
-        self.schedule(self.now + LIST_LAG_SECONDS + back, Event::Back(vms));
+        self.schedule(self.now + LIST_LAG_SECONDS, Event::FailureListed(names));
+        self.schedule(self.now + LIST_LAG_SECONDS + replaced_after, Event::Replaced(vms));
     }
 
     fn record_failure(&mut self, name: &VmName) {
@@ -201,9 +201,9 @@
     /// Plans and appends until the planner proposes nothing more.
     fn plan_until_stable(&mut self) {
         loop {
-            let began = std::time::Instant::now();
+            let started_at = std::time::Instant::now();
             let proposals = plan(&self.state, &self.cfg, MINUTE);
-            let took = u64::try_from(began.elapsed().as_micros()).unwrap_or(u64::MAX);
+            let took = u64::try_from(started_at.elapsed().as_micros()).unwrap_or(u64::MAX);
             self.report.plans += 1;
             self.report.longest_plan_us = self.report.longest_plan_us.max(took);
             if proposals.is_empty() {
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -2,7 +2,7 @@
 
 use thistle_model::Tier;
 
-use crate::trace::Outcome;
+use crate::trace::Bounds;
 
 /// The end of a request as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,12 +36,12 @@
     pub redirects: usize,
     /// The number of runs whose response was not needed any more.
     pub wasted_runs: usize,
-    /// The largest number of requests at one worker at one time.
+    /// The largest number of requests in flight on one worker at a time.
     pub peak: usize,
     /// Work that led to a response within the deadline and before the last arrival, in percent of the
     /// capacity of the workers until then.
     pub goodput_percent: f64,
-    /// The number of requests that ran twice although they may not.
+    /// The number of requests that may not be repeated and ran more than once.
     pub double_runs: usize,
     /// The number of requests that ran although they were refused as not run.
     pub false_not_run: usize,
@@ -64,28 +64,33 @@
         percent(self.retries, self.sends + self.retries)
     }
 
-    /// Returns the response time in microseconds below which `part` of 1,000 responses lie.
-    pub fn latency_us(&self, part: usize) -> u64 {
-        let at = self.latencies_us.len() * part / 1_000;
+    /// Returns the response time in microseconds below which `per_mille` of every 1,000 responses lie.
+    pub fn latency_us(&self, per_mille: usize) -> u64 {
+        let at = self.latencies_us.len() * per_mille / 1_000;
         self.latencies_us.get(at).or(self.latencies_us.last()).copied().unwrap_or(0)
     }
 
     /// Returns the bounds that were not met; empty when all were.
-    pub fn unmet(&self, stated: &Outcome) -> Vec<String> {
+    pub fn unmet(&self, bounds: &Bounds) -> Vec<String> {
         let mut unmet = Vec::new();
-        let mut least = |name: &str, stated: Option<f64>, got: f64| {
-            if stated.is_some_and(|s| got < s) {
-                unmet.push(format!("{name} {got:.2} < {:.2}", stated.unwrap_or(0.0)));
+        // Maximum values are checked as minimum values of the negated figures.
+        let mut check_minimum = |name: &str, minimum: Option<f64>, got: f64| {
+            if minimum.is_some_and(|m| got < m) {
+                unmet.push(format!("{name} {got:.2} < {:.2}", minimum.unwrap_or(0.0)));
             }
         };
-        least("gold in time", stated.gold_in_time_percent, self.in_time_percent(Tier::Gold));
-        least("in time", stated.in_time_percent, self.all_in_time_percent());
-        least("goodput", stated.goodput_percent, self.goodput_percent);
-        least("-retries", stated.retries_percent.map(|s| -s), -self.retries_percent());
-        least("-peak", stated.max_in_flight.map(|s| -(s as f64)), -(self.peak as f64));
-        least("-unknown", stated.unknown.map(|s| -(s as f64)), -(self.unknown as f64));
-        least("-double runs", Some(0.0), -(self.double_runs as f64));
-        least("-false not-run", Some(0.0), -(self.false_not_run as f64));
+        check_minimum(
+            "gold in time",
+            bounds.gold_in_time_percent,
+            self.in_time_percent(Tier::Gold),
+        );
+        check_minimum("in time", bounds.in_time_percent, self.all_in_time_percent());
+        check_minimum("goodput", bounds.goodput_percent, self.goodput_percent);
+        check_minimum("-retries", bounds.retries_percent.map(|max| -max), -self.retries_percent());
+        check_minimum("-peak", bounds.max_in_flight.map(|max| -(max as f64)), -(self.peak as f64));
+        check_minimum("-unknown", bounds.unknown.map(|max| -(max as f64)), -(self.unknown as f64));
+        check_minimum("-double runs", Some(0.0), -(self.double_runs as f64));
+        check_minimum("-false not-run", Some(0.0), -(self.false_not_run as f64));
         unmet
     }
 }
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -42,8 +42,8 @@
     /// The simplest policy: a random VM, no early refusal, no retry budget.
     pub const BASELINE: Self =
         Self { choice: ChoicePolicy::Random, admit: AdmitPolicy::Late, retry: RetryPolicy::Always };
-    /// The policy of the daemon.
-    pub const DAEMON: Self = Self {
+    /// The policy of the entry.
+    pub const ENTRY: Self = Self {
         choice: ChoicePolicy::Leased,
         admit: AdmitPolicy::Deadline,
         retry: RetryPolicy::Budget(8),
@@ -56,7 +56,7 @@
     pub end: Option<End>,
     pub runs: u32,
     pub useful_us: u64,
-    pub avoid: FailedVms,
+    pub failed_vms: FailedVms,
 }
 
 /// The state of a request in terms of the request library.
@@ -73,6 +73,7 @@
     pub listed: Vec<usize>,
     pub requests: Vec<Request>,
     pub report: Report,
+    /// The time of the last arrival.
     pub last_us: u64,
 }
 
@@ -104,7 +105,7 @@
             end: None,
             runs: 0,
             useful_us: 0,
-            avoid: FailedVms::default(),
+            failed_vms: FailedVms::default(),
         };
         let mut events = EventQueue::default();
         for (i, a) in trace.arrivals.iter().enumerate() {
@@ -143,7 +144,7 @@
                 let slots = thistle_model::vm::DEFAULT_SLOTS;
                 let home = &mut self.entries[home].home;
                 let grants = wants.iter().filter_map(|want| {
-                    home.adopt(&want.vm, Instant::default());
+                    home.become_home(&want.vm, Instant::default());
                     home.grant(member(e), want, slots, now)
                 });
                 let grants = grants.collect();
@@ -172,7 +173,7 @@
             tier: a.tier,
             deadline: Instant::from_micros(a.at_us + a.deadline_ms * 1_000),
             repeatable: a.repeatable,
-            failed_vms: self.requests[r].avoid,
+            failed_vms: self.requests[r].failed_vms,
         }
     }
 
@@ -206,7 +207,7 @@
     fn send(&mut self, r: usize, vm: VmKey, at: u64) {
         let entry = &self.entries[self.trace.arrivals[r].entry];
         let worker = worker_of(&entry.router.vm(vm).expect("a chosen VM is known").name);
-        let attempt = Attempt { request: r, vm, worker, at };
+        let attempt = Attempt { request: r, vm, worker, sent_at: at };
         let Some(State::Pending(pending)) = self.requests[r].state.take() else {
             // The caller's deadline passed while the request waited.
             self.events.add(at, Event::End(attempt, AttemptEnd::NoConnect));
@@ -231,7 +232,7 @@
             AttemptEnd::Error | AttemptEnd::Broken => SendResult::Failure,
             AttemptEnd::NoConnect => SendResult::ConnectFailed,
         };
-        let took = Duration::from_micros(at - attempt.at);
+        let took = Duration::from_micros(at - attempt.sent_at);
         let wakes = self.entries[entry].router.finish(attempt.vm, result, took, now);
         self.apply_wakes(wakes, at);
         let Some(State::Sent(sent, gate)) = self.requests[attempt.request].state.take() else {
@@ -244,7 +245,7 @@
                 self.requests[attempt.request].useful_us = arrival.service_us;
                 self.requests[attempt.request].end = Some(End::Answered(at - arrival.at_us));
             }
-            (_, Ok(back)) => self.resend(attempt, back, at),
+            (_, Ok(pending)) => self.resend(attempt, pending, at),
             (_, Err(sent)) if arrival.repeatable => self.resend(attempt, sent.into_repeated(), at),
             (_, Err(sent)) => {
                 let refusal = sent.refuse(thistle_model::RefusalReason::Broken, Duration::ZERO);
@@ -253,15 +254,16 @@
         }
     }
 
-    fn resend(&mut self, attempt: Attempt, back: Pending, at: u64) {
+    fn resend(&mut self, attempt: Attempt, pending: Pending, at: u64) {
         let r = attempt.request;
-        self.requests[r].avoid.add(attempt.vm);
+        self.requests[r].failed_vms.add(attempt.vm);
         let request = self.route_request(r);
         let entry = self.trace.arrivals[r].entry;
         let now = Instant::from_micros(at);
         let refuse = Decision::Refuse(thistle_model::RefusalReason::Broken, Duration::ZERO);
-        let decision = self.entries[entry].router.resubmit(request, &back, now).unwrap_or(refuse);
-        self.requests[r].state = Some(State::Pending(back));
+        let decision =
+            self.entries[entry].router.resubmit(request, &pending, now).unwrap_or(refuse);
+        self.requests[r].state = Some(State::Pending(pending));
         self.apply_decision(r, decision, at);
     }
 
@@ -325,13 +327,13 @@
         let wants = entry.router.slot_wants(Instant::from_micros(at));
         let homes = self.entries.len();
         for home in 0..homes {
-            let of_home = |vm: &thistle_model::VmName| {
+            let is_home_of = |vm: &thistle_model::VmName| {
                 rendezvous::pick(vm.as_str().as_bytes(), 0..homes, |h| h as u64) == Some(home)
             };
-            let wants: Vec<_> = wants.iter().filter(|w| of_home(&w.vm)).cloned().collect();
+            let wants: Vec<_> = wants.iter().filter(|w| is_home_of(&w.vm)).cloned().collect();
             if !wants.is_empty() {
-                let there = at + self.trace.setup.hop_us;
-                self.events.add(there, Event::Wants(e, home, at, wants));
+                let arrives_at = at + self.trace.setup.hop_us;
+                self.events.add(arrives_at, Event::Wants(e, home, at, wants));
             }
         }
         self.schedule_slot_request(e, at + pause);
--- a/crates/replay/src/trace.rs
+++ b/crates/replay/src/trace.rs
@@ -65,10 +65,10 @@
     pub workers: Vec<usize>,
 }
 
-/// The bounds that a replay of the trace must meet under the policy of the daemon.
+/// The bounds that a replay of the trace must meet under the policy of the entry.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Outcome {
+pub struct Bounds {
     /// The minimum share of gold requests answered within their deadline, in percent.
     pub gold_in_time_percent: Option<f64>,
     /// The minimum share of all requests answered within their deadline, in percent.
@@ -100,7 +100,7 @@
     pub faults: Vec<Fault>,
     /// The bounds that the replay must meet.
     #[serde(default)]
-    pub outcome: Outcome,
+    pub outcome: Bounds,
 }
 
 /// One request of a trace.
--- a/crates/replay/src/worker.rs
+++ b/crates/replay/src/worker.rs
@@ -80,7 +80,7 @@
         Admission::Runs
     }
 
-    /// Ends a run and returns the attempt that runs next.
+    /// Ends a run and returns the waiting attempt that runs next, if any.
     pub fn done(&mut self, busy_us: u64) -> Option<Attempt> {
         self.busy_us += busy_us;
         let next = self.waiting.pop_front();
--- a/crates/replay/tests/fleet.rs
+++ b/crates/replay/tests/fleet.rs
@@ -8,7 +8,7 @@
 
 #[gtest]
 fn wave_maintains_every_vm_without_a_move() {
-    for layout in [Layout::budnet(), Layout::trasteo_listo()] {
+    for layout in [Layout::three_halls(), Layout::four_halls()] {
         let mut fleet = Fleet::new(layout, PlanConfig::default(), 1);
         let report = fleet.run_wave(&[]);
         expect_that!(fleet.state.wave_left(), eq(0));
@@ -22,7 +22,7 @@
 fn wave_is_faster_than_one_vm_at_a_time() {
     let wave = |policy| {
         let cfg = PlanConfig { wave: policy, ..PlanConfig::default() };
-        Fleet::new(Layout::budnet(), cfg, 1).run_wave(&[]).wave_seconds
+        Fleet::new(Layout::three_halls(), cfg, 1).run_wave(&[]).wave_seconds
     };
     let (ours, baseline) = (wave(WavePolicy::ByRack), wave(WavePolicy::OneAtATime));
     expect_that!(ours * 4, le(baseline));
@@ -30,19 +30,19 @@
 
 #[gtest]
 fn spread_pools_lose_less_to_a_rack_than_greedy_ones() {
-    let spread = Fleet::new(Layout::budnet(), PlanConfig::default(), 1);
+    let spread = Fleet::new(Layout::three_halls(), PlanConfig::default(), 1);
     expect_that!(spread.buffers_by_pool(), le(6));
     let cfg = PlanConfig { refill: RefillPolicy::Greedy, ..PlanConfig::default() };
-    let greedy = Fleet::new(Layout::budnet(), cfg, 1);
+    let greedy = Fleet::new(Layout::three_halls(), cfg, 1);
     expect_that!(greedy.buffers_by_pool(), gt(6));
     expect_that!(spread.shared_buffer(), le(4));
 }
 
 fn failure(vms: usize, racks: usize) -> impl Strategy<Value = (u64, Failure)> {
-    let back = 0..2_000u64;
+    let replaced_after = 0..2_000u64;
     let kind = prop_oneof![
-        3 => (0..vms, back.clone()).prop_map(|(i, b)| Failure::Vm(i, b)),
-        1 => (0..racks, back).prop_map(|(r, b)| Failure::Rack(r, b)),
+        3 => (0..vms, replaced_after.clone()).prop_map(|(i, b)| Failure::Vm(i, b)),
+        1 => (0..racks, replaced_after).prop_map(|(r, b)| Failure::Rack(r, b)),
     ];
     (0..3_000u64, kind)
 }
@@ -62,7 +62,7 @@
         cost in 0..4u32,
     ) {
         let cfg = PlanConfig::default().with_weights(1, cost, 1);
-        let mut fleet = Fleet::new(Layout::trasteo_listo(), cfg, seed);
+        let mut fleet = Fleet::new(Layout::four_halls(), cfg, seed);
         let report = fleet.run_wave(&failures);
         prop_assert_eq!(fleet.state.wave_left(), 0);
         prop_assert!(fleet.all_in_service());
--- a/crates/replay/tests/traces.rs
+++ b/crates/replay/tests/traces.rs
@@ -14,7 +14,7 @@
 
 #[track_caller]
 fn expect_bounds_met(name: &str) {
-    let (trace, report) = run(name, Policy::DAEMON);
+    let (trace, report) = run(name, Policy::ENTRY);
     expect_that!(report.unmet(&trace.setup.outcome), is_empty(), "{name}");
 }
 
@@ -58,7 +58,7 @@
 
 #[gtest]
 fn same_trace_gives_the_same_report() {
-    let (_, a) = run("doubled-booking", Policy::DAEMON);
-    let (_, b) = run("doubled-booking", Policy::DAEMON);
+    let (_, a) = run("doubled-booking", Policy::ENTRY);
+    let (_, b) = run("doubled-booking", Policy::ENTRY);
     expect_that!(format!("{a:?}"), eq(&format!("{b:?}")));
 }
--- a/crates/request/src/claim.rs
+++ b/crates/request/src/claim.rs
@@ -30,7 +30,7 @@
 pub struct KeptAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// The content type; empty if the response had none.
+    /// The content type; empty if the answer had none.
     pub content_type: String,
     /// The body.
     pub body: Vec<u8>,
@@ -161,7 +161,7 @@
     }
 
     /// Stores the answer of an attempt that holds the key, if the size limits allow.
-    pub fn settle(&mut self, key: ClaimKey, attempt: AttemptId, answer: KeptAnswer) {
+    pub fn store_answer(&mut self, key: ClaimKey, attempt: AttemptId, answer: KeptAnswer) {
         let room = self.max_body_bytes.saturating_sub(self.body_bytes);
         let fits = answer.body.len() <= MAX_KEPT_BODY.min(room);
         let claim = self.claims.get_mut(&key).and_then(|held| held.claim_of(attempt));
@@ -190,7 +190,7 @@
             let (attempt, answer) = (claim.attempt, claim.answer.take());
             self.insert(key, claim, now);
             if let Some(answer) = answer {
-                self.settle(key, attempt, *answer);
+                self.store_answer(key, attempt, *answer);
             }
         }
     }
@@ -212,8 +212,8 @@
         self.body_bytes -= answers.map(|a| a.body.len()).sum::<usize>();
     }
 
-    /// Removes claims older than `keep`; the age of a key that was released and claimed again
-    /// counts from the later claim.
+    /// Removes the claims on keys that were claimed at least `keep` ago; a key that was released and
+    /// claimed again counts from the later claim.
     fn expire(&mut self, now: Instant) {
         while let Some(&(since, key)) = self.by_age.front() {
             if now.since(since) < self.keep {
@@ -245,14 +245,14 @@
 pub struct Tally {
     voters: Voters,
     accepted: Vec<MemberId>,
-    refused: Vec<MemberId>,
+    not_accepted: Vec<MemberId>,
     held: Option<Claim>,
 }
 
 impl Tally {
     /// Creates an empty tally.
     pub fn new(voters: Voters) -> Self {
-        Self { voters, accepted: Vec::new(), refused: Vec::new(), held: None }
+        Self { voters, accepted: Vec::new(), not_accepted: Vec::new(), held: None }
     }
 
     /// Records a voter's reply; `None` means that the voter did not reply.
@@ -262,13 +262,13 @@
                 self.accepted.push(from);
             }
             Some(ClaimReply::Held(claim)) => {
-                self.refused.push(from);
+                self.not_accepted.push(from);
                 let better = self.held.as_ref().is_none_or(|h| h.answer.is_none());
                 if better {
                     self.held = Some(claim);
                 }
             }
-            _ => self.refused.push(from),
+            _ => self.not_accepted.push(from),
         }
     }
 
@@ -280,8 +280,9 @@
         if let Some(held) = self.held.as_ref().filter(|h| h.answer.is_some()) {
             return ClaimState::Held(held.clone());
         }
-        let refused = |id: &MemberId| self.refused.contains(id);
-        let possible: Vec<_> = self.voters.all().into_iter().filter(|id| !refused(id)).collect();
+        let not_accepted = |id: &MemberId| self.not_accepted.contains(id);
+        let possible: Vec<_> =
+            self.voters.all().into_iter().filter(|id| !not_accepted(id)).collect();
         if !self.voters.current.is_empty() && self.voters.is_quorum(&possible) {
             return ClaimState::Pending;
         }
--- a/crates/request/src/exchange.rs
+++ b/crates/request/src/exchange.rs
@@ -73,9 +73,9 @@
         Refusal { reason, outcome: Outcome::NotRun, retry_after, detail: String::new() }
     }
 
-    /// Refuses a request whose key another attempt holds. The outcome is unknown, as that attempt
-    /// may have run.
-    pub fn refuse_held(self, reason: RefusalReason, retry_after: Duration) -> Refusal {
+    /// Refuses a request whose key an earlier attempt holds or may have held. The outcome is unknown,
+    /// as that attempt may have run.
+    pub fn refuse_as_unknown(self, reason: RefusalReason, retry_after: Duration) -> Refusal {
         Refusal { reason, outcome: Outcome::Unknown, retry_after, detail: String::new() }
     }
 }
@@ -116,7 +116,7 @@
     }
 }
 
-/// A repeatable request that may already have run and is due to be sent again.
+/// A repeatable request that may already have run and is to be sent again.
 #[derive(Debug)]
 pub struct Repeated {
     sends: u32,
--- a/crates/request/src/key.rs
+++ b/crates/request/src/key.rs
@@ -19,8 +19,8 @@
 
 impl ClaimKey {
     /// Hashes workspace, service and idempotency key.
-    pub fn new(pool: &str, service: &str, key: &str) -> Self {
-        Self(xxh3_128(format!("{pool}\n{service}\n{key}").as_bytes()))
+    pub fn new(workspace: &str, service: &str, key: &str) -> Self {
+        Self(xxh3_128(format!("{workspace}\n{service}\n{key}").as_bytes()))
     }
 }
 
@@ -59,8 +59,9 @@
 
 /// Classifies the age of a key.
 ///
-/// A key without a timestamp is fresh unless claims were lost within `keep` before `now_ms`.
-/// Callers must not reuse such a key later than `keep` after the first attempt.
+/// Voters keep a claim for `keep`. Claims made before `claims_from_ms` may have been lost; 0 means that
+/// none were. A key without a timestamp is fresh unless claims were lost within `keep` before
+/// `now_ms`. Callers must not reuse such a key later than `keep` after the first attempt.
 pub fn classify_age(key: &str, now_ms: u64, keep: Duration, claims_from_ms: u64) -> KeyAge {
     let keep_ms = u64::try_from(keep.as_millis()).unwrap_or(u64::MAX);
     match created_ms(key) {
--- a/crates/request/src/lib.rs
+++ b/crates/request/src/lib.rs
@@ -1,6 +1,6 @@
 //! The decision logic of an entry for callers' requests, without I/O and without a clock.
 //!
-//! The daemon, the replays and the randomised tests share this code; callers pass in the time.
+//! The entry's process, the replays and the randomised tests share this code; they pass in the time.
 
 pub mod admit;
 pub mod breaker;
--- a/crates/request/src/router/choose.rs
+++ b/crates/request/src/router/choose.rs
@@ -6,8 +6,8 @@
 use super::{ChoicePolicy, PoolKey, RouteRequest, Router, VmKey, VmLoad};
 use crate::breaker::{Availability, SendResult};
 
-/// The mean failure share of a pool's other VMs from which no VM is excluded: at that level the
-/// requests are at fault, not the VM.
+/// Failures other than connection failures exclude no VM while the mean failure share of the pool's
+/// other VMs is at least this high: the requests are at fault then, not the VM.
 const MAX_POOL_FAILURE_SHARE: f64 = 0.3;
 /// The maximum share of a pool's VMs that connection failures may exclude, in percent.
 const MAX_UNREACHABLE_PERCENT: u32 = 60;
--- a/crates/request/src/router/lease.rs
+++ b/crates/request/src/router/lease.rs
@@ -63,7 +63,7 @@
         order
     }
 
-    /// Keeps the idle slots that this entry already holds, up to `extra`.
+    /// Raises the targets by the idle slots that this entry already holds, up to `extra` slots.
     fn keep_leased(&self, order: &[VmKey], targets: &mut [u16], extra: &mut u32, now: Instant) {
         for (target, &key) in targets.iter_mut().zip(order) {
             let idle = u32::from(self.vms[key].free_leased(now)).min(*extra);
--- a/crates/request/src/router/mod.rs
+++ b/crates/request/src/router/mod.rs
@@ -320,15 +320,15 @@
 
     fn dispatch(&mut self, key: PoolKey, now: Instant) -> Vec<Wake> {
         let mut wakes = Vec::new();
-        let mut late = Vec::new();
+        let mut refused = Vec::new();
         if let Some(pool) = self.pools.get_mut(key) {
-            pool.queue.drop_late(now, &mut late);
-            late.append(&mut pool.evicted);
+            pool.queue.drop_late(now, &mut refused);
+            refused.append(&mut pool.evicted);
         }
-        while let Some(wake) = self.dispatch_one(key, now, &mut late) {
+        while let Some(wake) = self.dispatch_one(key, now, &mut refused) {
             wakes.push(wake);
         }
-        for ticket in late {
+        for ticket in refused {
             self.waiting.remove(&ticket);
             let retry_after = self.retry_after(key, now);
             let decision = Decision::Refuse(RefusalReason::Overload, retry_after);
@@ -337,7 +337,12 @@
         wakes
     }
 
-    fn dispatch_one(&mut self, key: PoolKey, now: Instant, late: &mut Vec<Ticket>) -> Option<Wake> {
+    fn dispatch_one(
+        &mut self,
+        key: PoolKey,
+        now: Instant,
+        refused: &mut Vec<Ticket>,
+    ) -> Option<Wake> {
         let pool = self.pools.get(key)?;
         if pool.queue.is_empty() || now >= self.proof_until {
             return None;
@@ -351,7 +356,7 @@
             failed_vms: FailedVms::default(),
         };
         let vm = self.choose(&any_request, now)?;
-        let ticket = self.pools.get_mut(key)?.queue.pop(now, late)?;
+        let ticket = self.pools.get_mut(key)?.queue.pop(now, refused)?;
         self.waiting.remove(&ticket);
         self.start_send(vm, now);
         Some(Wake { ticket, decision: Decision::Send(vm) })
--- a/crates/request/src/slot_home.rs
+++ b/crates/request/src/slot_home.rs
@@ -19,7 +19,7 @@
 pub struct SlotWant {
     /// The VM.
     pub vm: VmName,
-    /// The slots that the entry holds now, in use or not; it no longer uses any others.
+    /// The slots that the entry holds now, in use or not; it has stopped using any beyond these.
     pub held: u16,
     /// The total number of slots that the entry wants.
     pub want: u16,
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug)]
 struct VmLeases {
     leases: HashMap<MemberId, Lease>,
-    open_at: Instant,
+    grants_from: Instant,
 }
 
 /// The VMs whose home is one steward.
@@ -63,13 +63,13 @@
         Self::default()
     }
 
-    /// Becomes or stays the home of a VM.
+    /// Becomes the home of a VM, unless it already is.
     ///
-    /// `open_at` is the time when the leases of the previous home have expired. Until then the home
-    /// only renews the slots that entries report as held and grants no more.
-    pub fn adopt(&mut self, vm: &VmName, open_at: Instant) {
+    /// `grants_from` is the time when the leases of the previous home have expired. Until then the
+    /// home only renews the slots that entries report as held and grants no more.
+    pub fn become_home(&mut self, vm: &VmName, grants_from: Instant) {
         if !self.vms.contains_key(vm) {
-            self.vms.insert(vm.clone(), VmLeases { leases: HashMap::new(), open_at });
+            self.vms.insert(vm.clone(), VmLeases { leases: HashMap::new(), grants_from });
         }
     }
 
@@ -91,7 +91,7 @@
         vm.leases.retain(|_, l| l.expires > now);
         let free = slots.saturating_sub(vm.held_by_others(from));
         let share = vm.fair_share(from, want.want, slots).min(free);
-        let target = if now < vm.open_at { 0 } else { share };
+        let target = if now < vm.grants_from { 0 } else { share };
         let granted = target.max(want.held.min(free));
         vm.lease(from, granted, want.want, now);
         Some(SlotGrant { vm: want.vm.clone(), slots: granted, share, free: free - granted })
--- a/crates/request/tests/claims.rs
+++ b/crates/request/tests/claims.rs
@@ -231,8 +231,8 @@
         self.attempt(entry, key);
         let a = self.attempts.len() - 1;
         for i in 0..NODES {
-            let waits = self.attempts[a].to_voters.len();
-            if bits >> i & 1 == 1 && waits > 0 {
+            let unsent = self.attempts[a].to_voters.len();
+            if bits >> i & 1 == 1 && unsent > 0 {
                 self.deliver_request(a, (bits >> 8) as usize, false);
                 self.deliver_reply(a, 0, false);
             }
@@ -243,15 +243,16 @@
     fn change_voters(&mut self, by: usize, bits: u32) {
         while self.advance(by) {}
         self.propose(by, bits);
-        let quick: Vec<_> = (0..NODES).filter(|&i| bits >> (i + 8) & 1 == 1 || i == by).collect();
-        for &i in &quick {
+        let undelayed: Vec<_> =
+            (0..NODES).filter(|&i| bits >> (i + 8) & 1 == 1 || i == by).collect();
+        for &i in &undelayed {
             while self.advance(i) {}
         }
-        for &i in &quick {
+        for &i in &undelayed {
             self.merge(i, bits >> 16);
         }
         self.commit(by);
-        for &i in &quick {
+        for &i in &undelayed {
             if bits >> (i + 20) & 1 == 1 {
                 while self.advance(i) {}
             }
@@ -321,7 +322,7 @@
     let (key, r, now) = (ClaimKey(1), Revision(1), Instant::from_micros(1));
     expect_that!(table.claim(key, &claim(1), r, r, now), eq(&ClaimReply::Accepted(r)));
     let answer = KeptAnswer { status: 201, content_type: String::new(), body: b"crew 7".to_vec() };
-    table.settle(key, AttemptId(1), answer.clone());
+    table.store_answer(key, AttemptId(1), answer.clone());
     let held = Claim { answer: Some(Box::new(answer)), ..claim(1) };
     expect_that!(table.claim(key, &claim(2), r, r, now), eq(&ClaimReply::Held(held)));
 }
@@ -370,10 +371,10 @@
 fn merge_keeps_the_winning_claim_next_to_a_losing_one() {
     let (key, r, now) = (ClaimKey(1), Revision(1), Instant::from_micros(1));
     let mut table = ClaimTable::new(KEEP, 10, 1 << 20);
-    let taken = |attempt| vec![KeyedClaim { key, claim: claim(attempt) }];
+    let claim_page = |attempt| vec![KeyedClaim { key, claim: claim(attempt) }];
     let (loser, winner) = (1, 2);
-    table.merge(taken(loser), now);
-    table.merge(taken(winner), now);
+    table.merge(claim_page(loser), now);
+    table.merge(claim_page(winner), now);
     table.release(key, AttemptId(loser));
     expect_that!(table.claim(key, &claim(3), r, r, now), eq(&ClaimReply::Held(claim(winner))));
 }
--- a/crates/request/tests/slots.rs
+++ b/crates/request/tests/slots.rs
@@ -31,7 +31,7 @@
     ) {
         let vm = VmName::new("vm").unwrap();
         let mut home = SlotHome::new();
-        home.adopt(&vm, Instant::default());
+        home.become_home(&vm, Instant::default());
         let mut held = [Holding::default(); ENTRIES];
         let mut now = Instant::from_micros(1);
         for (e, want, wait_ms, lost) in steps {
@@ -57,14 +57,14 @@
 fn new_home_only_renews_before_the_old_leases_expire() {
     let vm = VmName::new("vm").unwrap();
     let mut home = SlotHome::new();
-    let open = Instant::from_micros(1_000);
-    home.adopt(&vm, open);
+    let grants_from = Instant::from_micros(1_000);
+    home.become_home(&vm, grants_from);
     let want = |held, want| SlotWant { vm: vm.clone(), held, want };
     let before = Instant::from_micros(10);
     let renewed = home.grant(MemberId(1), &want(3, 6), SLOTS, before).unwrap();
     assert_eq!(renewed.slots, 3);
     let new = home.grant(MemberId(2), &want(0, 4), SLOTS, before).unwrap();
     assert_eq!(new.slots, 0);
-    let later = home.grant(MemberId(2), &want(0, 4), SLOTS, open).unwrap();
+    let later = home.grant(MemberId(2), &want(0, 4), SLOTS, grants_from).unwrap();
     assert!(later.slots > 0);
 }
--- a/crates/steward/src/catch_up.rs
+++ b/crates/steward/src/catch_up.rs
@@ -17,7 +17,7 @@
 /// The pause before the log is searched for a snapshot again.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// Restores the newest snapshot in the log whose following entries are still kept.
+/// Restores the newest snapshot in the log, if all later entries are still kept.
 pub async fn from_snapshot<L: LogService>(shared: &Shared, log: &L, first: LogPage) {
     let base = first.base;
     let mut assembler = Assembler::new();
--- a/crates/steward/src/core.rs
+++ b/crates/steward/src/core.rs
@@ -1,4 +1,4 @@
-//! The main data of a steward: the agreed state, its proof, its peers and its entry.
+//! The main data of a steward: the agreed state, the proof of its membership, its peers and its entry.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -27,11 +27,11 @@
 /// The entry on this VM.
 #[derive(Debug, Default)]
 pub struct EntryState {
-    /// The random ID that the entry drew at its start; `None` before the first call.
+    /// The random ID that the entry generated at startup; `None` before its first call.
     pub id: Option<u64>,
     /// When the entry last called.
     pub last_contact: Instant,
-    /// The time from which acknowledgements count; a previous entry may act until then.
+    /// The time from which the entry's acknowledgements count; a previous entry may send requests until then.
     pub ack_from: Instant,
     /// The last report of the entry.
     pub report: EntryReport,
@@ -150,7 +150,7 @@
         self.record_member_changes(&BTreeSet::new(), now);
     }
 
-    /// Returns whether this member is joined by the agreed state.
+    /// Returns whether this member is joined according to the agreed state.
     pub fn is_member(&self) -> bool {
         let member = self.state.members.get(&self.me);
         member.is_some_and(|m| m.state == MemberState::Joined)
--- a/crates/steward/src/duty/members.rs
+++ b/crates/steward/src/duty/members.rs
@@ -12,7 +12,7 @@
 /// The number of voters if there are enough members.
 const WANTED_VOTERS: usize = 5;
 
-/// Returns the changes of members that are due; if there are none, the next change of voters.
+/// Returns the removals of members that are due; if there are none, the next change of voters.
 pub fn proposals(shared: &Shared) -> Vec<Change> {
     let core = shared.core();
     let now = Instant::now();
@@ -39,7 +39,7 @@
     changes
 }
 
-/// Returns the members that report no outstanding promise to `member` and give it none.
+/// Returns the members that state that `member` is gone: they have no outstanding promise to it and will give none.
 fn voters_stating_gone(core: &Core, member: MemberId, now: Instant) -> Vec<MemberId> {
     let has_stated = |id: &&MemberId| {
         core.peers.get(id).is_some_and(|p| {
@@ -47,7 +47,7 @@
         })
     };
     let mut ids: Vec<_> = core.peers.keys().filter(has_stated).copied().collect();
-    if core.promises.stated(now).contains(&member) {
+    if core.promises.stated_gone(now).contains(&member) {
         ids.push(core.me);
     }
     ids
--- a/crates/steward/src/duty/observe.rs
+++ b/crates/steward/src/duty/observe.rs
@@ -25,15 +25,14 @@
     }
 }
 
-/// Returns whether this steward polls the list. The planner on duty does so also while the log is
-/// down, as the list gives hints.
+/// Returns whether this steward polls the list. The planner on duty also does so while the log is
+/// down, as the list shows which VMs are leaving.
 fn polls_vm_list(shared: &Shared) -> bool {
     let contact_timeout = shared.settings.heartbeat.0 * 3;
     let core = shared.core();
-    let on_duty_without_log =
-        core.planner_on_duty(contact_timeout, Instant::now()) == Some(core.me);
+    let is_planner_on_duty = core.planner_on_duty(contact_timeout, Instant::now()) == Some(core.me);
     drop(core);
-    on_duty_without_log || is_on_duty(shared)
+    is_planner_on_duty || is_on_duty(shared)
 }
 
 async fn poll_vm_list<V: VmService>(shared: &Arc<Shared>, vms: &V) {
--- a/crates/steward/src/heartbeat.rs
+++ b/crates/steward/src/heartbeat.rs
@@ -47,10 +47,10 @@
         }
     }
     let state = &core.state;
-    let is_settled = |vm: &thistle_model::VmName| {
+    let is_obsolete = |vm: &thistle_model::VmName| {
         state.vm_key(vm).map_or(true, |key| !state.vms[key].is_available())
     };
-    core.hints.expire(now, is_settled);
+    core.hints.expire(now, is_obsolete);
 }
 
 /// Returns the addresses of the voters other than this one.
@@ -70,7 +70,7 @@
         voters: core.state.voters.revision,
         merged: core.merged,
         log_up: core.log_up,
-        stated: core.promises.stated(Instant::now()),
+        stated: core.promises.stated_gone(Instant::now()),
         entry: core.entry.report.clone(),
         leaving: core.hints.all(),
     }
--- a/crates/steward/src/hints.rs
+++ b/crates/steward/src/hints.rs
@@ -42,10 +42,10 @@
         self.vms.values_mut().for_each(|t| *t = now);
     }
 
-    /// Drops hints that have expired, or whose VM gets no new work by the agreed state anyway.
-    pub fn expire(&mut self, now: Instant, is_settled: impl Fn(&VmName) -> bool) {
+    /// Drops hints that have expired, or that are obsolete because the VM gets no new work by the agreed state anyway.
+    pub fn expire(&mut self, now: Instant, is_obsolete: impl Fn(&VmName) -> bool) {
         let before = self.vms.len();
-        self.vms.retain(|vm, &mut t| now.since(t) < HINT_TTL && !is_settled(vm));
+        self.vms.retain(|vm, &mut t| now.since(t) < HINT_TTL && !is_obsolete(vm));
         if self.vms.len() != before {
             self.version += 1;
         }
--- a/crates/steward/src/link_server.rs
+++ b/crates/steward/src/link_server.rs
@@ -41,7 +41,8 @@
                 return false;
             }
             log::info!("entry id={entry:016x} step=attached");
-            // The previous entry may act on its last proof until the fence time has passed.
+            // The previous entry may send requests until its last proof expires, at the latest after the
+            // fence time.
             let had_entry = core.entry.id.is_some();
             core.entry.id = Some(entry);
             if had_entry {
--- a/crates/steward/src/operator_server.rs
+++ b/crates/steward/src/operator_server.rs
@@ -43,7 +43,7 @@
         let missing = core.state.members.iter().filter(|(id, _)| !acks.contains(id));
         let names: Vec<_> = missing.map(|(_, m)| m.facts.name.to_string()).collect();
         (!names.is_empty()).then(|| {
-            format!("requests are in flight at, or nothing was heard of, the entries on {}: wait for them", names.join(", "))
+            format!("the entries on {} have requests in flight to the VM or are unresponsive: wait for them", names.join(", "))
         })
     }
 }
--- a/crates/steward/src/peer_server.rs
+++ b/crates/steward/src/peer_server.rs
@@ -106,7 +106,7 @@
     }
 
     async fn settle(self, _: Context, key: ClaimKey, attempt: AttemptId, answer: KeptAnswer) {
-        self.shared.claims().settle(key, attempt, answer);
+        self.shared.claims().store_answer(key, attempt, answer);
     }
 
     async fn claims(
@@ -126,17 +126,17 @@
     async fn slots(self, _: Context, from: MemberId, wants: Vec<SlotWant>) -> Vec<SlotGrant> {
         let core = self.shared.core();
         let now = Instant::now();
-        let open_at = core.members_changed + self.shared.settings.fence.0 + SLOT_LEASE;
+        let grants_from = core.members_changed + self.shared.settings.fence.0 + SLOT_LEASE;
         let joined = joined_members(&core);
-        let mut homes = self.shared.slot_home();
-        homes.retain(|vm| is_home(&core, &joined, vm));
+        let mut slot_home = self.shared.slot_home();
+        slot_home.retain(|vm| is_home(&core, &joined, vm));
         let mut grant = |want: &SlotWant| {
-            let slots = request_slots(&core, &want.vm)?;
+            let slots = slots_for_requests(&core, &want.vm)?;
             if !is_home(&core, &joined, &want.vm) {
                 return None;
             }
-            homes.adopt(&want.vm, open_at);
-            homes.grant(from, want, slots, now)
+            slot_home.become_home(&want.vm, grants_from);
+            slot_home.grant(from, want, slots, now)
         };
         wants.iter().filter_map(&mut grant).collect()
     }
@@ -155,7 +155,7 @@
 }
 
 /// Returns the number of a VM's slots that are not used by jobs, or `None` if the VM is unknown.
-fn request_slots(core: &Core, vm: &VmName) -> Option<u16> {
+fn slots_for_requests(core: &Core, vm: &VmName) -> Option<u16> {
     let key = core.state.vm_key(vm).ok()?;
     let vm = &core.state.vms[key];
     let jobs = u16::try_from(vm.job_slots).unwrap_or(u16::MAX);
--- a/crates/steward/src/promise.rs
+++ b/crates/steward/src/promise.rs
@@ -145,8 +145,9 @@
         self.refused.contains(&id)
     }
 
-    /// Returns the members to which no promise is outstanding and none will be given.
-    pub fn stated(&self, now: Instant) -> Vec<MemberId> {
+    /// Returns the members that this voter states to be gone: no promise to them is outstanding and none will
+    /// be given.
+    pub fn stated_gone(&self, now: Instant) -> Vec<MemberId> {
         let lapsed = |id: &&MemberId| self.given.get(id).is_none_or(|&until| until <= now);
         self.refused.iter().filter(lapsed).copied().collect()
     }
--- a/crates/steward/src/rollout.rs
+++ b/crates/steward/src/rollout.rs
@@ -18,11 +18,11 @@
 impl Rollouts {
     /// Starts to track the change at `offset` if an operator made it.
     pub fn track(&mut self, change: &Change, offset: Offset, now: Instant) {
-        let is_operators = matches!(
+        let is_operator_change = matches!(
             change,
             Change::PublishTemplate { .. } | Change::SetWorkspace { .. } | Change::SetQuota { .. }
         );
-        if is_operators && self.pending.len() < MAX_TRACKED {
+        if is_operator_change && self.pending.len() < MAX_TRACKED {
             self.pending.push_back((offset, now));
         }
     }
--- a/crates/steward/src/run.rs
+++ b/crates/steward/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts a steward and stops it.
+//! Startup and shutdown of a steward.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/steward/src/shared.rs
+++ b/crates/steward/src/shared.rs
@@ -88,8 +88,8 @@
 
     /// Returns the connection to a peer's address.
     pub fn connection(&self, addr: SocketAddr) -> Arc<PeerLine> {
-        let mut lines = lock(&self.connections);
-        lines.entry(addr).or_insert_with(|| Arc::new(PeerLine::new(addr))).clone()
+        let mut connections = lock(&self.connections);
+        connections.entry(addr).or_insert_with(|| Arc::new(PeerLine::new(addr))).clone()
     }
 
     /// Announces a change to all that wait for one.
--- a/crates/steward/src/tasks.rs
+++ b/crates/steward/src/tasks.rs
@@ -1,7 +1,7 @@
 //! Starts, renews and ends tasks on the workers of which this steward is the home.
 //!
-//! A start is recorded in the log before it is sent to the worker, and names the one member that
-//! sends it. A task whose lease is not renewed ends by the worker's own clock; the start is
+//! A start is recorded in the log before it is sent to the worker, and the record names the one member
+//! that sends it. The worker ends a task whose lease is not renewed, by its own clock; the start is
 //! recorded as lost only after that.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -81,7 +81,7 @@
         }
         let Some(addr) = vm_addr(&core.state, vm) else { continue };
         let id = TaskId { job: name.clone(), attempt: job.starts };
-        let entry = tracked.entry(id.clone()).or_insert_with(|| TrackedTask {
+        let task = tracked.entry(id.clone()).or_insert_with(|| TrackedTask {
             vm: vm.clone(),
             addr,
             sends_start,
@@ -89,7 +89,7 @@
             last_renewal: now,
             last_call: None,
         });
-        entry.stop = job.cancelled;
+        task.stop = job.cancelled;
         current.insert(id);
     }
     tracked.retain(|id, _| current.contains(id));
@@ -105,34 +105,34 @@
     started: &mut BTreeSet<TaskId>,
 ) -> Vec<Change> {
     let now = Instant::now();
-    let due = |f: &TrackedTask| f.last_call.is_none_or(|t| now.since(t) >= RENEWAL_INTERVAL);
+    let due = |task: &TrackedTask| task.last_call.is_none_or(|t| now.since(t) >= RENEWAL_INTERVAL);
     let mut calls: BTreeMap<(SocketAddr, TaskCommand), Vec<TaskId>> = BTreeMap::new();
-    for (id, f) in tracked.iter_mut().filter(|(_, f)| due(f) || f.stop) {
+    for (id, task) in tracked.iter_mut().filter(|(_, task)| due(task) || task.stop) {
         // A start is sent once, even when its answer is lost: the worker may have started the task.
-        let step = match (f.stop, f.sends_start && started.insert(id.clone())) {
+        let command = match (task.stop, task.sends_start && started.insert(id.clone())) {
             (true, _) => TaskCommand::Yield,
             (false, true) => TaskCommand::Start,
             (false, false) => TaskCommand::Renew,
         };
-        f.last_call = Some(now);
-        calls.entry((f.addr, step)).or_default().push(id.clone());
+        task.last_call = Some(now);
+        calls.entry((task.addr, command)).or_default().push(id.clone());
     }
     let answers =
-        join_all(calls.into_iter().map(|((addr, step), ids)| call_worker(addr, step, ids)));
+        join_all(calls.into_iter().map(|((addr, command), ids)| call_worker(addr, command, ids)));
     let mut ends = Vec::new();
     for (id, state) in answers.await.into_iter().flatten() {
-        let Some(f) = tracked.get_mut(&id) else { continue };
+        let Some(task) = tracked.get_mut(&id) else { continue };
         match state {
-            Some(TaskState::Running) => f.last_renewal = now,
+            Some(TaskState::Running) => task.last_renewal = now,
             Some(TaskState::Done) => ends.push(job_ended(&id, JobEnd::Done)),
             Some(TaskState::Failed) => ends.push(job_ended(&id, JobEnd::Failed)),
             Some(TaskState::Yielded) => ends.push(job_ended(&id, JobEnd::Yielded)),
             Some(TaskState::Unknown) | None => {}
         }
     }
-    let lost = tracked.iter().filter(|(_, f)| now.since(f.last_renewal) > LOST_AFTER);
-    for (id, f) in lost {
-        log::warn!("job={} attempt={} vm={} state=lost", id.job, id.attempt, f.vm);
+    let lost = tracked.iter().filter(|(_, task)| now.since(task.last_renewal) > LOST_AFTER);
+    for (id, task) in lost {
+        log::warn!("job={} attempt={} vm={} state=lost", id.job, id.attempt, task.vm);
         ends.push(job_ended(id, JobEnd::Lost));
     }
     ends
@@ -152,19 +152,19 @@
 /// Sends a command to a worker; returns no state for a task if the worker's answer has none.
 pub async fn call_worker(
     addr: SocketAddr,
-    step: TaskCommand,
+    command: TaskCommand,
     ids: Vec<TaskId>,
 ) -> Vec<(TaskId, Option<TaskState>)> {
     let worker = WorkerTasks::new(addr);
     let lease_ms = u64::try_from(TASK_LEASE.as_millis()).unwrap_or(u64::MAX);
     let call = TaskCall { tasks: ids.clone(), lease_ms };
-    let answer = match step {
+    let answer = match command {
         TaskCommand::Start => worker.start(&call).await,
         TaskCommand::Renew => worker.renew(&call).await,
         TaskCommand::Yield => worker.make_yield(&call).await,
     };
     let states = answer.unwrap_or_else(|e| {
-        log::warn!("tasks worker={addr} step={step:?} result=unknown reason=\"{e}\"");
+        log::warn!("tasks worker={addr} step={command:?} result=unknown reason=\"{e}\"");
         Vec::new()
     });
     let state = |i: usize| states.get(i).copied();
--- a/crates/steward/tests/fence_world/mod.rs
+++ b/crates/steward/tests/fence_world/mod.rs
@@ -15,7 +15,7 @@
 
 const NODES: usize = 5;
 const FENCE: Duration = Duration::from_millis(40);
-/// Shorter than the fence time, which the settings forbid, so that promises outlast this timeout.
+/// Shorter than the fence time, so that promises outlast this timeout; the settings would reject this.
 const CONTACT_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// A reply to a log read or to a heartbeat that has not been delivered yet.
--- a/crates/steward/tests/fence_world/steps.rs
+++ b/crates/steward/tests/fence_world/steps.rs
@@ -165,7 +165,7 @@
         let statements: Vec<_> = (0..NODES)
             .filter(|&i| i == by || !(self.cut[i][by] || self.nodes[i].frozen))
             .filter(|&i| self.nodes[i].state.voters.revision == voters)
-            .filter(|&i| self.nodes[i].promises.stated(now).contains(&id(target)))
+            .filter(|&i| self.nodes[i].promises.stated_gone(now).contains(&id(target)))
             .map(id)
             .collect();
         if self.nodes[by].state.voters.is_quorum(&statements) {
--- a/crates/steward/tests/promises.rs
+++ b/crates/steward/tests/promises.rs
@@ -34,8 +34,8 @@
     let id = MemberId(2);
     expect_that!(promises.on_heartbeat(id, at(0)), eq(true));
     promises.refuse_unresponsive([id].into_iter(), Duration::from_secs(1), at(2));
-    expect_that!(promises.stated(at(3)), is_empty());
-    expect_that!(promises.stated(at(4)), elements_are![eq(&id)]);
+    expect_that!(promises.stated_gone(at(3)), is_empty());
+    expect_that!(promises.stated_gone(at(4)), elements_are![eq(&id)]);
     expect_that!(promises.on_heartbeat(id, at(5)), eq(false));
 }
 
