--- a/crates/fold/src/image.rs
+++ b/crates/fold/src/image.rs
@@ -1,7 +1,7 @@
 //! The canonical encoding of the state, for snapshots and digests.
 //!
-//! The image refers to VMs by name and to pools by index, as arena keys differ between a folded and
-//! a restored state.
+//! The image refers to VMs by name and to pools by index, as the arena keys of a folded state and of a restored
+//! one differ.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/fold/src/job.rs
+++ b/crates/fold/src/job.rs
@@ -36,7 +36,7 @@
 /// A job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// The declaration of the submitter.
+    /// The specification that was submitted.
     pub spec: JobSpec,
     /// The state of the job.
     pub state: JobState,
@@ -90,8 +90,8 @@
         job.starts = start.attempt;
         job.by = Some(start.by);
         job.state = JobState::Running(start.vm.clone());
-        let waiting = (spec.urgency, job.submitted, spec.name.clone());
-        self.waiting_jobs.remove(&waiting);
+        let queue_key = (spec.urgency, job.submitted, spec.name.clone());
+        self.waiting_jobs.remove(&queue_key);
         self.vms[key].job_slots += u32::from(spec.slots);
         self.running_jobs.insert((start.vm.clone(), spec.name));
         Ok(())
@@ -133,10 +133,10 @@
             JobEnd::Failed | JobEnd::Lost | JobEnd::Yielded if is_repeatable => JobState::Waiting,
             JobEnd::Failed | JobEnd::Lost | JobEnd::Yielded => JobState::Failed,
         };
-        let waiting = job.state == JobState::Waiting;
-        let entry = (job.spec.urgency, job.submitted, name.clone());
-        if waiting {
-            self.waiting_jobs.insert(entry);
+        let is_waiting = job.state == JobState::Waiting;
+        let queue_key = (job.spec.urgency, job.submitted, name.clone());
+        if is_waiting {
+            self.waiting_jobs.insert(queue_key);
         } else {
             self.record_ended_job(name);
         }
@@ -153,8 +153,8 @@
             if job.state != JobState::Waiting {
                 continue;
             }
-            let entry = (job.spec.urgency, job.submitted, name.clone());
-            self.waiting_jobs.remove(&entry);
+            let queue_key = (job.spec.urgency, job.submitted, name.clone());
+            self.waiting_jobs.remove(&queue_key);
             self.job_mut(name)?.state = JobState::Cancelled;
             self.record_ended_job(name);
         }
--- a/crates/fold/src/member.rs
+++ b/crates/fold/src/member.rs
@@ -14,16 +14,16 @@
 /// The maximum number of voters in a set.
 pub const MAX_VOTERS: usize = 7;
 
-/// The time after the wall clock of a reset from which claims are trusted again, in milliseconds;
-/// it allows for clock skew.
+/// How long after a reset, by its wall-clock time, claims are trusted again, in milliseconds; this allows
+/// for clock skew.
 pub const RESET_SKEW_MS: u64 = 5_000;
 
 /// The state of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
-    /// The member takes part.
+    /// The member has joined.
     Joined,
-    /// A quorum stated that the member has no promise; its acknowledgements are required until the
+    /// A quorum of the voters stated that the member is gone; its acknowledgements are required until the
     /// fence time has passed.
     Gone,
 }
@@ -133,11 +133,11 @@
     }
 
     fn expect_voters_revision(&self, base: Revision) -> Result<(), Reject> {
-        let present = self.voters.revision;
-        if base == present {
+        let current = self.voters.revision;
+        if base == current {
             return Ok(());
         }
-        Err(Reject::Stale { what: "the set of voters".to_owned(), base, present })
+        Err(Reject::Stale { what: "the set of voters".to_owned(), base, current })
     }
 
     fn check_voter_set(&self, voters: &[MemberId]) -> Result<(), Reject> {
--- a/crates/fold/src/operator.rs
+++ b/crates/fold/src/operator.rs
@@ -16,8 +16,8 @@
         template: &Template,
     ) -> Result<(), Reject> {
         template.check().map_err(Reject::Invalid)?;
-        let present = self.templates.get(name).map_or(Revision::NONE, |t| t.revision);
-        expect_revision("the template", name.as_str(), base, present)?;
+        let current = self.templates.get(name).map_or(Revision::NONE, |t| t.revision);
+        expect_revision("the template", name.as_str(), base, current)?;
         let revision = self.next_revision();
         let entry = TemplateEntry { revision, template: Arc::new(template.clone()) };
         self.templates.insert(name.clone(), entry);
@@ -40,8 +40,8 @@
             return Err(Reject::NoSuchTemplate(workspace.template.clone()));
         }
         let existing = self.pool_keys.get(name).copied();
-        let present = existing.map_or(Revision::NONE, |key| self.pools[key].revision);
-        expect_revision("the workspace", name.as_str(), base, present)?;
+        let current = existing.map_or(Revision::NONE, |key| self.pools[key].revision);
+        expect_revision("the workspace", name.as_str(), base, current)?;
         let key = existing.unwrap_or_else(|| self.insert_pool(name, workspace));
         let revision = self.next_revision();
         let pool = &mut self.pools[key];
@@ -63,8 +63,8 @@
         base: Revision,
         slots: u32,
     ) -> Result<(), Reject> {
-        let present = self.quotas.get(team).map_or(Revision::NONE, |q| q.revision);
-        expect_revision("the quota of", team.as_str(), base, present)?;
+        let current = self.quotas.get(team).map_or(Revision::NONE, |q| q.revision);
+        expect_revision("the quota of", team.as_str(), base, current)?;
         let revision = self.next_revision();
         let used = self.quotas.get(team).map_or(0, |q| q.used);
         self.quotas.insert(team.clone(), Quota { revision, slots, used });
@@ -82,10 +82,10 @@
     kind: &str,
     name: &str,
     base: Revision,
-    present: Revision,
+    current: Revision,
 ) -> Result<(), Reject> {
-    if base == present {
+    if base == current {
         return Ok(());
     }
-    Err(Reject::Stale { what: format!("{kind} '{name}'"), base, present })
+    Err(Reject::Stale { what: format!("{kind} '{name}'"), base, current })
 }
--- a/crates/fold/src/reject.rs
+++ b/crates/fold/src/reject.rs
@@ -18,7 +18,7 @@
         /// The revision on which the change is based.
         base: Revision,
         /// The current revision.
-        present: Revision,
+        current: Revision,
     },
     /// A parameter is out of range.
     Invalid(ParameterError),
@@ -81,10 +81,12 @@
 impl fmt::Display for Reject {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Duplicate => write!(f, "the record was taken before; nothing is to be done"),
-            Self::Stale { what, base, present } => write!(
+            Self::Duplicate => {
+                write!(f, "a copy of the record was read before: there is nothing to do")
+            }
+            Self::Stale { what, base, current } => write!(
                 f,
-                "{what} is at revision {present} and the change was made from {base}: look at it again and repeat the change"
+                "{what} is at revision {current} and the change was made from {base}: check the current state and repeat the change"
             ),
             Self::Invalid(e) => e.fmt(f),
             Self::NoSuchTemplate(n) => write!(f, "no template '{n}': publish it first"),
@@ -94,7 +96,7 @@
             Self::NoSuchJob(n) => write!(f, "no job '{n}': see 'thistle job list'"),
             Self::BudgetSpent { pool, available, floor } => write!(
                 f,
-                "the availability budget of '{pool}' is spent ({available} VMs available, {floor} must stay): wait for one to come back or raise max_unavailable"
+                "the availability budget of '{pool}' is spent ({available} VMs available, {floor} must stay): wait for one to return to service or raise max_unavailable"
             ),
             Self::WrongStage { vm, stage } => {
                 write!(f, "the VM '{vm}' is {stage}: wait, or take the step that fits this stage")
@@ -104,10 +106,13 @@
                 for (i, id) in ids.iter().enumerate() {
                     write!(f, "{}{id}", if i == 0 { "" } else { ", " })?;
                 }
-                write!(f, ": wait, or see 'thistle status' for silent members")
+                write!(f, ": wait, or see 'thistle status' for members shown as silent")
             }
             Self::JobsRunning(vm, n) => write!(f, "{n} jobs run on '{vm}': wait for them to end"),
-            Self::NoQuorum => write!(f, "not a quorum of the present voters: ask them again"),
+            Self::NoQuorum => write!(
+                f,
+                "the statements are not from a quorum of the current voters: collect them again"
+            ),
             Self::WrongMemberState(id) => {
                 write!(f, "the member {id} is not in the state for this step: see 'thistle status'")
             }
--- a/crates/fold/src/vm.rs
+++ b/crates/fold/src/vm.rs
@@ -249,9 +249,9 @@
     /// Returns the key of the named VM, or an error if its revision is not `base`.
     fn vm_at_revision(&self, name: &VmName, base: Revision) -> Result<VmKey, Reject> {
         let key = self.vm_key(name)?;
-        let present = self.vms[key].revision;
-        if present != base {
-            return Err(Reject::Stale { what: format!("the VM '{name}'"), base, present });
+        let current = self.vms[key].revision;
+        if current != base {
+            return Err(Reject::Stale { what: format!("the VM '{name}'"), base, current });
         }
         Ok(key)
     }
--- a/crates/fold/src/wave.rs
+++ b/crates/fold/src/wave.rs
@@ -1,4 +1,4 @@
-//! The maintenance wave: maintains every VM once, as many at a time as the budgets allow.
+//! The maintenance wave, in which every VM is maintained once, as many at a time as the budgets allow.
 
 use serde::{Deserialize, Serialize};
 use thistle_model::Revision;
--- a/crates/fold/tests/random.rs
+++ b/crates/fold/tests/random.rs
@@ -69,7 +69,7 @@
 enum Fault {
     None,
     Stale,
-    Doubled,
+    Duplicate,
     Malformed,
 }
 
@@ -114,7 +114,7 @@
     prop_oneof![
         12 => Just(Fault::None),
         3 => Just(Fault::Stale),
-        2 => Just(Fault::Doubled),
+        2 => Just(Fault::Duplicate),
         1 => Just(Fault::Malformed),
     ]
 }
@@ -226,7 +226,7 @@
         *seq += 1;
         let id = RecordId { writer: writer + 100, seq: *seq };
         let mut record = Record { id, at_ms: n as u64, change: change(seen, step) };
-        if let (Fault::Doubled, Some(r)) = (fault, &last) {
+        if let (Fault::Duplicate, Some(r)) = (fault, &last) {
             record = r.clone();
         }
         if matches!(fault, Fault::Malformed) {
@@ -251,11 +251,14 @@
         return;
     }
     for (name, t) in &before.templates {
-        assert!(after.templates[name].revision >= t.revision, "a template went back");
+        assert!(
+            after.templates[name].revision >= t.revision,
+            "the revision of a template decreased"
+        );
     }
     for (key, pool) in &before.pools {
         let now = &after.pools[key];
-        assert!(now.revision >= pool.revision, "a workspace went back");
+        assert!(now.revision >= pool.revision, "the revision of a workspace decreased");
         let fell = now.available < pool.available;
         let held = !is_system_decision(&record.change) || !fell || now.available >= now.floor();
         assert!(held, "{:?} took a pool below its floor", record.change);
--- a/crates/fold/tests/steps.rs
+++ b/crates/fold/tests/steps.rs
@@ -81,7 +81,7 @@
     let old = log.state.voters.revision;
     let next = (3..=5).map(MemberId).collect();
     log.accept(Change::VotersProposed { base: old, voters: next });
-    let present = log.state.voters.revision;
+    let current = log.state.voters.revision;
     let gone = |voters, statements: &[u64]| Change::MemberGone {
         member: MemberId(1),
         voters,
@@ -89,9 +89,9 @@
     };
     // The old revision is rejected, and so is a majority of only one of the two sets.
     expect_that!(log.apply(gone(old, &[2, 3])).result, err(matches_pattern!(Reject::Stale { .. })));
-    expect_that!(log.apply(gone(present, &[3, 4, 5])).result, err(eq(&Reject::NoQuorum)));
-    expect_that!(log.apply(gone(present, &[2, 3])).result, err(eq(&Reject::NoQuorum)));
-    expect_that!(log.apply(gone(present, &[2, 3, 4])).result, ok(anything()));
+    expect_that!(log.apply(gone(current, &[3, 4, 5])).result, err(eq(&Reject::NoQuorum)));
+    expect_that!(log.apply(gone(current, &[2, 3])).result, err(eq(&Reject::NoQuorum)));
+    expect_that!(log.apply(gone(current, &[2, 3, 4])).result, ok(anything()));
 }
 
 #[gtest]
