--- a/crates/plan/src/scope.rs
+++ b/crates/plan/src/context.rs
@@ -1,4 +1,4 @@
-//! The state and the counts that a planning step updates with each proposal.
+//! The data of a planning step: the state, and the counts that are updated with each proposal.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,7 @@
 use thistle_model::{DrainReason, HallName};
 
 /// The data of a planning step.
-pub(crate) struct Scope<'a> {
+pub(crate) struct PlanContext<'a> {
     /// The agreed state.
     pub state: &'a State,
     /// For each pool, the number of VMs that may still be taken out of service.
@@ -18,7 +18,7 @@
     pub used: BTreeSet<VmKey>,
 }
 
-impl<'a> Scope<'a> {
+impl<'a> PlanContext<'a> {
     /// Creates the data of a planning step from the state.
     pub fn new(state: &'a State) -> Self {
         let mut slack = SecondaryMap::new();
--- a/crates/plan/src/explain.rs
+++ b/crates/plan/src/explain.rs
@@ -3,7 +3,7 @@
 use thistle_fold::{Stage, State, VmKey};
 use thistle_model::PlatformStatus;
 
-use crate::scope::Scope;
+use crate::context::PlanContext;
 use crate::wave::hall_allows;
 
 /// Returns the reasons why a VM cannot leave its pool for maintenance now, each with its remedy;
@@ -16,7 +16,7 @@
         reasons.push(format!("it is {} already", vm.stage.describe()));
     }
     if vm.status == PlatformStatus::Leaving {
-        reasons.push("the platform is taking it away: nothing is to be done".to_owned());
+        reasons.push("the platform is removing it: there is nothing to do".to_owned());
     }
     if let Err(e) = state.check_budget(key) {
         reasons.push(e.to_string());
@@ -27,8 +27,8 @@
             pool.label()
         ));
     }
-    let scope = Scope::new(state);
-    if vm.pool != state.reserve && !hall_allows(&scope, vm) {
+    let context = PlanContext::new(state);
+    if vm.pool != state.reserve && !hall_allows(&context, vm) {
         reasons.push(format!(
             "VMs of '{}' in another data hall are out for maintenance: wait for them",
             pool.label()
@@ -36,7 +36,7 @@
     }
     if vm.job_slots > 0 {
         reasons.push(format!(
-            "{} slots run jobs: it can be drained, and leaves when they end",
+            "jobs use {} of its slots: it can be drained now and leaves when they end",
             vm.job_slots
         ));
     }
--- a/crates/plan/src/progress.rs
+++ b/crates/plan/src/progress.rs
@@ -3,12 +3,12 @@
 use thistle_fold::{Stage, Vm};
 use thistle_model::{Change, DrainReason};
 
+use crate::context::PlanContext;
 use crate::proposal::Proposal;
-use crate::scope::Scope;
 
 /// Proposes the next step of each drained VM.
-pub(crate) fn advance(scope: &Scope<'_>, proposals: &mut Vec<Proposal>) {
-    let unused = scope.state.vms.iter().filter(|(key, _)| !scope.used.contains(key));
+pub(crate) fn advance(context: &PlanContext<'_>, proposals: &mut Vec<Proposal>) {
+    let unused = context.state.vms.iter().filter(|(key, _)| !context.used.contains(key));
     proposals.extend(unused.filter_map(|(_, vm)| next_step(vm)));
 }
 
@@ -23,12 +23,12 @@
         }
         DrainReason::Move(to) => {
             let to = Some(to.clone());
-            let why = format!("it is drained for {}", vm.stage.describe());
+            let why = format!("it is {}", vm.stage.describe());
             (Change::Assign { vm: name, base, to }, "assign", why)
         }
         DrainReason::Surplus => {
             let change = Change::Assign { vm: name, base, to: None };
-            (change, "assign", "its pool has more VMs than it should".to_owned())
+            (change, "assign", "its pool has more VMs than its target".to_owned())
         }
         DrainReason::Operator => return None,
     };
--- a/crates/plan/src/recover.rs
+++ b/crates/plan/src/recover.rs
@@ -3,12 +3,12 @@
 use thistle_fold::{Stage, Vm, VmKey};
 use thistle_model::{Change, PlatformStatus};
 
+use crate::context::PlanContext;
 use crate::proposal::Proposal;
-use crate::scope::Scope;
 
 /// Proposes to return draining and drained VMs to service in pools that are below their floor.
-pub(crate) fn give_back(scope: &mut Scope<'_>, proposals: &mut Vec<Proposal>) {
-    let state = scope.state;
+pub(crate) fn give_back(context: &mut PlanContext<'_>, proposals: &mut Vec<Proposal>) {
+    let state = context.state;
     let mut below_floor: Vec<_> = state
         .pools
         .iter()
@@ -25,7 +25,7 @@
         if *missing > 0 && is_returnable(vm) {
             *missing -= 1;
             proposals.push(propose(vm));
-            mark_used(scope, key);
+            mark_used(context, key);
         }
     }
 }
@@ -35,8 +35,8 @@
     is_leaving_service && vm.status == PlatformStatus::Live && !vm.cordoned
 }
 
-fn mark_used(scope: &mut Scope<'_>, key: VmKey) {
-    scope.used.insert(key);
+fn mark_used(context: &mut PlanContext<'_>, key: VmKey) {
+    context.used.insert(key);
 }
 
 fn propose(vm: &Vm) -> Proposal {
--- a/crates/plan/src/spread.rs
+++ b/crates/plan/src/spread.rs
@@ -5,7 +5,7 @@
 use thistle_fold::{PoolKey, State, Vm};
 use thistle_model::{HallName, RackName};
 
-use crate::scope::counts_towards_target;
+use crate::context::counts_towards_target;
 
 /// The number of a pool's VMs by data hall and rack.
 #[derive(Default)]
@@ -30,8 +30,8 @@
         *self.racks.entry(vm.facts.rack.clone()).or_default() += 1;
     }
 
-    /// Returns the counts in a VM's hall and rack; the VM with the least counts is the best one to
-    /// add.
+    /// Returns the counts in a VM's hall and rack. The VM with the lowest counts is the best one to add
+    /// to the pool.
     pub fn hall_and_rack_counts(&self, vm: &Vm) -> (u32, u32) {
         let rack = self.racks.get(&vm.facts.rack).copied().unwrap_or(0);
         let hall = self.halls.get(&vm.facts.hall).copied().unwrap_or(0);
--- a/crates/plan/tests/plan.rs
+++ b/crates/plan/tests/plan.rs
@@ -72,8 +72,9 @@
 }
 
 fn in_pool(state: &State) -> Vec<usize> {
-    let named = |i: &usize| state.vm_key(&vm(*i)).is_ok_and(|k| state.vms[k].pool != state.reserve);
-    (0..20).filter(named).collect()
+    let is_in_pool =
+        |i: &usize| state.vm_key(&vm(*i)).is_ok_and(|k| state.vms[k].pool != state.reserve);
+    (0..20).filter(is_in_pool).collect()
 }
 
 fn remove_vm(state: &mut State, i: usize) {
