--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -56,7 +56,7 @@
 
     /// Returns the status, preferably from a voter, because voters receive the heartbeats of all members.
     pub async fn status(&self) -> Result<StatusInfo, Error> {
-        let mut any: Result<StatusInfo, Error> = Err(Error::NoStewards);
+        let mut fallback: Result<StatusInfo, Error> = Err(Error::NoStewards);
         for connection in &self.connections {
             match call_one(connection, &|c: OperatorClient, cx| async move { c.status(cx).await })
                 .await
@@ -64,12 +64,12 @@
                 Ok(status) if status.members.iter().any(|m| m.id == status.member && m.voter) => {
                     return Ok(status);
                 }
-                Ok(status) => any = Ok(status),
-                Err(e) if any.is_err() => any = Err(Error::Unreachable(e)),
+                Ok(status) => fallback = Ok(status),
+                Err(e) if fallback.is_err() => fallback = Err(Error::Unreachable(e)),
                 Err(_) => {}
             }
         }
-        any
+        fallback
     }
 
     /// Returns all templates.
--- a/crates/cli/src/cmd/status.rs
+++ b/crates/cli/src/cmd/status.rs
@@ -24,10 +24,10 @@
     let duty = s.duty.map_or_else(|| "nobody".to_owned(), |id| id.to_string());
     let voters = if s.voters_changing { "changing: take no voter down" } else { "settled" };
     vec![
-        format!("asked {}, on duty {duty}", s.member),
+        format!("answered by {}, on duty {duty}", s.member),
         format!("voters {voters}"),
         format!("log {log}, folded to offset {}, malformed entries {}", s.offset, s.malformed),
-        format!("VMs {}, fit spares in the reserve {}", s.vms, s.reserve),
+        format!("VMs {}, available spares in the reserve {}", s.vms, s.reserve),
         format!("wave {}: {} VMs left, {} under way", s.wave.number, s.wave.left, s.wave.under_way),
     ]
 }
