--- a/crates/e2e/tests/faults.rs
+++ b/crates/e2e/tests/faults.rs
@@ -174,16 +174,16 @@
     cluster.workers[0].kill();
     let listener = std::net::TcpListener::bind(cluster.net.worker(0)).unwrap();
     std::thread::spawn(move || answer_everything_twice(&listener));
-    let mut whole = 0;
+    let mut complete = 0;
     for n in 0..200 {
         let answer = cluster.get(0, &format!("n={n}")).expect("an answer");
         if answer.status == 200 {
             expect_that!(answer.body, eq(&format!("/quotes/price?n={n}")));
-            whole += 1;
+            complete += 1;
         }
         std::thread::sleep(Duration::from_millis(n % 4));
     }
-    expect_that!(whole, gt(20));
+    expect_that!(complete, gt(20));
 }
 
 #[gtest]
--- a/crates/e2e/tests/path.rs
+++ b/crates/e2e/tests/path.rs
@@ -31,8 +31,8 @@
     cluster.thistle_ok(&["template", "publish", "quotes", &old]);
     let list = cluster.thistle_json(&["template", "list"]).unwrap();
     let base = list[0]["revision"].as_u64().unwrap().to_string();
-    let faster = cluster::settings::TEMPLATE.replace("deadline_ms: 5000", "deadline_ms: 4000");
-    let file = cluster.write("new.yaml", &faster);
+    let changed = cluster::settings::TEMPLATE.replace("deadline_ms: 5000", "deadline_ms: 4000");
+    let file = cluster.write("new.yaml", &changed);
     cluster.thistle_ok(&["template", "publish", "quotes", &file, "--base", &base]);
     let (code, text) = cluster.thistle(&["template", "publish", "quotes", &old, "--base", &base]);
     expect_that!(code, eq(5));
