--- a/crates/entry/src/parse.rs
+++ b/crates/entry/src/parse.rs
@@ -150,6 +150,6 @@
     }
 }
 
-fn bad_request(remedy: impl Into<String>) -> BadRequest {
-    BadRequest(remedy.into())
+fn bad_request(detail: impl Into<String>) -> BadRequest {
+    BadRequest(detail.into())
 }
--- a/crates/entry/src/sending.rs
+++ b/crates/entry/src/sending.rs
@@ -17,7 +17,7 @@
 use crate::backend::{Answer, ExchangeError, ExchangePlan};
 use crate::context::InFlight;
 use crate::decision_log;
-use crate::forward::{Forward, RETRY_AFTER};
+use crate::forward::{ActiveRequest, RETRY_AFTER};
 use crate::parse::{DEADLINE, REQUEST_ID};
 
 /// Header by which a backend server states that it did not run a request.
@@ -37,7 +37,7 @@
     Refused(Refusal),
 }
 
-impl Forward {
+impl ActiveRequest {
     /// Sends the request to a VM and waits for the complete answer.
     pub async fn send(&self, pending: Pending, in_flight: InFlight) -> SendOutcome {
         let Some((plan, gate)) = self.exchange_plan(in_flight.vm(), pending.sends()) else {
--- a/crates/fold/src/reject.rs
+++ b/crates/fold/src/reject.rs
@@ -18,7 +18,7 @@
         /// The revision on which the change is based.
         base: Revision,
         /// The current revision.
-        present: Revision,
+        current: Revision,
     },
     /// A parameter is out of range.
     Invalid(ParameterError),
@@ -81,10 +81,12 @@
 impl fmt::Display for Reject {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Duplicate => write!(f, "the record was taken before; nothing is to be done"),
-            Self::Stale { what, base, present } => write!(
+            Self::Duplicate => {
+                write!(f, "the record was taken before; nothing is to be done")
+            }
+            Self::Stale { what, base, current } => write!(
                 f,
-                "{what} is at revision {present} and the change was made from {base}: look at it again and repeat the change"
+                "{what} is at revision {current} and the change was made from {base}: look at it again and repeat the change"
             ),
             Self::Invalid(e) => e.fmt(f),
             Self::NoSuchTemplate(n) => write!(f, "no template '{n}': publish it first"),
--- a/crates/plan/src/explain.rs
+++ b/crates/plan/src/explain.rs
@@ -3,7 +3,7 @@
 use thistle_fold::{Stage, State, VmKey};
 use thistle_model::PlatformStatus;
 
-use crate::scope::Scope;
+use crate::context::PlanContext;
 use crate::wave::hall_allows;
 
 /// Returns the reasons why a VM cannot leave its pool for maintenance now, each with its remedy;
@@ -27,8 +27,8 @@
             pool.label()
         ));
     }
-    let scope = Scope::new(state);
-    if vm.pool != state.reserve && !hall_allows(&scope, vm) {
+    let context = PlanContext::new(state);
+    if vm.pool != state.reserve && !hall_allows(&context, vm) {
         reasons.push(format!(
             "VMs of '{}' in another data hall are out for maintenance: wait for them",
             pool.label()
