--- a/crates/schedule/src/ownership.rs
+++ b/crates/schedule/src/ownership.rs
@@ -1,13 +1,14 @@
-//! One node's view of which node owns which pool, by the records that nodes write to the store.
+//! One node's view of which node owns which shard, by the records that nodes write to the store. A shard is what a node can
+//! own: a pool, the fleet or the caps.
 //!
-//! A node becomes the owner of a pool by a conditional append. The offset of that record determines its token, so tokens
-//! only increase. Ownership changes only if the owner released the pool, was restarted, or was unresponsive for longer than
+//! A node becomes the owner of a shard by a conditional append. The offset of that record determines its token, so tokens
+//! only increase. Ownership changes only if the owner released the shard, was restarted, or was unresponsive for longer than
 //! its own lease lasts. The store alone decides who is the owner, not this module.
 
-mod readers;
+mod standbys;
 mod vacancy;
 
-pub use readers::READERS;
+pub use standbys::STANDBYS;
 use vacancy::EndedOwner;
 
 use std::collections::{HashMap, HashSet};
@@ -20,12 +21,12 @@
 use crate::Ms;
 
 /// How long a node may act as owner after it sent a heartbeat that the store accepted, in milliseconds. A longer lease
-/// tolerates longer outages; a shorter one moves pools away from dead nodes sooner.
+/// tolerates longer outages; a shorter one moves shards away from dead nodes sooner.
 pub const OWNER_LEASE_MS: Ms = 2_200;
-/// How long a node must be unresponsive before other nodes claim its pools, in milliseconds: its lease, the longest time
+/// How long a node must be unresponsive before other nodes claim its shards, in milliseconds: its lease, the longest time
 /// between two reads of the heartbeats, and a margin for clocks that differ by 2%.
 pub const UNRESPONSIVE_MS: Ms = 2_700;
-/// How long a member counts as alive after its last heartbeat, in milliseconds. Members without pools send few heartbeats.
+/// How long a member counts as alive after its last heartbeat, in milliseconds. Members without shards send few heartbeats.
 const ALIVE_MS: Ms = 7_500;
 /// The time between two reads of the heartbeats after which all timeouts are reset, in milliseconds: a little more than the
 /// usual time between two reads.
@@ -44,12 +45,12 @@
     pub incarnation: u64,
 }
 
-/// The record that a node writes to claim a pool or to release it.
+/// The record that a node writes to claim a shard or to release it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The owner.
     pub owner: NodeIncarnation,
-    /// Whether the owner has released the pool.
+    /// Whether the owner has released the shard.
     pub released: bool,
 }
 
@@ -61,7 +62,7 @@
     pub incarnation: u64,
     /// The sequence number, increasing with each heartbeat of the incarnation.
     pub sequence: u64,
-    /// Whether the node is about to stop and claims no pools.
+    /// Whether the node is about to stop and claims no shards.
     pub leaving: bool,
     /// The address at which it relays calls to the store for other nodes, if it does.
     #[serde(default)]
@@ -81,14 +82,14 @@
     last_contact: Ms,
 }
 
-/// The newest claim of a pool that this node has read.
+/// The newest claim of a shard that this node has read.
 #[derive(Clone, Debug)]
 struct NewestClaim {
     claim: Claim,
     token: u64,
     /// When the claim was read, or when all timeouts were last reset.
     seen_at: Ms,
-    /// Whether the previous owner released the pool, instead of losing it to this claim.
+    /// Whether the previous owner released the shard, instead of losing it to this claim.
     was_released: bool,
 }
 
@@ -103,9 +104,9 @@
     claims: HashMap<Arc<str>, NewestClaim>,
     /// The pools whose progress may be in overflow partitions.
     overflow_partitions: HashSet<Arc<str>>,
-    /// The time since which each vacant pool is known to have no owner.
+    /// The time since which each vacant shard is known to have no owner.
     vacant_since: HashMap<Arc<str>, Ms>,
-    /// The last owner of each pool on this node that ended by itself, without losing the pool.
+    /// The last owner of each shard on this node that ended by itself, without losing the shard.
     ended_owners: HashMap<Arc<str>, EndedOwner>,
 }
 
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Returns whether the heartbeat of some other node that owns a pool is overdue.
+    /// Returns whether the heartbeat of some other node that owns a shard is overdue.
     pub fn has_overdue_owner(&self, now: Ms) -> bool {
         let is_overdue = |newest: &NewestClaim| {
             let contact = self.members.get(&newest.claim.owner.name).map_or(0, |m| m.last_contact);
@@ -188,20 +189,20 @@
     }
 
     /// Records a claim that was read, with the offset of its record.
-    pub fn record_claim(&mut self, pool: &Arc<str>, claim: Claim, offset: u64, now: Ms) {
+    pub fn record_claim(&mut self, shard: &Arc<str>, claim: Claim, offset: u64, now: Ms) {
         let token = token_of(offset);
-        let known = self.claims.get(pool);
+        let known = self.claims.get(shard);
         if known.is_some_and(|o| o.token >= token) {
             return;
         }
-        // A node that was wrongly considered dead may release a pool that it no longer owns.
+        // A node that was wrongly considered dead may release a shard that it no longer owns.
         if claim.released && known.is_some_and(|o| o.claim.owner != claim.owner) {
             return;
         }
         let was_released = known.is_some_and(|o| o.claim.released);
-        self.vacant_since.remove(pool);
+        self.vacant_since.remove(shard);
         let newest = NewestClaim { claim, token, seen_at: now, was_released };
-        self.claims.insert(pool.clone(), newest);
+        self.claims.insert(shard.clone(), newest);
     }
 
     /// Records whether a pool's progress may be in overflow partitions.
@@ -222,9 +223,9 @@
         self.overflow_partitions.contains(pool)
     }
 
-    /// Returns a pool's owner, its token, and whether it has released the pool.
-    pub fn owner(&self, pool: &str) -> Option<(&NodeIncarnation, u64, bool)> {
-        self.claims.get(pool).map(|o| (&o.claim.owner, o.token, o.claim.released))
+    /// Returns a shard's owner, its token, and whether it has released the shard.
+    pub fn owner(&self, shard: &str) -> Option<(&NodeIncarnation, u64, bool)> {
+        self.claims.get(shard).map(|o| (&o.claim.owner, o.token, o.claim.released))
     }
 
     /// Returns the relay address of a pool's owner, if the owner is another node and a heartbeat of its current incarnation
@@ -238,20 +239,20 @@
         member.relay.filter(|_| other && is_running)
     }
 
-    /// Returns whether the predecessor of a pool's current owner released the pool.
-    pub fn was_released(&self, pool: &str) -> bool {
-        self.claims.get(pool).is_some_and(|o| o.was_released)
+    /// Returns whether the predecessor of a shard's current owner released the shard.
+    pub fn was_released(&self, shard: &str) -> bool {
+        self.claims.get(shard).is_some_and(|o| o.was_released)
     }
 
-    /// Returns this node's token for a pool, if the newest claim read is its own and no owner has already used the token and
+    /// Returns this node's token for a shard, if the newest claim read is its own and no owner has already used the token and
     /// ended.
-    pub fn my_token(&self, pool: &str) -> Option<u64> {
-        let newest = self.claims.get(pool)?;
+    pub fn my_token(&self, shard: &str) -> Option<u64> {
+        let newest = self.claims.get(shard)?;
         let mine = newest.claim.owner == self.me && !newest.claim.released;
-        (mine && !self.is_spent(pool, newest.token)).then_some(newest.token)
+        (mine && !self.is_spent(shard, newest.token)).then_some(newest.token)
     }
 
-    /// Returns whether this node owns any pool, by the claims that it has read.
+    /// Returns whether this node owns any shard, by the claims that it has read.
     pub fn owns_any(&self) -> bool {
         self.claims.values().any(|o| o.claim.owner == self.me && !o.claim.released)
     }
--- a/crates/schedule/src/ownership/readers.rs
+++ b/crates/schedule/src/ownership/standbys.rs
@@ -1,9 +1,8 @@
-//! The readers of a pool, which are the standby nodes that follow its records besides its owner, and the nodes that all
-//! others query.
+//! The standbys of a pool: the nodes that follow its records besides its owner, and that all other nodes query.
 //!
 //! Load pattern: all nodes of a large site lose power and restart within 100 ms, with thousands of stored jobs. If each node
 //! reads every pool, the load on the store grows with nodes times jobs: 97 nodes request 1.25 GB from a store that reads
-//! 80 MB a second, time out before the pages arrive, and retry without end. With a fixed number of readers the load grows
+//! 80 MB a second, time out before the pages arrive, and retry without end. With a fixed number of standbys the load grows
 //! with the number of jobs alone.
 
 use std::net::SocketAddr;
@@ -14,19 +13,18 @@
 use crate::Ms;
 
 /// The number of nodes that read a pool's records besides its owner. The smallest sites have as many nodes: every node there
-/// is a reader, so that the remaining nodes can bear the loss of any number of others. Eight readers of five pools of 3 MB
+/// is a standby, so that the remaining nodes can bear the loss of any number of others. Eight standbys of five pools of 3 MB
 /// take 1.5 s of the store's 80 MB a second.
-pub const READERS: usize = 8;
+pub const STANDBYS: usize = 8;
 /// How long a node waits after its start before it reads pools that it does not own, in milliseconds. This leaves the store
 /// to owners: a restarted owner reads its pool of 3 MB over 20 Mbit/s in 1.2 s.
 const READ_DELAY_MS: Ms = 2_000;
-/// The number of readers to query after the owner. If two live readers do not answer, a third is unlikely to help.
-const QUERIED_READERS: usize = 2;
+/// The number of standbys to query after the owner. If two live standbys do not answer, a third is unlikely to help.
+const QUERIED_STANDBYS: usize = 2;
 
 impl Ownership {
-    /// Returns whether this node reads the records of a pool that it does not own, or `None` while it cannot receive
-    /// heartbeats.
-    pub fn is_reader(&self, pool: &str, now: Ms) -> Option<bool> {
+    /// Returns whether this node is a standby of a pool that it does not own, or `None` while it cannot receive heartbeats.
+    pub fn is_standby(&self, pool: &str, now: Ms) -> Option<bool> {
         if now < self.started_at + READ_DELAY_MS {
             return Some(false);
         }
@@ -36,25 +34,25 @@
         let me = &self.me.name;
         let slow_below = self.slow_below();
         let my_speed = self.members.get(me).map_or(0, |m| m.speed);
-        let mine = reading_rank(pool, me, my_speed < slow_below);
+        let mine = standby_rank(pool, me, my_speed < slow_below);
         let others = self.live_members(now).filter(|(name, _)| name != me);
-        let ranks = others.map(|(name, m)| reading_rank(pool, name, m.speed < slow_below));
-        Some(ranks.filter(|rank| *rank < mine).count() < READERS)
+        let ranks = others.map(|(name, m)| standby_rank(pool, name, m.speed < slow_below));
+        Some(ranks.filter(|rank| *rank < mine).count() < STANDBYS)
     }
 
-    /// Returns the addresses of the readers to query about a pool's jobs if its owner does not answer.
-    pub fn readers_to_query(&self, pool: &str, now: Ms) -> Vec<SocketAddr> {
+    /// Returns the addresses of the standbys to query about a pool's jobs if its owner does not answer.
+    pub fn standbys_to_query(&self, pool: &str, now: Ms) -> Vec<SocketAddr> {
         let owner = self.relay_of_owner(pool);
         let slow_below = self.slow_below();
         let mut others: Vec<_> = self
             .live_members(now)
             .filter(|(name, m)| *name != self.me.name && m.relay != owner)
             .filter_map(|(name, m)| {
-                Some((reading_rank(pool, name, m.speed < slow_below), m.relay?))
+                Some((standby_rank(pool, name, m.speed < slow_below), m.relay?))
             })
             .collect();
         others.sort_unstable();
-        others.into_iter().map(|(_, relay)| relay).take(QUERIED_READERS).collect()
+        others.into_iter().map(|(_, relay)| relay).take(QUERIED_STANDBYS).collect()
     }
 
     /// Returns the members that are alive and not about to stop.
@@ -65,8 +63,8 @@
     }
 }
 
-/// Returns a node's rank among the readers of a pool. It is the same on all nodes and matches the order in which nodes claim
+/// Returns a node's rank among the standbys of a pool. It is the same on all nodes and matches the order in which nodes claim
 /// the pool.
-fn reading_rank(pool: &str, name: &str, slow: bool) -> (bool, u64) {
+fn standby_rank(pool: &str, name: &str, slow: bool) -> (bool, u64) {
     (slow, weight(format!("{pool}/{name}").as_bytes(), 0))
 }
--- a/crates/schedule/src/ownership/vacancy.rs
+++ b/crates/schedule/src/ownership/vacancy.rs
@@ -1,4 +1,4 @@
-//! Which pools a node claims, and when: pools that never had an owner, that were released, whose owner is unresponsive or
+//! Which shards a node claims, and when: shards that never had an owner, that were released, whose owner is unresponsive or
 //! restarted, or whose owner on this node has ended by itself.
 
 use std::sync::Arc;
@@ -8,29 +8,29 @@
 use super::{ALIVE_MS, Member, NewestClaim, Ownership, UNRESPONSIVE_MS};
 use crate::Ms;
 
-/// How long the second-best node waits for the best one to claim a pool, in milliseconds. Each further node waits this much
+/// How long the second-best node waits for the best one to claim a shard, in milliseconds. Each further node waits this much
 /// longer.
 const RANK_STEP_MS: Ms = 400;
-/// The number of pools that a node with less than half the speed of the fastest one is counted as owning in addition. An
+/// The number of shards that a node with less than half the speed of the fastest one is counted as owning in addition. An
 /// owner of 100 VMs or more uses an eighth of a core, which is all that some nodes have. With 350 VMs this lowers the median
 /// time from submission to the first start from 788 ms to 55 ms.
 const SLOW_NODE_PENALTY: usize = 3;
-/// How long a new node reads heartbeats before it claims pools that never had an owner, in milliseconds: two reads, as the
+/// How long a new node reads heartbeats before it claims shards that never had an owner, in milliseconds: two reads, as the
 /// first may come before the nodes that start with it have sent their heartbeats. With hundreds of nodes the wait is longer.
 const INITIAL_WAIT_MS: Ms = 1_000;
 /// The number of first heartbeats that a partition accepts well within [`INITIAL_WAIT_MS`].
 const HEARTBEATS_WITHIN_WAIT: usize = 100;
 /// The time that a partition needs for each further heartbeat, which is that of one append, in milliseconds.
 const APPEND_MS: Ms = 4;
-/// The delay before a node reclaims a pool whose owner on this node has ended by itself, in milliseconds. It doubles with
+/// The delay before a node reclaims a shard whose owner on this node has ended by itself, in milliseconds. It doubles with
 /// each consecutive end.
 const RECLAIM_DELAY_MS: Ms = 200;
-/// How often [`RECLAIM_DELAY_MS`] doubles at most, up to 3.2 s. Other nodes claim the pool of an unresponsive node after 2.7 s.
+/// How often [`RECLAIM_DELAY_MS`] doubles at most, up to 3.2 s. Other nodes claim the shard of an unresponsive node after 2.7 s.
 const MAX_RECLAIM_DOUBLINGS: u32 = 4;
 /// The time after which an owner counts as stable, so that its end is not consecutive to earlier ones, in milliseconds.
 const STABLE_AFTER_MS: Ms = 10_000;
 
-/// An owner on this node that ended by itself though no other node claimed its pool.
+/// An owner on this node that ended by itself though no other node claimed its shard.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndedOwner {
     token: u64,
@@ -56,69 +56,69 @@
 }
 
 impl Ownership {
-    /// Records that this node's owner of a pool has ended by itself. Its token must not be used again: the records and orders
+    /// Records that this node's owner of a shard has ended by itself. Its token must not be used again: the records and orders
     /// of the next owner would be indistinguishable from late ones of this owner.
-    pub fn record_owner_end(&mut self, pool: &Arc<str>, token: u64, now: Ms) {
-        let Some(newest) = self.claims.get(pool).filter(|o| o.token == token) else { return };
+    pub fn record_owner_end(&mut self, shard: &Arc<str>, token: u64, now: Ms) {
+        let Some(newest) = self.claims.get(shard).filter(|o| o.token == token) else { return };
         let was_stable = now.saturating_sub(newest.seen_at) >= STABLE_AFTER_MS;
-        let before = self.ended_owners.get(pool).filter(|_| !was_stable);
+        let before = self.ended_owners.get(shard).filter(|_| !was_stable);
         let earlier_ends = before.map_or(0, |ended| ended.earlier_ends + 1);
-        self.ended_owners.insert(pool.clone(), EndedOwner { token, at: now, earlier_ends });
+        self.ended_owners.insert(shard.clone(), EndedOwner { token, at: now, earlier_ends });
     }
 
-    /// Returns whether an owner of a pool on this node has ended by itself.
-    pub fn has_ended(&self, pool: &str) -> bool {
-        self.ended_owners.contains_key(pool)
+    /// Returns whether an owner of a shard on this node has ended by itself.
+    pub fn has_ended(&self, shard: &str) -> bool {
+        self.ended_owners.contains_key(shard)
     }
 
-    pub(super) fn is_spent(&self, pool: &str, token: u64) -> bool {
-        self.ended_owners.get(pool).is_some_and(|ended| ended.token == token)
+    pub(super) fn is_spent(&self, shard: &str, token: u64) -> bool {
+        self.ended_owners.get(shard).is_some_and(|ended| ended.token == token)
     }
 
-    /// Returns the pools among `pools` that this node claims now.
+    /// Returns the shards among `shards` that this node claims now.
     pub fn to_claim<'a>(
         &mut self,
-        pools: impl Iterator<Item = &'a Arc<str>>,
+        shards: impl Iterator<Item = &'a Arc<str>>,
         now: Ms,
     ) -> Vec<Arc<str>> {
         let mut wanted: Vec<Arc<str>> = Vec::new();
         if self.cannot_receive(now) {
             return wanted;
         }
-        for pool in pools {
-            let Some(vacancy) = self.vacancy(pool, now) else {
-                self.vacant_since.remove(pool);
+        for shard in shards {
+            let Some(vacancy) = self.vacancy(shard, now) else {
+                self.vacant_since.remove(shard);
                 continue;
             };
-            let since = *self.vacant_since.entry(pool.clone()).or_insert(now);
+            let since = *self.vacant_since.entry(shard.clone()).or_insert(now);
             let due = match vacancy {
-                // The node that owned the pool before regains its VMs' connections and state the soonest.
+                // The node that owned the shard before regains its VMs' connections and state the soonest.
                 Vacancy::PreviousIncarnation => 0,
                 Vacancy::Ended(ended) => ended.reclaim_at(),
                 Vacancy::Restarted => {
-                    since + 2 * RANK_STEP_MS + self.claim_delay(pool, now, &wanted)
+                    since + 2 * RANK_STEP_MS + self.claim_delay(shard, now, &wanted)
                 }
                 Vacancy::Released | Vacancy::Unresponsive => {
-                    since + self.claim_delay(pool, now, &wanted)
+                    since + self.claim_delay(shard, now, &wanted)
                 }
                 Vacancy::NeverOwned => {
                     since.max(self.started_at + self.initial_wait_ms())
-                        + self.claim_delay(pool, now, &wanted)
+                        + self.claim_delay(shard, now, &wanted)
                 }
             };
             if now >= due {
-                wanted.push(pool.clone());
+                wanted.push(shard.clone());
             }
         }
         wanted
     }
 
-    fn vacancy(&self, pool: &str, now: Ms) -> Option<Vacancy> {
-        let Some(NewestClaim { claim, token, seen_at, .. }) = self.claims.get(pool) else {
+    fn vacancy(&self, shard: &str, now: Ms) -> Option<Vacancy> {
+        let Some(NewestClaim { claim, token, seen_at, .. }) = self.claims.get(shard) else {
             return Some(Vacancy::NeverOwned);
         };
         if claim.owner == self.me {
-            let ended = self.ended_owners.get(pool).filter(|ended| ended.token == *token);
+            let ended = self.ended_owners.get(shard).filter(|ended| ended.token == *token);
             return match claim.released {
                 true => Some(Vacancy::Released),
                 false => ended.copied().map(Vacancy::Ended),
@@ -152,12 +152,12 @@
         self.members.values().map(|m| m.speed).max().unwrap_or(0) / 2
     }
 
-    /// Returns how long this node leaves a vacant pool to nodes that own fewer pools.
-    fn claim_delay(&self, pool: &str, now: Ms, wanted: &[Arc<str>]) -> Ms {
+    /// Returns how long this node leaves a vacant shard to nodes that own fewer shards.
+    fn claim_delay(&self, shard: &str, now: Ms, wanted: &[Arc<str>]) -> Ms {
         let owned = |name: &str| {
             self.claims.values().filter(|o| !o.claim.released && o.claim.owner.name == name).count()
         };
-        let weight = |name: &str| weight(format!("{pool}/{name}").as_bytes(), 0);
+        let weight = |name: &str| weight(format!("{shard}/{name}").as_bytes(), 0);
         let slow_below = self.slow_below();
         let slow = |name: &str| {
             let speed = self.members.get(name).map_or(0, |m| m.speed);
--- a/crates/schedule/tests/readers.rs
+++ b/crates/schedule/tests/readers.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use thistle_schedule::Ms;
 use thistle_schedule::ownership::{
-    Claim, Heartbeat, NodeIncarnation, Ownership, READERS, token_of,
+    Claim, Heartbeat, NodeIncarnation, Ownership, STANDBYS, token_of,
 };
 
 const POOLS: [&str; 5] = ["desk", "routes", "hub", "zones", "portal"];
@@ -31,8 +31,8 @@
     (0..nodes).map(view).collect()
 }
 
-fn readers_of(views: &[Ownership], pool: &str, now: Ms) -> Vec<usize> {
-    (0..views.len()).filter(|&i| views[i].is_reader(pool, now) == Some(true)).collect()
+fn standbys_of(views: &[Ownership], pool: &str, now: Ms) -> Vec<usize> {
+    (0..views.len()).filter(|&i| views[i].is_standby(pool, now) == Some(true)).collect()
 }
 
 /// If every node followed every pool, 97 nodes that start again after a loss of power would request 13 MB each.
@@ -41,8 +41,8 @@
     for nodes in [6, 9, 32, 97, 300] {
         let views = views(nodes, 3_000);
         for pool in POOLS {
-            let readers = readers_of(&views, pool, 3_000);
-            expect_that!(readers.len(), eq(READERS.min(nodes)), "{nodes} nodes, {pool}");
+            let standbys = standbys_of(&views, pool, 3_000);
+            expect_that!(standbys.len(), eq(STANDBYS.min(nodes)), "{nodes} nodes, {pool}");
         }
     }
 }
@@ -50,7 +50,7 @@
 #[gtest]
 fn nodes_that_have_just_started_leave_the_store_to_owners() {
     let views = views(97, 1_900);
-    expect_that!(readers_of(&views, "desk", 1_900), is_empty());
+    expect_that!(standbys_of(&views, "desk", 1_900), is_empty());
 }
 
 #[gtest]
@@ -58,7 +58,7 @@
     let views = views(97, 3_000);
     for pool in POOLS {
         expect_that!(
-            readers_of(&views, pool, 3_000),
+            standbys_of(&views, pool, 3_000),
             each(predicate(|i: &usize| i % 5 != 4)),
             "{pool}"
         );
@@ -70,7 +70,7 @@
     let mut views = views(97, 3_000);
     for pool in POOLS {
         let name = [pool.into()];
-        let readers = readers_of(&views, pool, 3_000);
+        let standbys = standbys_of(&views, pool, 3_000);
         let mut first = None;
         for now in (3_000..30_000).step_by(100) {
             for (i, view) in views.iter_mut().enumerate() {
@@ -92,14 +92,14 @@
                 break;
             }
         }
-        expect_that!(first, some(predicate(|i: usize| readers.contains(&i))), "{pool}");
+        expect_that!(first, some(predicate(|i: usize| standbys.contains(&i))), "{pool}");
     }
 }
 
 #[gtest]
 fn a_node_without_contact_to_the_others_does_not_know_whether_it_is_a_reader() {
     let views = views(9, 3_000);
-    expect_that!(views[0].is_reader("desk", 9_000), none());
+    expect_that!(views[0].is_standby("desk", 9_000), none());
 }
 
 #[gtest]
@@ -110,12 +110,12 @@
         view.record_claim(&"desk".into(), owner.clone(), token_of(0), 3_000);
     }
     let relay = |i: usize| heartbeat(0, i).relay.unwrap();
-    let readers: Vec<_> = readers_of(&views, "desk", 3_000).into_iter().map(relay).collect();
+    let standbys: Vec<_> = standbys_of(&views, "desk", 3_000).into_iter().map(relay).collect();
     for (i, view) in views.iter().enumerate() {
-        let queried = view.readers_to_query("desk", 3_000);
+        let queried = view.standbys_to_query("desk", 3_000);
         expect_that!(queried, not(is_empty()));
         expect_that!(queried, not(contains(eq(&relay(i)))));
         expect_that!(queried, not(contains(eq(&relay(7)))));
-        expect_that!(queried, each(predicate(|a| readers.contains(a))), "node {i}");
+        expect_that!(queried, each(predicate(|a| standbys.contains(a))), "node {i}");
     }
 }
--- a/crates/scheduler/src/node.rs
+++ b/crates/scheduler/src/node.rs
@@ -130,7 +130,7 @@
             // Without a relay, nodes cannot query each other, so each node follows all pools.
             return Some(true);
         }
-        lock(&self.ownership).is_reader(pool, steady_ms())
+        lock(&self.ownership).is_standby(pool, steady_ms())
     }
 
     /// Returns the logs of all pools.
--- a/crates/scheduler/src/query_peers.rs
+++ b/crates/scheduler/src/query_peers.rs
@@ -26,8 +26,8 @@
     if let Some(reply) = query_all(node, query, owner.into_iter().collect()).await {
         return reply;
     }
-    let readers = lock(&node.ownership).readers_to_query(pool, steady_ms());
-    query_all(node, query, readers).await.unwrap_or(QueryReply::NotRead)
+    let standbys = lock(&node.ownership).standbys_to_query(pool, steady_ms());
+    query_all(node, query, standbys).await.unwrap_or(QueryReply::NotRead)
 }
 
 async fn query_all(node: &Node, query: &Query, addrs: Vec<SocketAddr>) -> Option<QueryReply> {
--- a/crates/scheduler/tests/simultaneous_restarts.rs
+++ b/crates/scheduler/tests/simultaneous_restarts.rs
@@ -8,8 +8,8 @@
 use system::{System, job, state, submit, wait_until, wait_until_state};
 
 /// The number of standby nodes that follow a pool's records besides its owner.
-const READERS: u64 = 8;
-/// Three times [`READERS`].
+const STANDBYS: u64 = 8;
+/// Three times [`STANDBYS`].
 const NODES: u8 = 24;
 const JOBS: u64 = 250;
 /// The maximum length of a job's spec in bytes.
@@ -85,5 +85,5 @@
     tokio::time::sleep(Duration::from_secs(5)).await;
     let read = system.platform.store.reads.bytes() - before;
     // The owner and the standbys each read the pool once, and all nodes together may read as much as one more pool.
-    expect_that!(read, le((1 + READERS + 1) * POOL_PAGE_BYTES));
+    expect_that!(read, le((1 + STANDBYS + 1) * POOL_PAGE_BYTES));
 }
