--- a/crates/entry/src/claimant.rs
+++ b/crates/entry/src/claimant.rs
@@ -5,7 +5,7 @@
 
 use thistle_model::MemberId;
 use thistle_model::clock::Instant;
-use thistle_model::view::{ViewVoter, Voters};
+use thistle_model::view::{ViewMember, Voters};
 use thistle_request::claim::{AttemptId, Claim, ClaimReply, ClaimState, KeptAnswer, Tally};
 use thistle_request::key::ClaimKey;
 use thistle_wire::dial::context_with_timeout;
@@ -106,7 +106,7 @@
         }
     }
 
-    fn voters(&self) -> (Voters, Vec<ViewVoter>) {
+    fn voters(&self) -> (Voters, Vec<ViewMember>) {
         let link = self.cx.link();
         (link.voters.clone(), link.voter_addrs.clone())
     }
@@ -116,7 +116,7 @@
     }
 }
 
-async fn request_claim(cx: &Context, voter: &ViewVoter, req: ClaimRequest) -> Option<ClaimReply> {
+async fn request_claim(cx: &Context, voter: &ViewMember, req: ClaimRequest) -> Option<ClaimReply> {
     let connection = cx.peer_connection(voter.peer_addr);
     let client = connection.client().await.ok()?;
     let call = client.claim(context_with_timeout(VOTER_TIMEOUT), req).await;
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use thistle_model::clock::Instant;
-use thistle_model::view::{ViewVoter, Voters};
+use thistle_model::view::{ViewMember, Voters};
 use thistle_model::{MemberId, Offset, RefusalReason, VmName};
 use thistle_request::admit::Ticket;
 use thistle_request::breaker::SendResult;
@@ -28,9 +28,9 @@
     /// The set of voters.
     pub voters: Voters,
     /// The addresses of the voters.
-    pub voter_addrs: Vec<ViewVoter>,
+    pub voter_addrs: Vec<ViewMember>,
     /// The members that grant slots.
-    pub members: Vec<ViewVoter>,
+    pub members: Vec<ViewMember>,
     /// VMs whose answers announced that they are leaving.
     pub leaving: Vec<VmName>,
 }
--- a/crates/entry/src/slots.rs
+++ b/crates/entry/src/slots.rs
@@ -9,7 +9,7 @@
 use thistle_model::MemberId;
 use thistle_model::clock::Instant;
 use thistle_model::rendezvous;
-use thistle_model::view::ViewVoter;
+use thistle_model::view::ViewMember;
 use thistle_request::slot_home::SlotWant;
 use thistle_wire::dial::context_with_timeout;
 
@@ -58,7 +58,7 @@
 /// Groups slot requests by the home of their VM.
 fn group_by_home(
     wants: Vec<SlotWant>,
-    members: &[ViewVoter],
+    members: &[ViewMember],
 ) -> HashMap<SocketAddr, Vec<SlotWant>> {
     let mut by_home: HashMap<SocketAddr, Vec<SlotWant>> = HashMap::new();
     for want in wants {
--- a/crates/fold/src/view.rs
+++ b/crates/fold/src/view.rs
@@ -1,6 +1,6 @@
 //! Builds the view that an entry needs from the state.
 
-use thistle_model::view::{ViewDrain, ViewPool, ViewUpdate, ViewVm, ViewVoter};
+use thistle_model::view::{ViewDrain, ViewMember, ViewPool, ViewUpdate, ViewVm};
 use thistle_model::{MemberId, PoolName, Revision};
 
 use crate::member::MemberState;
@@ -19,19 +19,19 @@
         pools: view_pools(state, &changed),
         leaving: Vec::new(),
         voters: state.voters.clone(),
-        voter_addrs: state.voters.all().iter().filter_map(|&id| view_voter(state, id)).collect(),
+        voter_addrs: state.voters.all().iter().filter_map(|&id| view_member(state, id)).collect(),
         members: joined_members(state),
     }
 }
 
-fn joined_members(state: &State) -> Vec<ViewVoter> {
+fn joined_members(state: &State) -> Vec<ViewMember> {
     let joined = state.members.iter().filter(|(_, m)| m.state == MemberState::Joined);
-    joined.filter_map(|(&id, _)| view_voter(state, id)).collect()
+    joined.filter_map(|(&id, _)| view_member(state, id)).collect()
 }
 
-fn view_voter(state: &State, id: MemberId) -> Option<ViewVoter> {
+fn view_member(state: &State, id: MemberId) -> Option<ViewMember> {
     let facts = &state.members.get(&id)?.facts;
-    Some(ViewVoter { id, peer_addr: facts.peer_addr, hall: facts.hall.clone() })
+    Some(ViewMember { id, peer_addr: facts.peer_addr, hall: facts.hall.clone() })
 }
 
 fn view_pools(state: &State, changed: &[(&PoolName, &PoolKey)]) -> Vec<ViewPool> {
--- a/crates/model/src/view.rs
+++ b/crates/model/src/view.rs
@@ -39,9 +39,9 @@
     pub drains: Vec<ViewDrain>,
 }
 
-/// A voter with what an entry needs to request claims of it.
+/// A member with what an entry needs to request claims of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ViewVoter {
+pub struct ViewMember {
     /// Its identity.
     pub id: MemberId,
     /// The address on which it serves peers.
@@ -101,7 +101,7 @@
     /// The sets of voters.
     pub voters: Voters,
     /// The addresses of the voters.
-    pub voter_addrs: Vec<ViewVoter>,
+    pub voter_addrs: Vec<ViewMember>,
     /// The members that grant slots.
-    pub members: Vec<ViewVoter>,
+    pub members: Vec<ViewMember>,
 }
