--- a/crates/scheduler/tests/misleading_replies.rs
+++ b/crates/scheduler/tests/misleading_replies.rs
@@ -59,7 +59,7 @@
 /// starts the task again.
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_owner_restarted_under_its_token_loses_no_end() {
+async fn a_restarted_owner_loses_no_end() {
     let net = 103;
     let mut system = System::start(net, 1, 0).await;
     let fence_next = Arc::new(AtomicBool::new(false));
