--- a/crates/scheduler/tests/restarted_owners.rs
+++ b/crates/scheduler/tests/restarted_owners.rs
@@ -40,8 +40,8 @@
 fn is_acknowledged_as_done(system: &System) -> bool {
     let mut events = system.platform.machines.histories().into_iter().flatten();
     let done =
-        |step: &RunEventKind| matches!(step, RunEventKind::Acknowledged(how) if how == "done");
-    events.any(|event| event.task.starts_with(ID) && done(&event.step))
+        |kind: &RunEventKind| matches!(kind, RunEventKind::Acknowledged(how) if how == "done");
+    events.any(|event| event.task.starts_with(ID) && done(&event.kind))
 }
 
 /// Runs `earlier_jobs` jobs, and then a job of one task during which the owner is restarted.
--- a/crates/scheduler/tests/soak/bursts.rs
+++ b/crates/scheduler/tests/soak/bursts.rs
@@ -141,7 +141,7 @@
     fn cut_off_partly(&mut self) -> String {
         let mut vms = self.vms_to_cut_off();
         vms.truncate(self.rng.random_range(1..=2));
-        let parts = [Connectivity::HoldsOnly, Connectivity::LateOrders, Connectivity::Calls];
+        let parts = [Connectivity::HoldsOnly, Connectivity::LateOrders, Connectivity::RequestsOnly];
         let connectivity = parts[self.rng.random_range(0..parts.len())];
         self.limit_connectivity(vms, connectivity, PARTLY_CUT_OFF_MS)
     }
--- a/crates/scheduler/tests/soak/caps.rs
+++ b/crates/scheduler/tests/soak/caps.rs
@@ -56,7 +56,7 @@
         for history in self.system.platform.machines.histories() {
             for event in history {
                 let run = format!("{}#{}", event.task, event.attempt);
-                match event.step {
+                match event.kind {
                     RunEventKind::Started => changes.push((event.at, run, 1)),
                     RunEventKind::Ended(_) => changes.push((event.at, run, -1)),
                     RunEventKind::Acknowledged(_) | RunEventKind::LeaseExpired => (),
--- a/crates/scheduler/tests/soak/checks.rs
+++ b/crates/scheduler/tests/soak/checks.rs
@@ -134,7 +134,7 @@
         let mut vm_runs: BTreeMap<(String, u32), Run> = BTreeMap::new();
         for event in history {
             let key = (event.task, event.attempt);
-            match event.step {
+            match event.kind {
                 RunEventKind::Started => {
                     let run = Run {
                         started_at: event.at,
@@ -185,14 +185,14 @@
     /// Returns the guarantees broken by these events on one VM and a start of the same task on another VM after 30 ms.
     fn guarantees_broken_after(first: &[(u64, RunEventKind)]) -> Vec<BrokenGuarantee> {
         let base = Instant::now();
-        let event_at = |&(ms, ref step): &(u64, RunEventKind), attempt| RunEvent {
+        let event_at = |&(ms, ref kind): &(u64, RunEventKind), attempt| RunEvent {
             at: base + Duration::from_millis(ms),
             // The expiry of a lease belongs to no run.
-            task: if *step == RunEventKind::LeaseExpired { String::new() } else { TASK.to_owned() },
-            attempt: if *step == RunEventKind::LeaseExpired { 0 } else { attempt },
-            step: step.clone(),
+            task: if *kind == RunEventKind::LeaseExpired { String::new() } else { TASK.to_owned() },
+            attempt: if *kind == RunEventKind::LeaseExpired { 0 } else { attempt },
+            kind: kind.clone(),
         };
-        let first = first.iter().map(|step| event_at(step, 1)).collect();
+        let first = first.iter().map(|event| event_at(event, 1)).collect();
         let second = vec![event_at(&(30, RunEventKind::Started), 2)];
         let runs = runs_by_task(vec![first, second]);
         runs.iter().flat_map(|(task, runs)| guarantees_broken_by_runs(task, runs)).collect()
@@ -238,24 +238,24 @@
 
     #[googletest::test]
     fn an_end_that_is_acknowledged_after_its_lease_expired_does_not_count() {
-        let steps = [
+        let events = [
             (0, RunEventKind::Started),
             (10, done()),
             (20, RunEventKind::LeaseExpired),
             (900, acknowledged()),
         ];
-        expect_that!(guarantees_broken_after(&steps), is_empty());
+        expect_that!(guarantees_broken_after(&events), is_empty());
     }
 
     #[googletest::test]
     fn a_lease_that_expires_after_the_acknowledgement_changes_nothing() {
-        let steps = [
+        let events = [
             (0, RunEventKind::Started),
             (10, done()),
             (15, acknowledged()),
             (20, RunEventKind::LeaseExpired),
         ];
-        let broken = guarantees_broken_after(&steps);
+        let broken = guarantees_broken_after(&events);
         expect_that!(broken, elements_are![eq(&run_again(AckTiming::BeforeTheStart))]);
     }
 
--- a/crates/scheduler/tests/system/mod.rs
+++ b/crates/scheduler/tests/system/mod.rs
@@ -203,7 +203,7 @@
     /// Returns the runs that were started in a data hall, each with its time.
     pub fn starts_in(&self, hall: &str) -> Vec<(Instant, String)> {
         let events = self.platform.machines.histories_in(hall).into_iter().flatten();
-        let started = events.filter(|event| event.step == RunEventKind::Started);
+        let started = events.filter(|event| event.kind == RunEventKind::Started);
         started.map(|run| (run.at, format!("{}#{}", run.task, run.attempt))).collect()
     }
 
