--- a/crates/bench/src/slopes/pool.rs
+++ b/crates/bench/src/slopes/pool.rs
@@ -81,7 +81,7 @@
     for job in 0..jobs {
         let id = JobId(u64::from(job) + 1);
         let task = |index| TaskRecord {
-            time: 0,
+            repetition: 0,
             step: 0,
             index,
             placement: TaskPlacement::On(vm_id((job + index) % vms).to_string()),
--- a/crates/schedule/src/catalog.rs
+++ b/crates/schedule/src/catalog.rs
@@ -30,7 +30,7 @@
     /// The name of the pool.
     pub name: Arc<str>,
     /// Whether its VMs reject tasks that do not fit. Otherwise only the scheduler keeps them from being overcommitted.
-    pub guards_room: bool,
+    pub rejects_overcommit: bool,
     /// Whether its VMs are switched off and cost nothing.
     pub switched_off: bool,
 }
--- a/crates/schedule/src/crash_history.rs
+++ b/crates/schedule/src/crash_history.rs
@@ -144,7 +144,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashHistoryRecord {
     /// The repetition.
-    pub time: u32,
+    #[serde(rename = "time")]
+    pub repetition: u32,
     /// The step.
     pub step: u16,
     /// The task within the step.
--- a/crates/schedule/src/fleet/record.rs
+++ b/crates/schedule/src/fleet/record.rs
@@ -98,7 +98,7 @@
     /// Returns the names of the cordoned VMs that a pool keeps empty, without those that move to the pool. A VM that has
     /// arrived accepts work before the fleet's owner sees it in the pool, which takes 0.3 s, or seconds if the owner's node
     /// was just lost.
-    pub fn cordoned_in(&self, pool: &str) -> impl Iterator<Item = &str> {
+    pub fn cordoned_for(&self, pool: &str) -> impl Iterator<Item = &str> {
         let arrives = move |w: &&VmWork| matches!(&w.purpose, Purpose::Move { to } if to == pool);
         self.work.iter().filter(move |w| !arrives(w)).map(|w| w.vm.as_str())
     }
--- a/crates/schedule/src/halls.rs
+++ b/crates/schedule/src/halls.rs
@@ -18,7 +18,7 @@
     /// The hall.
     pub hall: Arc<str>,
     /// The offset of the operator's request.
-    pub since: u64,
+    pub offset: u64,
 }
 
 /// The halls that are currently evacuated.
@@ -31,7 +31,7 @@
 impl Halls {
     /// Records the operator's request to evacuate a hall.
     pub fn evacuate(&mut self, evacuation: Evacuation) {
-        self.evacuated.insert(evacuation.hall, evacuation.since);
+        self.evacuated.insert(evacuation.hall, evacuation.offset);
     }
 
     /// Withdraws the request for a hall, and returns whether there was one.
@@ -47,7 +47,7 @@
     /// Returns the current evacuations.
     pub fn evacuated(&self) -> impl Iterator<Item = Evacuation> {
         let evacuation =
-            |(hall, &since): (&Arc<str>, &u64)| Evacuation { hall: hall.clone(), since };
+            |(hall, &offset): (&Arc<str>, &u64)| Evacuation { hall: hall.clone(), offset };
         self.evacuated.iter().map(evacuation)
     }
 }
--- a/crates/schedule/src/id.rs
+++ b/crates/schedule/src/id.rs
@@ -49,7 +49,8 @@
     /// The job.
     pub job: JobId,
     /// The repetition, counted from 0.
-    pub time: u32,
+    #[serde(rename = "time")]
+    pub repetition: u32,
     /// The step, counted from 0.
     pub step: u16,
     /// The task within the step, counted from 0.
@@ -58,7 +59,7 @@
 
 impl fmt::Display for TaskId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}.{}.{}", self.job, self.time, self.step, self.index)
+        write!(f, "{}.{}.{}.{}", self.job, self.repetition, self.step, self.index)
     }
 }
 
@@ -70,13 +71,13 @@
         let mut parts = s.split('.');
         let mut next = || parts.next().ok_or_else(invalid);
         let job = next()?.parse()?;
-        let time = next()?.parse().map_err(|_| invalid())?;
+        let repetition = next()?.parse().map_err(|_| invalid())?;
         let step = next()?.parse().map_err(|_| invalid())?;
         let index = next()?.parse().map_err(|_| invalid())?;
         if parts.next().is_some() {
             return Err(invalid());
         }
-        Ok(Self { job, time, step, index })
+        Ok(Self { job, repetition, step, index })
     }
 }
 
--- a/crates/schedule/src/lib.rs
+++ b/crates/schedule/src/lib.rs
@@ -28,7 +28,7 @@
 pub use pool::Pool;
 pub use progress::{JobState, Phase, Progress};
 pub use spec::{JobSpec, Objective, Repeats, SpecError, Step};
-pub use vm::{EndKind, Room, RunEnd, RunRow, VmFacts, VmLoss, VmReport};
+pub use vm::{EndKind, ReportedRun, Room, RunEnd, VmFacts, VmLoss, VmReport};
 pub use workspace::{Caller, KeySecret, Workspace, WorkspaceConfig, Workspaces};
 
 /// Milliseconds of a monotonic clock.
--- a/crates/schedule/src/pool/advice.rs
+++ b/crates/schedule/src/pool/advice.rs
@@ -24,7 +24,7 @@
     /// The job.
     pub job: JobId,
     /// The repetition.
-    pub time: u32,
+    pub repetition: u32,
     /// The step.
     pub step: u16,
 }
--- a/crates/schedule/src/pool/ends.rs
+++ b/crates/schedule/src/pool/ends.rs
@@ -141,7 +141,7 @@
     /// Closes the repetition of a run if all its tasks are done, and completes the job with its last repetition.
     fn close_repetition(&mut self, key: JobKey, run: RunId, now: Now) {
         let Some(job) = self.jobs.get_mut(key) else { return };
-        if job.close_repetition_if_done(run.task.time) {
+        if job.close_repetition_if_done(run.task.repetition) {
             job.phase = Phase::Completed;
             job.settled_ms = now.wall;
         }
--- a/crates/schedule/src/pool/job.rs
+++ b/crates/schedule/src/pool/job.rs
@@ -199,13 +199,13 @@
     }
 
     pub fn task(&self, id: TaskId) -> Option<&Task> {
-        let step = self.repetitions.get(&id.time)?.steps.get(usize::from(id.step))?;
+        let step = self.repetitions.get(&id.repetition)?.steps.get(usize::from(id.step))?;
         step.tasks.get(usize::try_from(id.index).ok()?)
     }
 
     /// Returns the step of a task and the task's index in it.
     pub fn step_mut(&mut self, id: TaskId) -> Option<(&mut StepState, usize)> {
-        let step = self.repetitions.get_mut(&id.time)?.steps.get_mut(usize::from(id.step))?;
+        let step = self.repetitions.get_mut(&id.repetition)?.steps.get_mut(usize::from(id.step))?;
         let index = usize::try_from(id.index).ok().filter(|&i| i < step.tasks.len())?;
         Some((step, index))
     }
@@ -245,7 +245,7 @@
     /// Returns the progress record of the job.
     pub fn progress(&self, vm_id: impl Fn(VmKey) -> Option<VmIncarnation>) -> Progress {
         let crash_history = |(task, crash_history): (&TaskId, &CrashHistory)| CrashHistoryRecord {
-            time: task.time,
+            repetition: task.repetition,
             step: task.step,
             index: task.index,
             crash_history: crash_history.clone(),
@@ -284,7 +284,7 @@
                         TaskState::Assigned(_) | TaskState::Done => String::new(),
                     };
                     progress.tasks.push(TaskRecord {
-                        time: repetition,
+                        repetition,
                         step,
                         index,
                         placement,
--- a/crates/schedule/src/pool/evacuate.rs
+++ b/crates/schedule/src/pool/leaving.rs
@@ -61,7 +61,7 @@
             return false;
         };
         let Some(step) =
-            job.repetitions.get(&task.time).and_then(|t| t.steps.get(usize::from(task.step)))
+            job.repetitions.get(&task.repetition).and_then(|t| t.steps.get(usize::from(task.step)))
         else {
             return false;
         };
@@ -90,8 +90,9 @@
 
     /// Returns whether some other VM has room for a task and its step's anti-affinity limit allows it there.
     fn fits_elsewhere(&self, vm: VmKey, task: TaskId, step_spec: &Step, now: Now) -> bool {
-        let same_step =
-            |t: &TaskId| t.job == task.job && t.time == task.time && t.step == task.step;
+        let same_step = |t: &TaskId| {
+            t.job == task.job && t.repetition == task.repetition && t.step == task.step
+        };
         self.vms.iter().any(|(key, other)| {
             let same_step_count = other.runs.keys().filter(|t| same_step(t)).count();
             let max_per_vm = usize::try_from(step_spec.anti_affinity).unwrap_or(usize::MAX);
--- a/crates/schedule/src/pool/need.rs
+++ b/crates/schedule/src/pool/need.rs
@@ -211,5 +211,5 @@
 }
 
 fn step_of(task: TaskId) -> (JobId, u32, usize) {
-    (task.job, task.time, usize::from(task.step))
+    (task.job, task.repetition, usize::from(task.step))
 }
--- a/crates/schedule/src/pool/place.rs
+++ b/crates/schedule/src/pool/place.rs
@@ -26,13 +26,13 @@
     /// Returns the step's ID.
     pub fn step_id(&self) -> StepId {
         let step = u16::try_from(self.step).unwrap_or(u16::MAX);
-        StepId { job: self.job_id, time: self.repetition, step }
+        StepId { job: self.job_id, repetition: self.repetition, step }
     }
 
     pub fn task(&self, index: usize) -> TaskId {
         TaskId {
             job: self.job_id,
-            time: self.repetition,
+            repetition: self.repetition,
             step: u16::try_from(self.step).unwrap_or(u16::MAX),
             index: u32::try_from(index).unwrap_or(u32::MAX),
         }
@@ -283,7 +283,9 @@
 /// Returns the number of tasks of a step on a VM.
 fn count_tasks_of_step(vm: &Vm, ready: ReadyStep) -> usize {
     let of_step = |t: &&TaskId| {
-        t.job == ready.job_id && t.time == ready.repetition && usize::from(t.step) == ready.step
+        t.job == ready.job_id
+            && t.repetition == ready.repetition
+            && usize::from(t.step) == ready.step
     };
     vm.runs.keys().filter(of_step).count()
 }
--- a/crates/schedule/src/pool/report.rs
+++ b/crates/schedule/src/pool/report.rs
@@ -7,7 +7,7 @@
 use super::{JobKey, Now, Pool, VmKey};
 use crate::Ms;
 use crate::id::{RunId, TaskId, VmIncarnation};
-use crate::vm::{RunEnd, RunRow, VmReport};
+use crate::vm::{ReportedRun, RunEnd, VmReport};
 
 /// The maximum number of run ends in one report. A longer list comes in parts, so a run that is missing from one part may be
 /// in the next.
@@ -53,8 +53,8 @@
         }
         let complete = report.ended.len() < MAX_ENDS;
         let listed: HashSet<RunId> = report.running.iter().map(|r| r.run).collect();
-        for row in &report.running {
-            self.apply_run_row(key, row, report.requested_at, now);
+        for reported in &report.running {
+            self.apply_reported_run(key, reported, report.requested_at, now);
         }
         if complete {
             changes.not_listed = self.release_missing(key, report, &listed, now);
@@ -76,24 +76,30 @@
         task.attempt != end.run.attempt || task.state != TaskState::Done
     }
 
-    fn apply_run_row(&mut self, key: VmKey, row: &RunRow, requested_at: Ms, now: Now) {
+    fn apply_reported_run(
+        &mut self,
+        key: VmKey,
+        reported: &ReportedRun,
+        requested_at: Ms,
+        now: Now,
+    ) {
         let vm = &mut self.vms[key];
-        let task = row.run.task;
-        if let Some(run) = vm.runs.get_mut(&task).filter(|r| r.attempt == row.run.attempt) {
-            run.metric = row.metric;
-            (run.progress, run.progress_at) = (row.percent, now.steady);
+        let task = reported.run.task;
+        if let Some(run) = vm.runs.get_mut(&task).filter(|r| r.attempt == reported.run.attempt) {
+            run.metric = reported.metric;
+            (run.progress, run.progress_at) = (reported.percent, now.steady);
             // A listed run exists, even if this owner did not order it and never received an answer about it.
             run.confirmed.get_or_insert(requested_at);
             (run.listed, run.unclear) = (true, false);
-            if !row.checkpoint.is_empty() {
-                run.checkpoint.clone_from(&row.checkpoint);
+            if !reported.checkpoint.is_empty() {
+                run.checkpoint.clone_from(&reported.checkpoint);
             }
             // A run that is being stopped no longer counts as working.
             if !run.stopping {
                 let (lasting, started) = (run.lasting, run.started);
-                self.update_working(row);
+                self.update_working(reported);
                 if lasting
-                    && row.percent >= WORKING_PERCENT
+                    && reported.percent >= WORKING_PERCENT
                     && self.is_cleared_by_work(task, started, now.steady)
                 {
                     self.clear_crash_history(task);
@@ -101,23 +107,24 @@
             } else if now.steady >= run.stop_ordered + STOP_RETRY_MS {
                 // The stop order may have been issued while there was no connection to the VM.
                 run.stop_ordered = now.steady;
-                self.order_stop(key, task, row.run.attempt);
+                self.order_stop(key, task, reported.run.attempt);
             }
             return;
         }
-        let last_stop = vm.unknown_runs.entry(row.run).or_insert(0);
+        let last_stop = vm.unknown_runs.entry(reported.run).or_insert(0);
         if *last_stop == 0 || now.steady >= *last_stop + STOP_RETRY_MS {
             *last_stop = now.steady;
-            self.order_stop(key, task, row.run.attempt);
+            self.order_stop(key, task, reported.run.attempt);
         }
     }
 
-    fn update_working(&mut self, row: &RunRow) {
-        let Some(job) = self.job_mut(row.run.task) else { return };
-        let lasting = job.spec.steps.get(usize::from(row.run.task.step)).is_some_and(|s| s.lasting);
-        let Some((step, index)) = job.step_mut(row.run.task) else { return };
+    fn update_working(&mut self, reported: &ReportedRun) {
+        let Some(job) = self.job_mut(reported.run.task) else { return };
+        let lasting =
+            job.spec.steps.get(usize::from(reported.run.task.step)).is_some_and(|s| s.lasting);
+        let Some((step, index)) = job.step_mut(reported.run.task) else { return };
         if lasting {
-            step.tasks[index].working = row.percent >= WORKING_PERCENT;
+            step.tasks[index].working = reported.percent >= WORKING_PERCENT;
         }
     }
 
--- a/crates/schedule/src/pool/takeover.rs
+++ b/crates/schedule/src/pool/takeover.rs
@@ -39,14 +39,14 @@
         job.has_started = entry.progress.begun;
         job.done_repetitions.clone_from(&entry.progress.done_times);
         job.open_due_repetitions(now);
-        if let Some(last) = entry.progress.tasks.iter().map(|record| record.time).max() {
+        if let Some(last) = entry.progress.tasks.iter().map(|record| record.repetition).max() {
             // All repetitions before a recorded one are due as well, whatever this node's clock says.
             job.open_repetitions_up_to(last);
         }
-        for CrashHistoryRecord { time, step, index, crash_history } in
+        for CrashHistoryRecord { repetition, step, index, crash_history } in
             &entry.progress.crash_histories
         {
-            let task = TaskId { job: id, time: *time, step: *step, index: *index };
+            let task = TaskId { job: id, repetition: *repetition, step: *step, index: *index };
             job.crash_histories.insert(task, crash_history.clone());
         }
         let key = self.jobs.insert(job);
@@ -68,7 +68,7 @@
         let mut job = self.new_job(id, spec.clone(), now);
         (job.phase, job.settled_ms, job.has_started) = (progress.phase, progress.settled_ms, true);
         for record in &progress.tasks {
-            job.open_repetition(record.time);
+            job.open_repetition(record.repetition);
         }
         let key = self.jobs.insert(job);
         self.job_keys.insert(id, key);
@@ -83,7 +83,12 @@
     }
 
     fn adopt_task(&mut self, job_id: JobId, record: &TaskRecord, now: Now) {
-        let id = TaskId { job: job_id, time: record.time, step: record.step, index: record.index };
+        let id = TaskId {
+            job: job_id,
+            repetition: record.repetition,
+            step: record.step,
+            index: record.index,
+        };
         let state = match &record.placement {
             TaskPlacement::Waiting => TaskState::Waiting,
             TaskPlacement::Done => TaskState::Done,
--- a/crates/schedule/src/progress.rs
+++ b/crates/schedule/src/progress.rs
@@ -59,7 +59,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskRecord {
     /// The repetition.
-    pub time: u32,
+    #[serde(rename = "time")]
+    pub repetition: u32,
     /// The step.
     pub step: u16,
     /// The task within the step.
--- a/crates/schedule/src/vm.rs
+++ b/crates/schedule/src/vm.rs
@@ -96,7 +96,7 @@
 
 /// A run that a VM reports as running.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RunRow {
+pub struct ReportedRun {
     /// The run.
     pub run: RunId,
     /// Its newest checkpoint, empty for none.
@@ -154,7 +154,7 @@
     /// When the report was requested.
     pub requested_at: Ms,
     /// The runs in progress.
-    pub running: Vec<RunRow>,
+    pub running: Vec<ReportedRun>,
     /// The ended runs that are not acknowledged.
     pub ended: Vec<RunEnd>,
 }
--- a/crates/schedule/tests/common/mod.rs
+++ b/crates/schedule/tests/common/mod.rs
@@ -5,7 +5,7 @@
 
 use thistle_schedule::pool::{Now, Order, StartOrder, StartResult};
 use thistle_schedule::{
-    EndKind, JobId, JobSpec, Ms, Objective, Pool, Room, RunEnd, RunId, RunRow, Step, VmFacts,
+    EndKind, JobId, JobSpec, Ms, Objective, Pool, ReportedRun, Room, RunEnd, RunId, Step, VmFacts,
     VmIncarnation, VmReport,
 };
 
@@ -102,11 +102,11 @@
     RunEnd { sequence, run, kind, checkpoint: String::new() }
 }
 
-pub fn row(run: RunId, percent: u32) -> RunRow {
-    RunRow { run, checkpoint: String::new(), percent, metric: None }
+pub fn row(run: RunId, percent: u32) -> ReportedRun {
+    ReportedRun { run, checkpoint: String::new(), percent, metric: None }
 }
 
-pub fn report(requested_at: Ms, running: Vec<RunRow>, ended: Vec<RunEnd>) -> VmReport {
+pub fn report(requested_at: Ms, running: Vec<ReportedRun>, ended: Vec<RunEnd>) -> VmReport {
     VmReport { requested_at, running, ended }
 }
 
--- a/crates/schedule/tests/crashing_tasks.rs
+++ b/crates/schedule/tests/crashing_tasks.rs
@@ -170,7 +170,7 @@
     let version = Version { token: 3, number: 1 };
     let without = Progress { begun: true, ..Progress::default() };
     let record = CrashHistoryRecord {
-        time: 0,
+        repetition: 0,
         step: 1,
         index: 2,
         crash_history: history_of(&[(true, false)]),
--- a/crates/schedule/tests/evacuation.rs
+++ b/crates/schedule/tests/evacuation.rs
@@ -20,7 +20,7 @@
 fn evacuated(names: &[&str]) -> Arc<Halls> {
     let mut halls = Halls::default();
     for name in names {
-        halls.evacuate(Evacuation { hall: (*name).into(), since: 1 });
+        halls.evacuate(Evacuation { hall: (*name).into(), offset: 1 });
     }
     Arc::new(halls)
 }
--- a/crates/schedule/tests/fleet_succession.rs
+++ b/crates/schedule/tests/fleet_succession.rs
@@ -110,8 +110,8 @@
     let purpose = Purpose::Move { to: "hub".to_owned() };
     let work = vec![VmWork { vm: "o".to_owned(), purpose, stage: ordered }];
     let record = FleetRecord { work: work.into(), ..FleetRecord::default() };
-    expect_that!(record.cordoned_in("hub").count(), eq(0));
-    expect_that!(record.cordoned_in("desk").count(), eq(1));
+    expect_that!(record.cordoned_for("hub").count(), eq(0));
+    expect_that!(record.cordoned_for("desk").count(), eq(1));
     let mut fleet = Fleet::new(record, HoldOff { until: 3_000, gap: 3_000 });
     fleet.set_pools(["desk".into(), "hub".into()].into(), None);
     fleet.set_vms(vec![vm("o", "desk", 1, VmState::Up)], 0);
--- a/crates/schedule/tests/histories/machine.rs
+++ b/crates/schedule/tests/histories/machine.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use thistle_schedule::{EndKind, Ms, Room, RunEnd, RunId, RunRow, Step, TaskId, VmFacts, VmReport};
+use thistle_schedule::{
+    EndKind, Ms, ReportedRun, Room, RunEnd, RunId, Step, TaskId, VmFacts, VmReport,
+};
 
 use crate::common::{row, vm};
 
@@ -143,7 +145,7 @@
     }
 
     pub fn report(&self, now: Ms) -> VmReport {
-        let row = |(&task, run): (&TaskId, &Run)| -> RunRow {
+        let row = |(&task, run): (&TaskId, &Run)| -> ReportedRun {
             row(RunId { task, attempt: run.attempt }, 100)
         };
         let running = self.runs.iter().map(row).collect();
--- a/crates/schedule/tests/histories/mod.rs
+++ b/crates/schedule/tests/histories/mod.rs
@@ -156,7 +156,7 @@
         };
         if self.rng.random_range(0..100) < self.setting.faulty_percent {
             let index = self.rng.random_range(0..steps[0].count);
-            self.faulty_tasks.insert(TaskId { job: id, time: 0, step: 0, index });
+            self.faulty_tasks.insert(TaskId { job: id, repetition: 0, step: 0, index });
         }
         if is_lasting {
             self.cancel_times.insert(id, self.now + self.rng.random_range(10_000..40_000));
--- a/crates/schedule/tests/job_records.rs
+++ b/crates/schedule/tests/job_records.rs
@@ -52,7 +52,7 @@
 /// Returns the progress of an open job with the given number of finished tasks.
 fn open_progress(done: u32) -> Progress {
     let task = |index| TaskRecord {
-        time: 0,
+        repetition: 0,
         step: 0,
         index,
         placement: if index < done {
@@ -213,7 +213,7 @@
     let mut repetitions = Vec::new();
     for now in (0..40).map(|i| from + 300 * i) {
         for start in plan_and_start(pool, now) {
-            repetitions.push(start.run.task.time);
+            repetitions.push(start.run.task.repetition);
             end_run(pool, &start, EndKind::Done, now + 50);
         }
     }
@@ -236,7 +236,7 @@
     before.plan(at(2_500));
     end_run(&mut before, &first[0], EndKind::Done, 2_600);
     let second = starts(&before.plan(at(2_700)));
-    expect_that!(second[0].run.task.time, eq(1));
+    expect_that!(second[0].run.task.repetition, eq(1));
     let entry = entry_of(&mut before, &spec);
     let mut after = pool_with_vms(&["a"]);
     after.adopt(JOB, &entry, at(2_800));
@@ -251,7 +251,7 @@
 #[gtest]
 fn a_waiting_repetition_is_not_skipped_by_an_owner_whose_clock_is_behind() {
     let later_task = TaskRecord {
-        time: 3,
+        repetition: 3,
         step: 0,
         index: 0,
         placement: TaskPlacement::Waiting,
--- a/crates/schedule/tests/link_world/link.rs
+++ b/crates/schedule/tests/link_world/link.rs
@@ -2,7 +2,7 @@
 //! starts and two stops in flight, each resent until its outcome is known.
 
 use thistle_schedule::pool::{StartOrder, StartResult};
-use thistle_schedule::{Ms, RunId, RunRow, TaskLease, VmIncarnation, VmLoss, VmReport};
+use thistle_schedule::{Ms, ReportedRun, RunId, TaskLease, VmIncarnation, VmLoss, VmReport};
 
 use super::vm::{Answer, Call};
 use super::{Event, LEASE};
@@ -296,7 +296,8 @@
                 let result = StartResult::StartedWithCopies;
                 events.push(Event::Started(self.vm.clone(), start.order.run, result));
             }
-            let row = |run| RunRow { run, checkpoint: String::new(), percent: 100, metric: None };
+            let row =
+                |run| ReportedRun { run, checkpoint: String::new(), percent: 100, metric: None };
             let running = running.into_iter().map(row).collect();
             events.push(Event::Report(self.vm.clone(), VmReport { requested_at, running, ended }));
             return;
--- a/crates/schedule/tests/link_world/machines.rs
+++ b/crates/schedule/tests/link_world/machines.rs
@@ -98,7 +98,8 @@
 
     pub(super) fn check_start(&self, run: RunId) {
         let task = run.task;
-        let due = self.log.get(task.job).and_then(|e| e.spec.as_ref()).map(|s| s.due_ms(task.time));
+        let due =
+            self.log.get(task.job).and_then(|e| e.spec.as_ref()).map(|s| s.due_ms(task.repetition));
         let due = due.filter(|_| self.repeating.contains(&task.job));
         assert!(
             due.is_none_or(|due| due <= WALL_CLOCK_MS + self.now),
--- a/crates/schedule/tests/policies.rs
+++ b/crates/schedule/tests/policies.rs
@@ -8,7 +8,7 @@
 use thistle_schedule::pool::{AdviceRequest, Order};
 use thistle_schedule::progress::{TaskPlacement, TaskRecord};
 use thistle_schedule::spec::AdvicePolicy;
-use thistle_schedule::{EndKind, JobId, JobSpec, Pool, Progress, RunRow, Step};
+use thistle_schedule::{EndKind, JobId, JobSpec, Pool, Progress, ReportedRun, Step};
 
 fn advice_requests(orders: &[Order]) -> Vec<AdviceRequest> {
     let request = |o: &Order| match o {
@@ -74,7 +74,7 @@
 
 /// Returns a pool whose only VM runs a serving task (a lasting task with a tail target, here 100 ms) and a filling task, and
 /// the rows of both runs.
-fn pool_with_serving_and_filling_task() -> (Pool, Vec<RunRow>) {
+fn pool_with_serving_and_filling_task() -> (Pool, Vec<ReportedRun>) {
     let mut pool = pool_with_vms(&["a"]);
     let serving = Step { lasting: true, tail_target_ms: 100, ..step(1, 500) };
     let filling = Step { fills: true, ..step(1, 3_000) };
@@ -85,7 +85,7 @@
     (pool, rows)
 }
 
-fn with_tail_latency(rows: &[RunRow], ms: u64, percent: u32) -> Vec<RunRow> {
+fn with_tail_latency(rows: &[ReportedRun], ms: u64, percent: u32) -> Vec<ReportedRun> {
     let mut rows = rows.to_vec();
     rows[0].metric = Some(ms);
     rows[1].percent = percent;
@@ -161,7 +161,7 @@
         for (id, spec) in [JOB, JobId(2)].into_iter().zip(specs) {
             let run = rows.iter().find(|r| r.run.task.job == id).expect("the task runs").run;
             let task = TaskRecord {
-                time: 0,
+                repetition: 0,
                 step: 0,
                 index: 0,
                 placement: TaskPlacement::On("i-a-1".into()),
--- a/crates/schedule/tests/pool.rs
+++ b/crates/schedule/tests/pool.rs
@@ -131,7 +131,7 @@
 fn an_unknown_run_is_stopped_and_nothing_starts_on_its_vm_until_it_ended() {
     let mut pool = pool_with_vms(&["a"]);
     let unknown_run = thistle_schedule::RunId {
-        task: thistle_schedule::TaskId { job: JobId(9), time: 0, step: 0, index: 0 },
+        task: thistle_schedule::TaskId { job: JobId(9), repetition: 0, step: 0, index: 0 },
         attempt: 3,
     };
     let id = vm("a", 1).id.clone();
@@ -171,9 +171,9 @@
     expect_that!(starts(&pool.plan(at(999))), is_empty());
     expect_that!(pool.next_due(at(999)), some(eq(1_000)));
     let first = plan_and_start(&mut pool, 1_000);
-    expect_that!(first[0].run.task.time, eq(0));
+    expect_that!(first[0].run.task.repetition, eq(0));
     let second = plan_and_start(&mut pool, 1_500);
-    expect_that!(second[0].run.task.time, eq(1));
+    expect_that!(second[0].run.task.repetition, eq(1));
     let third = plan_and_start(&mut pool, 2_000);
     for started in [first, second, third] {
         end_run(&mut pool, &started[0], EndKind::Done, 2_100);
--- a/crates/schedule/tests/retry_backoff.rs
+++ b/crates/schedule/tests/retry_backoff.rs
@@ -73,7 +73,7 @@
     let mut seen = std::collections::BTreeSet::new();
     for now in (1..200).map(|i| i * 100) {
         for start in std::mem::take(&mut started) {
-            seen.insert(start.run.task.time);
+            seen.insert(start.run.task.repetition);
             end_run(&mut pool, &start, EndKind::Done, now);
         }
         started = plan_and_start(&mut pool, now + 10);
--- a/crates/schedule/tests/takeover.rs
+++ b/crates/schedule/tests/takeover.rs
@@ -235,7 +235,7 @@
     let started = plan_and_start(&mut before, 10);
     let mut entry = JobEntry { spec: Some(spec), cancelled: true, ..JobEntry::default() };
     entry.progress.tasks.push(thistle_schedule::progress::TaskRecord {
-        time: 0,
+        repetition: 0,
         step: 0,
         index: 0,
         placement: thistle_schedule::progress::TaskPlacement::On(started[0].vm.to_string()),
--- a/crates/schedule/tests/world/checks.rs
+++ b/crates/schedule/tests/world/checks.rs
@@ -34,7 +34,7 @@
             );
             if entry.progress.phase == Phase::Completed {
                 for (i, task_step) in (0..).zip(&self.steps[&id]) {
-                    let task = |index| TaskId { job: id, time: 0, step: i, index };
+                    let task = |index| TaskId { job: id, repetition: 0, step: i, index };
                     let done =
                         (0..task_step.count).filter(|&n| self.done.contains(&task(n))).count();
                     assert!(
--- a/crates/schedule/tests/world/mod.rs
+++ b/crates/schedule/tests/world/mod.rs
@@ -15,8 +15,8 @@
 };
 use thistle_schedule::pool::{Order, StartOrder, StartResult};
 use thistle_schedule::{
-    EndKind, Evacuation, Halls, JobId, JobLog, Ms, Pool, Room, RunEnd, RunId, RunRow, Step, TaskId,
-    VmFacts, VmIncarnation, VmLoss, VmReport,
+    EndKind, Evacuation, Halls, JobId, JobLog, Ms, Pool, ReportedRun, Room, RunEnd, RunId, Step,
+    TaskId, VmFacts, VmIncarnation, VmLoss, VmReport,
 };
 
 use self::in_flight::InFlightOrder;
@@ -176,7 +176,7 @@
     fn update_halls(&mut self) {
         let mut halls = Halls::default();
         for (&hall, &since) in &self.evacuated {
-            halls.evacuate(Evacuation { hall: hall.into(), since });
+            halls.evacuate(Evacuation { hall: hall.into(), offset: since });
         }
         self.pool.set_halls(halls.into(), true);
     }
@@ -264,7 +264,7 @@
             }
             sim.fence = self.token;
             sim.lease_until = now + LEASE;
-            let row = |(&task, r): (&TaskId, &Run)| RunRow {
+            let row = |(&task, r): (&TaskId, &Run)| ReportedRun {
                 run: RunId { task, attempt: r.attempt },
                 checkpoint: String::new(),
                 percent: 100,
--- a/crates/scheduler/src/append.rs
+++ b/crates/scheduler/src/append.rs
@@ -3,7 +3,7 @@
 //! One or both of a pool's partitions may leave appends unanswered while jobs keep arriving. Tried one after the other, at 0.6 s
 //! each, they would delay every caller by 1.2 s. The fallback partition is therefore tried in parallel with the first one after
 //! the store has answered other calls in the meantime, which stores a job up to 0.45 s sooner. Records in both partitions are
-//! harmless because they are folded by job.
+//! harmless because they are combined by job.
 //!
 //! The store may also turn slow when load rises. If 97 nodes with 200 jobs per second append each job by itself, the queue of
 //! each partition is full for seconds; a partition refuses appends that would wait for more than two seconds. A node that finds
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -109,8 +109,8 @@
     };
     node.halls.send_if_modified(|halls| {
         let withdrawn: Vec<_> = halls.evacuated().filter(|e| !is_requested(&e.hall)).collect();
-        for Evacuation { hall, since } in &withdrawn {
-            log::info!("hall hall={hall} step=taken-back since={since} reason=not-listed");
+        for Evacuation { hall, offset } in &withdrawn {
+            log::info!("hall hall={hall} step=taken-back since={offset} reason=not-listed");
             Arc::make_mut(halls).withdraw(hall);
         }
         !withdrawn.is_empty()
@@ -137,7 +137,7 @@
         log::info!("hall hall={hall} step={step} offset={}", stored.offset);
         let halls: &mut Halls = Arc::make_mut(halls);
         match requested {
-            true => halls.evacuate(Evacuation { hall: hall.into(), since: stored.offset }),
+            true => halls.evacuate(Evacuation { hall: hall.into(), offset: stored.offset }),
             false => _ = halls.withdraw(hall),
         }
         true
--- a/crates/scheduler/src/overview.rs
+++ b/crates/scheduler/src/overview.rs
@@ -188,7 +188,7 @@
             let Some(entry) = log.get(id) else { continue };
             let Some((spec, state)) = entry.spec.as_ref().zip(entry.state()) else { continue };
             let history = |h: &thistle_schedule::crash_history::CrashHistoryRecord| {
-                let name = format!("{id}.{}.{}.{}", h.time, h.step, h.index);
+                let name = format!("{id}.{}.{}.{}", h.repetition, h.step, h.index);
                 let (crashes, at_start, alone) =
                     (h.crash_history.crashes, h.crash_history.at_start, h.crash_history.alone);
                 let unclear: Vec<&str> =
@@ -205,7 +205,7 @@
                     TaskPlacement::Done => "done".to_owned(),
                     TaskPlacement::On(vm) => format!("on {vm}"),
                 };
-                let name = format!("{id}.{}.{}.{}", t.time, t.step, t.index);
+                let name = format!("{id}.{}.{}.{}", t.repetition, t.step, t.index);
                 format!("{name} attempt {} failures {} {place}", t.attempt, t.failures)
             };
             self.job = Some(JobView {
--- a/crates/scheduler/src/owner/advisor.rs
+++ b/crates/scheduler/src/owner/advisor.rs
@@ -58,7 +58,7 @@
 async fn request_advice(client: &AdviceClient, request: &AdviceRequest) -> Option<Tickets> {
     counter!("thistle_advice_calls").increment(1);
     let decides_in = request.policy.decides_in_ms(request.vms.len());
-    let step = (request.step.job, request.step.time, request.step.step);
+    let step = (request.step.job, request.step.repetition, request.step.step);
     match client.request(step, &request.vms, Duration::from_millis(decides_in)).await {
         Ok(advice) => {
             let tickets = advice.tickets.into_iter().map(|t| (t.vm, t.text)).collect();
--- a/crates/scheduler/src/owner/incarnation_times.rs
+++ b/crates/scheduler/src/owner/incarnation_order.rs
@@ -8,12 +8,12 @@
 
 /// The number of the VM list in which each incarnation first appeared, counted from the first list that this owner read.
 #[derive(Debug, Default)]
-pub struct IncarnationTimes {
+pub struct IncarnationOrder {
     listings: u64,
     first_listed: HashMap<VmIncarnation, u64>,
 }
 
-impl IncarnationTimes {
+impl IncarnationOrder {
     /// Records a VM list. Incarnations missing from it are removed unless they are `known`, as those may be listed again.
     pub fn record_list(&mut self, table: &VmTable, known: impl Fn(&VmIncarnation) -> bool) {
         self.listings += 1;
--- a/crates/scheduler/src/owner/mod.rs
+++ b/crates/scheduler/src/owner/mod.rs
@@ -1,7 +1,7 @@
 //! The owner of a pool: runs its schedule, writes its records and keeps the links to its VMs.
 
 mod advisor;
-mod incarnation_times;
+mod incarnation_order;
 mod link;
 mod losses;
 mod progress;
@@ -27,7 +27,7 @@
 use crate::node::Node;
 use crate::pool_log::PoolLog;
 use advisor::Advisor;
-use incarnation_times::IncarnationTimes;
+use incarnation_order::IncarnationOrder;
 use link::Link;
 use losses::{LossCounter, LossNumber};
 use progress::ProgressWriter;
@@ -86,7 +86,7 @@
     links: HashMap<Arc<str>, Link>,
     tokens: LinkTokens,
     losses: Arc<LossCounter>,
-    incarnation_times: IncarnationTimes,
+    incarnation_order: IncarnationOrder,
     /// The times by which the leases of VMs without a link have ended.
     orphans: HashMap<VmIncarnation, Ms>,
     tx: UnboundedSender<Event>,
@@ -119,7 +119,7 @@
                 }
                 Ok(()) = fleet.changed() => {
                     let record = fleet.borrow_and_update().clone();
-                    let cordoned = record.cordoned_in(&self.log.pool);
+                    let cordoned = record.cordoned_for(&self.log.pool);
                     self.pool.set_cordoned(cordoned.map(Arc::from).collect());
                     self.pool.set_urgent(record.moving().map(Arc::from).collect());
                     self.pool.set_due_for_maintenance(record.due_in_waves().map(Arc::from).collect());
@@ -203,7 +203,7 @@
                 log::info!(
                     "advice job={} time={} step={} good={good:?}",
                     step.job,
-                    step.time,
+                    step.repetition,
                     step.step
                 );
                 self.pool.apply_advice(step, answer, now);
--- a/crates/scheduler/src/owner/start.rs
+++ b/crates/scheduler/src/owner/start.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc::unbounded_channel;
 
 use super::advisor::Advisor;
-use super::incarnation_times::IncarnationTimes;
+use super::incarnation_order::IncarnationOrder;
 use super::progress::ProgressWriter;
 use super::quota::Quota;
 use super::report::Reporter;
@@ -50,7 +50,7 @@
         links: HashMap::new(),
         tokens: LinkTokens::new(token),
         losses: Arc::default(),
-        incarnation_times: IncarnationTimes::default(),
+        incarnation_order: IncarnationOrder::default(),
         orphans: HashMap::new(),
         tx: tx.clone(),
         purged_at: steady_ms(),
--- a/crates/scheduler/src/owner/vms.rs
+++ b/crates/scheduler/src/owner/vms.rs
@@ -16,9 +16,9 @@
 impl Owner {
     /// Applies the current VM list.
     pub(super) fn apply_vm_list(&mut self, table: &VmTable) {
-        let table = &*self.name_incarnations(table);
+        let table = &*self.fill_in_start_times(table);
         let pool_vms = self.pool.vm_summaries();
-        self.incarnation_times.record_list(table, |id| pool_vms.iter().any(|vm| vm.id == *id));
+        self.incarnation_order.record_list(table, |id| pool_vms.iter().any(|vm| vm.id == *id));
         let pool = self.log.pool.clone();
         for facts in table.values().filter(|f| f.pool == pool) {
             if self.pool.list_vm(facts.clone()) {
@@ -45,7 +45,7 @@
         for (vm, name) in self.pool.unclear_losses() {
             // The leftover entry of an earlier incarnation does not show that this one has ended.
             let successor = |f: &VmFacts| {
-                *f.name == *name && f.id != vm && !self.incarnation_times.is_later(&vm, &f.id)
+                *f.name == *name && f.id != vm && !self.incarnation_order.is_later(&vm, &f.id)
             };
             if !name.is_empty() && table.values().any(|f| successor(f)) {
                 self.report_replaced(&vm);
@@ -55,7 +55,7 @@
     }
 
     /// Fills in, for entries without a start time, the incarnation that has answered on the VM's link.
-    fn name_incarnations<'a>(&self, table: &'a VmTable) -> Cow<'a, VmTable> {
+    fn fill_in_start_times<'a>(&self, table: &'a VmTable) -> Cow<'a, VmTable> {
         let answered = |facts: &VmFacts| {
             let current = self.links.get(facts.id.id()).map(Link::vm);
             current
@@ -65,13 +65,13 @@
         if !table.values().any(|facts| answered(facts).is_some()) {
             return Cow::Borrowed(table);
         }
-        let mut named = table.clone();
-        for facts in named.values_mut() {
+        let mut filled_in = table.clone();
+        for facts in filled_in.values_mut() {
             if let Some(id) = answered(facts) {
                 *facts = Arc::new(VmFacts { id, ..VmFacts::clone(facts) });
             }
         }
-        Cow::Owned(named)
+        Cow::Owned(filled_in)
     }
 
     /// Opens the link to a VM, replacing the link to an earlier incarnation.
@@ -93,7 +93,7 @@
     /// Checks whether a later incarnation of a VM that has stopped answering is listed already.
     pub(super) fn check_for_successor(&self, id: &VmIncarnation) {
         let listed = self.node.vms.borrow().clone();
-        let table = self.name_incarnations(&listed);
+        let table = self.fill_in_start_times(&listed);
         if let Some(vm) = self.pool.vm_summaries().into_iter().find(|vm| vm.id == *id)
             && listed_entry(&table, id).is_none()
         {
@@ -109,7 +109,7 @@
             return;
         }
         let is_later_successor = |facts: &&Arc<VmFacts>| {
-            is_successor(facts, vm) && self.incarnation_times.is_later(&facts.id, &vm.id)
+            is_successor(facts, vm) && self.incarnation_order.is_later(&facts.id, &vm.id)
         };
         match table.values().find(is_later_successor) {
             Some(facts) if facts.id.is_other_incarnation_of(&vm.id) => {
