--- a/crates/schedule/src/pool/run.rs
+++ b/crates/schedule/src/pool/run.rs
@@ -54,7 +54,7 @@
     /// The share of its full speed that was last ordered, in percent, or `None` if only a previous owner may have set it.
     pub speed_percent: Option<u32>,
     pub speed_set_at: Ms,
-    /// The latest metric that the run reported; see [`crate::vm::RunRow`].
+    /// The latest metric that the run reported; see [`crate::vm::ReportedRun`].
     pub metric: Option<u64>,
     /// The latest checkpoint, from which the task resumes elsewhere if the VM is lost.
     pub checkpoint: String,
