--- a/crates/schedule/src/job_log.rs
+++ b/crates/schedule/src/job_log.rs
@@ -217,9 +217,10 @@
 
     /// Returns whether some open job has started though its submission has not been read.
     pub fn has_started_without_submission(&self) -> bool {
-        let has_started =
-            |e: &JobEntry| e.spec.is_none() && e.progress.begun && e.progress.phase == Phase::Open;
-        self.jobs.values().any(has_started)
+        let started_without_submission = |e: &JobEntry| {
+            e.spec.is_none() && e.progress.has_started && e.progress.phase == Phase::Open
+        };
+        self.jobs.values().any(started_without_submission)
     }
 
     /// Applies one record whose partition does not matter.
--- a/crates/schedule/src/pool/job.rs
+++ b/crates/schedule/src/pool/job.rs
@@ -252,14 +252,14 @@
         };
         let mut progress = Progress {
             phase: self.phase,
-            begun: self.has_started,
+            has_started: self.has_started,
             settled_ms: self.settled_ms,
             crash_histories: self.crash_histories.iter().map(crash_history).collect(),
             ..Progress::default()
         };
         let open = self.phase == Phase::Open;
         if open {
-            progress.done_times.clone_from(&self.done_repetitions);
+            progress.done_repetitions.clone_from(&self.done_repetitions);
         }
         for (&repetition, repetition_state) in &self.repetitions {
             for (step, step_state) in (0..).zip(&repetition_state.steps) {
--- a/crates/schedule/src/pool/takeover.rs
+++ b/crates/schedule/src/pool/takeover.rs
@@ -36,8 +36,8 @@
         if now.steady.saturating_sub(job.accepted) < JUST_ACCEPTED_MS {
             self.record_arrival(spec, now.steady);
         }
-        job.has_started = entry.progress.begun;
-        job.done_repetitions.clone_from(&entry.progress.done_times);
+        job.has_started = entry.progress.has_started;
+        job.done_repetitions.clone_from(&entry.progress.done_repetitions);
         job.open_due_repetitions(now);
         if let Some(last) = entry.progress.tasks.iter().map(|record| record.repetition).max() {
             // All repetitions before a recorded one are due as well, whatever this node's clock says.
--- a/crates/schedule/src/progress.rs
+++ b/crates/schedule/src/progress.rs
@@ -82,11 +82,13 @@
     /// The phase of the job.
     pub phase: Phase,
     /// Whether at least one task has started.
-    pub begun: bool,
+    #[serde(rename = "begun")]
+    pub has_started: bool,
     /// When the job was settled, in milliseconds since 1970; 0 while it is open.
     pub settled_ms: u64,
     /// The repetitions whose tasks are all done.
-    pub done_times: Vec<u32>,
+    #[serde(rename = "done_times")]
+    pub done_repetitions: Vec<u32>,
     /// The tasks of unfinished repetitions that are no longer in their initial state. Once the job is settled, only tasks
     /// that may still run.
     pub tasks: Vec<TaskRecord>,
@@ -104,7 +106,7 @@
             Phase::Failed => JobState::Failed,
             Phase::Cancelled => JobState::Cancelled,
             Phase::Open if cancelled => JobState::Cancelled,
-            Phase::Open if self.begun => JobState::Running,
+            Phase::Open if self.has_started => JobState::Running,
             Phase::Open => JobState::Queued,
         }
     }
--- a/crates/schedule/tests/job_records.rs
+++ b/crates/schedule/tests/job_records.rs
@@ -46,7 +46,7 @@
 }
 
 fn settled_progress() -> Progress {
-    Progress { phase: Phase::Completed, begun: true, settled_ms: 1, ..Progress::default() }
+    Progress { phase: Phase::Completed, has_started: true, settled_ms: 1, ..Progress::default() }
 }
 
 /// Returns the progress of an open job with the given number of finished tasks.
@@ -64,7 +64,7 @@
         failures: 0,
         checkpoint: String::new(),
     };
-    Progress { begun: true, tasks: (0..4).map(task).collect(), ..Progress::default() }
+    Progress { has_started: true, tasks: (0..4).map(task).collect(), ..Progress::default() }
 }
 
 /// The partitions of one pool and a node that reads them.
@@ -260,7 +260,8 @@
         checkpoint: String::new(),
     };
     let tasks = vec![later_task];
-    let progress = Progress { begun: true, done_times: vec![1], tasks, ..Progress::default() };
+    let progress =
+        Progress { has_started: true, done_repetitions: vec![1], tasks, ..Progress::default() };
     let entry = JobEntry { spec: Some(repeating()), progress, ..JobEntry::default() };
     let mut after = pool_with_vms(&["a"]);
     // By this clock only the first repetition is due.
--- a/crates/schedule/tests/readers.rs
+++ b/crates/schedule/tests/standbys.rs
@@ -1,4 +1,4 @@
-//! Which nodes follow a pool's records.
+//! Which nodes are the standbys of a pool: the nodes that follow its records besides the owner.
 
 use googletest::prelude::*;
 use thistle_schedule::Ms;
@@ -35,9 +35,9 @@
     (0..views.len()).filter(|&i| views[i].is_standby(pool, now) == Some(true)).collect()
 }
 
-/// If every node followed every pool, 97 nodes that start again after a loss of power would request 13 MB each.
+/// If every node were a standby of every pool, 97 nodes that start again after a loss of power would request 13 MB each.
 #[gtest]
-fn the_number_of_readers_of_a_pool_does_not_grow_with_the_number_of_nodes() {
+fn the_number_of_standbys_of_a_pool_does_not_grow_with_the_number_of_nodes() {
     for nodes in [6, 9, 32, 97, 300] {
         let views = views(nodes, 3_000);
         for pool in POOLS {
@@ -54,7 +54,7 @@
 }
 
 #[gtest]
-fn slow_nodes_are_readers_only_if_there_are_no_others() {
+fn slow_nodes_are_standbys_only_if_there_are_no_others() {
     let views = views(97, 3_000);
     for pool in POOLS {
         expect_that!(
@@ -66,7 +66,7 @@
 }
 
 #[gtest]
-fn the_node_that_claims_a_vacant_pool_first_is_one_of_its_readers() {
+fn the_node_that_claims_a_vacant_pool_first_is_one_of_its_standbys() {
     let mut views = views(97, 3_000);
     for pool in POOLS {
         let name = [pool.into()];
@@ -97,13 +97,13 @@
 }
 
 #[gtest]
-fn a_node_without_contact_to_the_others_does_not_know_whether_it_is_a_reader() {
+fn a_node_without_contact_to_the_others_does_not_know_whether_it_is_a_standby() {
     let views = views(9, 3_000);
     expect_that!(views[0].is_standby("desk", 9_000), none());
 }
 
 #[gtest]
-fn readers_other_than_the_owner_and_the_querying_node_are_queried() {
+fn standbys_other_than_the_owner_and_the_querying_node_are_queried() {
     let mut views = views(97, 3_000);
     let owner = Claim { owner: node(7), released: false };
     for view in &mut views {
