--- a/crates/bench/src/slopes/pool.rs
+++ b/crates/bench/src/slopes/pool.rs
@@ -81,7 +81,7 @@
     for job in 0..jobs {
         let id = JobId(u64::from(job) + 1);
         let task = |index| TaskRecord {
-            time: 0,
+            repetition: 0,
             step: 0,
             index,
             placement: TaskPlacement::On(vm_id((job + index) % vms).to_string()),
@@ -90,7 +90,7 @@
             checkpoint: String::new(),
         };
         let tasks = (0..TASKS / 2).map(task).collect();
-        let progress = Progress { begun: true, tasks, ..Progress::default() };
+        let progress = Progress { has_started: true, tasks, ..Progress::default() };
         records.push((submit_key(id), submission.clone()));
         records.push((progress_key(id), encode_progress(Version::default(), &progress)));
     }
