--- a/crates/scheduler/tests/soak.rs
+++ b/crates/scheduler/tests/soak.rs
@@ -152,7 +152,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn guarantees_hold_when_vms_restart_under_their_ids() {
+async fn guarantees_hold_with_real_nodes_when_vms_restart() {
     for seed in seeds_or_default(RESTART_SEEDS) {
         run_seed(seed, Kind::Restarts).await;
     }
